--- a/crates/havenladder/src/entry/callers/ask.rs
+++ b/crates/havenladder/src/entry/callers/ask.rs
@@ -3,9 +3,9 @@
 use super::reply;
 use crate::entry::{
     follow,
-    inner::{self, Ask, Request, Tell},
     listen::Reply,
     node::{LifeId, Node},
+    peer::{self, CallerRequest, PeerRequest, PeerResponse},
     suspension,
 };
 use adapter::{
@@ -54,7 +54,7 @@
 /// `sent` says whether the same may have been done before.
 pub(super) async fn ask(
     node: &Rc<Node>,
-    request: Request,
+    request: CallerRequest,
     sent: bool,
     deadline: Instant,
 ) -> Answer {
@@ -67,7 +67,7 @@
 /// The same, as far as waits are ended that a suspension has outlasted.
 async fn ask_in_time(
     node: &Rc<Node>,
-    mut request: Request,
+    mut request: CallerRequest,
     mut sent: bool,
     deadline: Instant,
 ) -> Answer {
@@ -79,12 +79,12 @@
         let tell = match node.own() {
             Some(owner) => {
                 let answer = timer::timeout_at(give_up, owner.answer(request.clone())).await;
-                answer.unwrap_or(Tell::Unsure)
+                answer.unwrap_or(PeerResponse::Unsure)
             }
             None if node.cut_off.get() => return Answer::Final(turn_away(&request, sent)),
             None => forward(node, &request, give_up).await,
         };
-        sent |= tell == Tell::Unsure;
+        sent |= tell == PeerResponse::Unsure;
         match next(&tell, sent) {
             Next::Answer(reply) => return Answer::Final(reply),
             Next::Refuse => return Answer::Final(refuse(&request, sent)),
@@ -119,14 +119,14 @@
 }
 
 /// Puts a question to the entry that owns the cell.
-async fn forward(node: &Rc<Node>, request: &Request, deadline: Instant) -> Tell {
+async fn forward(node: &Rc<Node>, request: &CallerRequest, deadline: Instant) -> PeerResponse {
     let lease = node.lease.borrow().clone();
     let Some(lease) = lease.filter(|lease| lease.life != node.life && !lease.released) else {
-        return Tell::NotOwner;
+        return PeerResponse::NotOwner;
     };
-    let ask = Ask::For(Box::new(request.clone()));
+    let ask = PeerRequest::Caller(Box::new(request.clone()));
     let answer = tokio::select! {
-        answer = inner::ask(node, &lease.address, &ask, deadline) => answer,
+        answer = peer::call(node, &lease.address, &ask, deadline) => answer,
         () = node.reach_changed.notified() => Err(CallError::Unanswered),
         () = replaced(node, lease.life) => Err(CallError::Unanswered),
     };
@@ -137,14 +137,14 @@
         }
         Err(CallError::Refused) => {
             suspect(node, lease.life);
-            Tell::NotOwner
+            PeerResponse::NotOwner
         }
         Err(error) => {
             node.reach_due.notify_one();
             if error.is_unsent() {
-                Tell::NotOwner
+                PeerResponse::NotOwner
             } else {
-                Tell::Unsure
+                PeerResponse::Unsure
             }
         }
     }
@@ -189,28 +189,30 @@
 /// What follows from the owner's answer; `sent` says whether the same may have been done before. A reason for which a job is
 /// not taken says that nothing of it runs: that is not certain after an attempt without an answer, which may still be
 /// carried out.
-fn next(tell: &Tell, sent: bool) -> Next {
+fn next(tell: &PeerResponse, sent: bool) -> Next {
     match tell {
-        Tell::Accepted | Tell::Cancelled => Next::Answer(reply(StatusCode::OK, "{}")),
-        Tell::Refused => Next::Refuse,
-        Tell::Hopeless(_) | Tell::TooLarge if sent => Next::Refuse,
-        Tell::Hopeless(ms) => Next::Answer(reject(*ms)),
-        Tell::TooLarge => Next::Answer(reply(
+        PeerResponse::Accepted | PeerResponse::Cancelled => {
+            Next::Answer(reply(StatusCode::OK, "{}"))
+        }
+        PeerResponse::Refused => Next::Refuse,
+        PeerResponse::TooLate(_) | PeerResponse::TooLarge if sent => Next::Refuse,
+        PeerResponse::TooLate(ms) => Next::Answer(reject(*ms)),
+        PeerResponse::TooLarge => Next::Answer(reply(
             StatusCode::BAD_REQUEST,
             "{\"error\":\"the job can never run under its workspace's bound\"}",
         )),
-        Tell::Unknown => Next::Answer(reply(StatusCode::GONE, "")),
-        Tell::State(phase) => Next::Answer(reply(StatusCode::OK, write_state(*phase))),
-        Tell::Pending(count) => Next::Answer(reply(StatusCode::OK, write_pending(*count))),
-        Tell::Outdated(version) => Next::JudgeAnew(*version),
-        Tell::NotOwner
-        | Tell::HandedOver
-        | Tell::Life(_)
-        | Tell::Outage { .. }
-        | Tell::News(_)
-        | Tell::Place(_)
-        | Tell::Feed(_)
-        | Tell::Unsure => Next::AskAgain,
+        PeerResponse::Unknown => Next::Answer(reply(StatusCode::GONE, "")),
+        PeerResponse::State(phase) => Next::Answer(reply(StatusCode::OK, write_state(*phase))),
+        PeerResponse::Pending(count) => Next::Answer(reply(StatusCode::OK, write_pending(*count))),
+        PeerResponse::Outdated(version) => Next::JudgeAnew(*version),
+        PeerResponse::NotOwner
+        | PeerResponse::HandedOver
+        | PeerResponse::Incarnation(_)
+        | PeerResponse::Outage { .. }
+        | PeerResponse::Update(_)
+        | PeerResponse::Assignment(_)
+        | PeerResponse::Replication(_)
+        | PeerResponse::Unsure => Next::AskAgain,
     }
 }
 
@@ -230,7 +232,7 @@
 }
 
 /// The answer of an entry that is cut off: the caller is to connect anew, to an entry that is not.
-fn turn_away(request: &Request, sent: bool) -> Reply {
+fn turn_away(request: &CallerRequest, sent: bool) -> Reply {
     let mut reply = refuse(request, sent);
     let close = header::HeaderValue::from_static("close");
     reply.headers_mut().insert(header::CONNECTION, close);
@@ -238,7 +240,7 @@
 }
 
 /// A job that may have been kept is never said to be refused.
-fn refuse(request: &Request, sent: bool) -> Reply {
+fn refuse(request: &CallerRequest, sent: bool) -> Reply {
     info!(ask = %request, sent, "given up");
     let status = if sent {
         StatusCode::GATEWAY_TIMEOUT
--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -8,9 +8,9 @@
 use crate::entry::{
     follow::{Reliance, make_sure},
     in_force::{Barred, Caller},
-    inner::{self, Wish},
     listen::Reply,
     node::{Node, wall_ms},
+    peer::{self, CallerOperation},
 };
 use adapter::{
     callers::{HEADER_DEADLINE, read_id, read_job},
@@ -115,11 +115,11 @@
     };
     let mut unsure = false;
     loop {
-        let request = inner::Request {
+        let request = peer::CallerRequest {
             caller: admitted.caller.clone(),
             queue: admitted.queue.name.clone(),
             version: admitted.version,
-            wish: wanted.put(&admitted),
+            operation: wanted.put(&admitted),
         };
         unsure = match ask(node, request, unsure, head.deadline).await {
             Answer::Final(reply) => return reply,
@@ -195,15 +195,15 @@
 
 impl Wanted {
     /// The same as it is put to the owner; a job that is handed in takes what its queue says now.
-    fn put(&self, admitted: &Admitted) -> Wish {
+    fn put(&self, admitted: &Admitted) -> CallerOperation {
         match self {
-            Wanted::Submit(id, spec) => Wish::Submit {
-                given: submission(admitted, *id, spec.clone()),
-                within: 0,
+            Wanted::Submit(id, spec) => CallerOperation::Submit {
+                submission: submission(admitted, *id, spec.clone()),
+                timeout_ms: 0,
             },
-            Wanted::Cancel(id) => Wish::Cancel(*id),
-            Wanted::State(id) => Wish::State(*id),
-            Wanted::Pending => Wish::Pending,
+            Wanted::Cancel(id) => CallerOperation::Cancel(*id),
+            Wanted::State(id) => CallerOperation::State(*id),
+            Wanted::Pending => CallerOperation::Pending,
         }
     }
 }
@@ -261,7 +261,7 @@
     let queue = &admitted.queue;
     let workspace = match &admitted.caller {
         Caller::Anyone => None,
-        Caller::Of(workspace) => Some(workspace.clone()),
+        Caller::Workspace(workspace) => Some(workspace.clone()),
     };
     Submission {
         id,
--- a/crates/havenladder/src/entry/follow.rs
+++ b/crates/havenladder/src/entry/follow.rs
@@ -1,9 +1,9 @@
 //! Follows what operators publish: the configuration and waves of upkeep.
 
 use super::{
-    inner::{self, Ask, News, Tell},
     lease::set_lease,
     node::Node,
+    peer::{self, News, PeerRequest, PeerResponse},
     store_calls,
 };
 use adapter::{
@@ -129,13 +129,13 @@
 /// Asks other entries for what the platform does not tell this one; true if one has answered.
 async fn ask_peers(node: &Node) -> bool {
     let version = node.in_force.borrow().version();
-    let ask = Ask::News {
+    let ask = PeerRequest::Update {
         version,
         end: node.lease_end.get(),
     };
     for peer in node.peers() {
         let sent = Instant::now();
-        if let Ok(Tell::News(news)) = inner::ask(node, &peer, &ask, sent + PEER).await {
+        if let Ok(PeerResponse::Update(news)) = peer::call(node, &peer, &ask, sent + PEER).await {
             take_news(node, news, sent);
             return true;
         }
--- a/crates/havenladder/src/entry/following.rs
+++ b/crates/havenladder/src/entry/following.rs
@@ -3,9 +3,9 @@
 use super::{
     feed::{Answer, HOLD, News, Question},
     follow,
-    inner::{self, Ask, Tell},
     lease::set_lease,
     node::Node,
+    peer::{self, PeerRequest, PeerResponse},
 };
 use adapter::store::{Offset, split_keyed};
 use clock::Instant;
@@ -67,8 +67,15 @@
     let lease = node.lease.borrow().clone();
     let owner = lease.filter(|lease| lease.life != node.life && !lease.released)?;
     let deadline = Instant::now() + PLACE_TIMEOUT;
-    match inner::ask(node, &owner.address, &Ask::Place(seeker(node)), deadline).await {
-        Ok(Tell::Place(source)) => Some(source),
+    match peer::call(
+        node,
+        &owner.address,
+        &PeerRequest::Assignment(seeker(node)),
+        deadline,
+    )
+    .await
+    {
+        Ok(PeerResponse::Assignment(source)) => Some(source),
         Ok(_) | Err(_) => None,
     }
 }
@@ -79,20 +86,20 @@
     while node.own().is_none() && !node.stopping.get() {
         let from = node.feed.recent.borrow().end();
         let sent = Instant::now();
-        let question = Ask::Feed(Question {
+        let question = PeerRequest::Replication(Question {
             seeker: seeker(node),
             from,
             end: node.lease_end.get(),
         });
-        match inner::ask(node, &source, &question, sent + HOLD + SLACK).await {
-            Ok(Tell::Feed(Answer::News(news))) => {
+        match peer::call(node, &source, &question, sent + HOLD + SLACK).await {
+            Ok(PeerResponse::Replication(Answer::News(news))) => {
                 if !take(node, from, news, sent) {
                     return;
                 }
                 node.feed.set_source(Some(&source));
                 hops = 0;
             }
-            Ok(Tell::Feed(Answer::At(next)))
+            Ok(PeerResponse::Replication(Answer::At(next)))
                 if hops < MOST_HOPS && next != node.inner_address() =>
             {
                 source = next;
--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -33,7 +33,8 @@
     /// Whoever it is: the queue is open to all.
     Anyone,
     /// A workspace, by one of its keys.
-    Of(WorkspaceId),
+    #[serde(rename = "Of")]
+    Workspace(WorkspaceId),
 }
 
 /// Why a call is not let in.
@@ -121,7 +122,7 @@
             Authorization::Malformed => Err(Barred::Malformed),
             Authorization::Key(key) => {
                 let workspace = self.keyring.find(key).ok_or(Barred::Unknown)?;
-                Ok(Caller::Of(workspace.clone()))
+                Ok(Caller::Workspace(workspace.clone()))
             }
         }
     }
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -11,10 +11,10 @@
 pub use log::set_lease;
 
 use super::{
-    inner::{self, Ask},
     node::{Lease, Node},
     outage, own_cell,
     owner::{Owner, Predecessor},
+    peer::{self, PeerRequest},
     suspension,
 };
 use clock::Instant;
@@ -126,12 +126,12 @@
     let Some(other) = other.filter(|lease| log.tenure.should_ask(lease.cpu, now)) else {
         return;
     };
-    let ask = Ask::HandOver {
+    let ask = PeerRequest::HandOver {
         cpu: node.settings.cpu,
     };
     let node = Rc::clone(node);
     task::spawn_local(async move {
-        let answer = inner::ask(&node, &other.address, &ask, now + HAND_OVER).await;
+        let answer = peer::call(&node, &other.address, &ask, now + HAND_OVER).await;
         info!(
             owner = other.node,
             cpu = other.cpu,
--- a/crates/havenladder/src/entry/lease/relay.rs
+++ b/crates/havenladder/src/entry/lease/relay.rs
@@ -6,8 +6,8 @@
 
 use super::log::set_lease;
 use crate::entry::{
-    inner::{self, Ask, News, Tell},
     node::{Lease, Node},
+    peer::{self, News, PeerRequest, PeerResponse},
 };
 use clock::Instant;
 use std::time::Duration;
@@ -19,9 +19,9 @@
 /// Asks one entry after the other to append the record with which this one gives the cell up, until one has.
 pub(super) async fn ask(node: &Node, relays: &[String], released: &Lease) {
     for relay in relays {
-        let ask = Ask::Release(Box::new(released.clone()));
-        let answer = inner::ask(node, relay, &ask, Instant::now() + APPENDED).await;
-        if let Ok(Tell::News(News {
+        let ask = PeerRequest::Release(Box::new(released.clone()));
+        let answer = peer::call(node, relay, &ask, Instant::now() + APPENDED).await;
+        if let Ok(PeerResponse::Update(News {
             lease: Some((lease, end)),
             ..
         })) = answer
--- a/crates/havenladder/src/entry/mod.rs
+++ b/crates/havenladder/src/entry/mod.rs
@@ -12,7 +12,6 @@
 mod follow;
 mod following;
 mod in_force;
-mod inner;
 mod lease;
 mod lease_record;
 mod lease_state;
@@ -26,6 +25,7 @@
 mod outage;
 mod own_cell;
 mod owner;
+mod peer;
 mod questions;
 mod reach;
 mod resend;
@@ -81,7 +81,7 @@
     let settings = &node.settings;
     let callers = TcpListener::bind(&settings.callers).await?;
     let ready = TcpListener::bind(&settings.ready).await?;
-    let inner = TcpListener::bind((settings.ip.as_str(), settings.inner_port)).await?;
+    let peers = TcpListener::bind((settings.ip.as_str(), settings.inner_port)).await?;
     info!(
         node = settings.node,
         hall = settings.hall,
@@ -95,7 +95,7 @@
     tokio::task::spawn_local(reach::run(Rc::clone(&node)));
     tokio::task::spawn_local(callers::listen(Rc::clone(&node), callers));
     tokio::task::spawn_local(callers::listen_ready(Rc::clone(&node), ready));
-    tokio::task::spawn_local(inner::listen(Rc::clone(&node), inner));
+    tokio::task::spawn_local(peer::listen(Rc::clone(&node), peers));
     match TcpListener::bind((settings.ip.as_str(), metrics::PORT)).await {
         Ok(listener) => {
             tokio::task::spawn_local(metrics::listen(Rc::clone(&node.metrics), listener));
--- a/crates/havenladder/src/entry/outage.rs
+++ b/crates/havenladder/src/entry/outage.rs
@@ -5,9 +5,9 @@
 //! a third of them or more, and not this entry, the owner gives the cell up through one of them.
 
 use super::{
-    inner::{self, Ask, Tell},
     node::Node,
     owner::Owner,
+    peer::{self, PeerRequest, PeerResponse},
 };
 use adapter::http::Connection;
 use clock::Instant;
@@ -29,10 +29,10 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Tells another entry whether the store answers this one.
-pub async fn tell(node: &Node) -> Tell {
+pub async fn tell(node: &Node) -> PeerResponse {
     let probe = node.store.probe();
     let answered = time::timeout(PROBE_TIMEOUT, probe).await.unwrap_or(false);
-    Tell::Outage {
+    PeerResponse::Outage {
         hall: node.settings.hall.clone(),
         silent: !answered,
     }
@@ -98,7 +98,7 @@
         .map(|peer| {
             let node = Rc::clone(&owner.node);
             task::spawn_local(async move {
-                let answer = inner::ask(&node, &peer, &Ask::Outage, deadline).await;
+                let answer = peer::call(&node, &peer, &PeerRequest::Outage, deadline).await;
                 (peer, answer, began.elapsed())
             })
         })
@@ -108,7 +108,7 @@
     let mut reaching = Vec::new();
     for ask in asks {
         // An entry that does not answer tells nothing.
-        if let Ok((peer, Ok(Tell::Outage { hall, silent }), took)) = ask.await {
+        if let Ok((peer, Ok(PeerResponse::Outage { hall, silent }), took)) = ask.await {
             let answered = !silent && took <= PROMPT;
             prompt.push(Hearing {
                 hall: hall.clone(),
--- a/crates/havenladder/src/entry/owner/answer.rs
+++ b/crates/havenladder/src/entry/owner/answer.rs
@@ -4,7 +4,7 @@
 use crate::entry::{
     follow,
     in_force::Caller,
-    inner::{Request, Tell, Wish},
+    peer::{CallerOperation, CallerRequest, PeerResponse},
 };
 use adapter::operator::Version;
 use fleet::{MilliCpu, outranks};
@@ -18,37 +18,43 @@
 
 impl Owner {
     /// Does what a caller wants.
-    pub async fn answer(self: &Rc<Self>, request: Request) -> Tell {
+    pub async fn answer(self: &Rc<Self>, request: CallerRequest) -> PeerResponse {
         while !self.loaded.get() {
             if !self.is_alive() {
-                return Tell::NotOwner;
+                return PeerResponse::NotOwner;
             }
             self.settled.notified().await;
         }
         if let Some(version) = self.newer(&request) {
-            return Tell::Outdated(version);
+            return PeerResponse::Outdated(version);
         }
-        let Request {
+        let CallerRequest {
             caller,
             queue,
-            wish,
+            operation,
             ..
         } = request;
-        match wish {
-            Wish::Submit { given, within } => {
-                self.submit(given, Duration::from_millis(within)).await
+        match operation {
+            CallerOperation::Submit {
+                submission,
+                timeout_ms,
+            } => {
+                self.submit(submission, Duration::from_millis(timeout_ms))
+                    .await
             }
-            Wish::Cancel(id) if self.may_see(&caller, &queue, id) => self.cancel(id).await,
-            Wish::State(id) if self.may_see(&caller, &queue, id) => self.state(id).await,
-            Wish::Cancel(_) | Wish::State(_) => self.deny(),
-            Wish::Pending => Tell::Pending(self.cell.borrow().pending(&queue)),
+            CallerOperation::Cancel(id) if self.may_see(&caller, &queue, id) => {
+                self.cancel(id).await
+            }
+            CallerOperation::State(id) if self.may_see(&caller, &queue, id) => self.state(id).await,
+            CallerOperation::Cancel(_) | CallerOperation::State(_) => self.deny(),
+            CallerOperation::Pending => PeerResponse::Pending(self.cell.borrow().pending(&queue)),
         }
     }
 
     /// The version of the configuration, where the one by which a request was judged is older: keys may have been taken away
     /// since. The configuration itself does not go along: one with 1,200 routes has 260 KB, a fifth of a second on the weakest
     /// entries' links, for each call that is under way as it changes.
-    fn newer(&self, request: &Request) -> Option<Version> {
+    fn newer(&self, request: &CallerRequest) -> Option<Version> {
         let version = self.node.in_force.borrow().version();
         if version < request.version {
             follow::look_soon(&self.node);
@@ -65,101 +71,101 @@
         };
         match (&job.given.workspace, caller) {
             (None, _) => true,
-            (Some(workspace), Caller::Of(by)) => workspace == by,
+            (Some(workspace), Caller::Workspace(by)) => workspace == by,
             (Some(_), Caller::Anyone) => job.given.queue == queue,
         }
     }
 
     /// Hands the cell over to an entry that is much stronger, unless there is trouble: the lease's duty
     /// releases it.
-    pub fn hand_over(&self, cpu: MilliCpu) -> Tell {
+    pub fn hand_over(&self, cpu: MilliCpu) -> PeerResponse {
         let calm = self.loaded.get() && self.is_certain() && !self.has_waited(AWAY);
         if !calm || !outranks(cpu, self.node.settings.cpu) {
-            return Tell::Refused;
+            return PeerResponse::Refused;
         }
         self.successor.set(Some(cpu));
         self.lease_due.notify_one();
-        Tell::HandedOver
+        PeerResponse::HandedOver
     }
 
     /// Takes a job in; one that it has is not refused, also while the store is away. One whose record is not
     /// durable within a time is given back, if nothing of it was sent.
-    async fn submit(self: &Rc<Self>, given: Submission, within: Duration) -> Tell {
-        let id = given.id;
+    async fn submit(self: &Rc<Self>, submission: Submission, within: Duration) -> PeerResponse {
+        let id = submission.id;
         let job = format!("{id:016x}");
-        match self.admit(&given) {
+        match self.admit(&submission) {
             Admission::Open => {}
-            Admission::Taken => return Tell::Refused,
+            Admission::Taken => return PeerResponse::Refused,
             Admission::TooLarge => {
                 info!(
                     job,
-                    workspace = given.workspace,
+                    workspace = submission.workspace,
                     "refused: it can never run under its workspace's bound"
                 );
-                return Tell::TooLarge;
+                return PeerResponse::TooLarge;
             }
         }
-        if let Some(ms) = self.foresee(&given) {
+        if let Some(ms) = self.foresee(&submission) {
             self.node.metrics.refused_hopeless();
             info!(
                 job,
                 ms,
-                workspace = given.workspace,
+                workspace = submission.workspace,
                 "refused: it would be done too late"
             );
-            return Tell::Hopeless(ms);
+            return PeerResponse::TooLate(ms);
         }
         if self.has_waited(AWAY) && !self.cell.borrow().jobs.contains_key(&id) {
             info!(job, "refused: the store is away");
-            return Tell::Refused;
+            return PeerResponse::Refused;
         }
-        let accepted = self.cell.borrow_mut().accept(given);
+        let accepted = self.cell.borrow_mut().accept(submission);
         self.wake();
         match time::timeout(within, self.durable(id)).await {
             Ok(Settled::Durable(_)) => {
                 info!(job, new = accepted == Accepted::New, "accepted");
-                Tell::Accepted
+                PeerResponse::Accepted
             }
             // Another request for the same job gave it back.
-            Ok(Settled::Missing) => Tell::Refused,
+            Ok(Settled::Missing) => PeerResponse::Refused,
             Ok(Settled::Ended) | Err(_) => self.give_back(id),
         }
     }
 
     /// Whether a job may be taken in for its workspace.
-    fn admit(&self, given: &Submission) -> Admission {
+    fn admit(&self, submission: &Submission) -> Admission {
         self.update_workspaces();
         let cell = self.cell.borrow();
-        if let Some(job) = cell.jobs.get(&given.id) {
-            return match job.given.workspace == given.workspace {
+        if let Some(job) = cell.jobs.get(&submission.id) {
+            return match job.given.workspace == submission.workspace {
                 true => Admission::Open,
                 // It is another workspace's: nothing may tell that it is there.
                 false => Admission::Taken,
             };
         }
-        let steps = &given.spec.steps;
-        match &given.workspace {
+        let steps = &submission.spec.steps;
+        match &submission.workspace {
             Some(workspace) if cell.exceeds_bound(workspace, steps) => Admission::TooLarge,
             _ => Admission::Open,
         }
     }
 
     /// In how many ms there may be room for a job, where it would be done too late if it was taken in now.
-    fn foresee(&self, given: &Submission) -> Option<u64> {
+    fn foresee(&self, submission: &Submission) -> Option<u64> {
         let cell = self.cell.borrow();
-        if cell.jobs.contains_key(&given.id) {
+        if cell.jobs.contains_key(&submission.id) {
             return None;
         }
-        match cell.foresee(given) {
+        match cell.foresee(submission) {
             Foreseen::Worthwhile => None,
             Foreseen::Hopeless(ms) => Some(ms),
         }
     }
 
     /// Gives a job back of which nothing was sent; what becomes of any other is not known.
-    fn give_back(&self, id: JobId) -> Tell {
+    fn give_back(&self, id: JobId) -> PeerResponse {
         if !self.cell.borrow_mut().withdraw(id) {
-            return Tell::Unsure;
+            return PeerResponse::Unsure;
         }
         let job = format!("{id:016x}");
         info!(job, "given back: nothing of it was sent to the log");
@@ -167,14 +173,14 @@
         self.settled.notify_waiters();
         // The next owner may still take it in time.
         if self.is_alive() {
-            Tell::Refused
+            PeerResponse::Refused
         } else {
-            Tell::NotOwner
+            PeerResponse::NotOwner
         }
     }
 
     /// Cancels a job.
-    async fn cancel(self: &Rc<Self>, id: JobId) -> Tell {
+    async fn cancel(self: &Rc<Self>, id: JobId) -> PeerResponse {
         let cancelled = self.cell.borrow_mut().cancel(id);
         if cancelled == Cancelled::Unknown {
             return self.deny();
@@ -182,33 +188,33 @@
         self.wake();
         info!(job = format!("{id:016x}"), "cancelled");
         match self.durable(id).await {
-            Settled::Durable(_) => Tell::Cancelled,
+            Settled::Durable(_) => PeerResponse::Cancelled,
             Settled::Missing => self.deny(),
-            Settled::Ended => Tell::Unsure,
+            Settled::Ended => PeerResponse::Unsure,
         }
     }
 
     /// Tells how far a job is, as far as that is durable.
-    async fn state(&self, id: JobId) -> Tell {
+    async fn state(&self, id: JobId) -> PeerResponse {
         let shown = self.cell.borrow().jobs.get(&id).map(|job| job.shown);
         match shown {
             None => self.deny(),
-            Some(Some(phase)) => Tell::State(phase),
+            Some(Some(phase)) => PeerResponse::State(phase),
             Some(None) => match self.durable(id).await {
-                Settled::Durable(phase) => Tell::State(phase),
+                Settled::Durable(phase) => PeerResponse::State(phase),
                 Settled::Missing => self.deny(),
-                Settled::Ended => Tell::Unsure,
+                Settled::Ended => PeerResponse::Unsure,
             },
         }
     }
 
     /// Says that there is no such job, where this owner can know: one whose renewal is too old may have been
     /// replaced, and the next owner may have taken the job.
-    fn deny(&self) -> Tell {
+    fn deny(&self) -> PeerResponse {
         if self.is_certain() {
-            Tell::Unknown
+            PeerResponse::Unknown
         } else {
-            Tell::NotOwner
+            PeerResponse::NotOwner
         }
     }
 
--- a/crates/havenladder/src/entry/owner/duties.rs
+++ b/crates/havenladder/src/entry/owner/duties.rs
@@ -2,7 +2,7 @@
 //! before it.
 
 use super::Owner;
-use crate::entry::inner::{self, Ask, Tell};
+use crate::entry::peer::{self, PeerRequest, PeerResponse};
 use clock::{Instant, timer};
 use jobs::Holder;
 use std::{rc::Rc, time::Duration};
@@ -125,15 +125,15 @@
     if holder.address == node.inner_address() {
         return Some(node.life);
     }
-    match inner::ask(
+    match peer::call(
         node,
         &holder.address,
-        &Ask::Life,
+        &PeerRequest::Incarnation,
         Instant::now() + LIFE_TIMEOUT,
     )
     .await
     {
-        Ok(Tell::Life(presence)) => Some(presence.life),
+        Ok(PeerResponse::Incarnation(presence)) => Some(presence.life),
         // It may be starting, or out of reach: its orders count until they do not matter any more.
         Ok(_) | Err(_) => None,
     }
--- a/crates/havenladder/src/entry/inner.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -27,17 +27,17 @@
 const PATH: &str = "/ask";
 
 /// The longest question: a job's body may have 262,144 bytes.
-const LONGEST: usize = 1 << 20;
+const MAX_REQUEST_BYTES: usize = 1 << 20;
 
 /// What a caller wants.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Wish {
+pub enum CallerOperation {
     /// Take this job.
     Submit {
         /// The job.
-        given: Submission,
+        submission: Submission,
         /// For how many ms its record may be waited for.
-        within: u64,
+        timeout_ms: u64,
     },
     /// Cancel this job.
     Cancel(JobId),
@@ -49,7 +49,7 @@
 
 /// A caller's wish, as the entry that took the call has judged it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Request {
+pub struct CallerRequest {
     /// Who makes the call. Keys stay at the entry that takes it.
     pub caller: Caller,
     /// The queue that was called.
@@ -57,14 +57,15 @@
     /// The configuration by which the call was judged: an owner that knows a newer one has it judged anew.
     pub version: Version,
     /// What the caller wants.
-    pub wish: Wish,
+    pub operation: CallerOperation,
 }
 
 /// A question for the owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// Do this for a caller.
-    For(Box<Request>),
+    #[serde(rename = "For")]
+    Caller(Box<CallerRequest>),
     /// Will you hand the cell over to this entry, which has so much of a core?
     HandOver {
         /// Its part of a core.
@@ -73,54 +74,60 @@
     /// Append this record for me, with which I give the cell up: the store does not answer me.
     Release(Box<Lease>),
     /// Which life of the process are you, in which data centre? Any entry answers this at once.
-    Life,
+    #[serde(rename = "Life")]
+    Incarnation,
     /// Does the platform's store answer you? Any entry answers this.
     Outage,
     /// What is newer than this version of the configuration and this end of the lease's log? Any
     /// entry answers this, for one that the platform turns away.
-    News {
+    #[serde(rename = "News")]
+    Update {
         /// The newest version that is known.
         version: Version,
         /// The end of the lease's log, as far as it is known.
         end: u64,
     },
     /// Where is this entry to have its news from? Only the owner answers this.
-    Place(Seeker),
+    #[serde(rename = "Place")]
+    Assignment(Seeker),
     /// What is new? It is answered once there is something.
-    Feed(feed::Question),
+    #[serde(rename = "Feed")]
+    Replication(feed::Question),
 }
 
-impl Request {
+impl CallerRequest {
     /// Says how much time is left for the answer, where the owner has to know.
     pub fn set_left(&mut self, left: Duration) {
-        if let Wish::Submit { within, .. } = &mut self.wish {
-            *within = left.as_millis() as u64;
+        if let CallerOperation::Submit { timeout_ms, .. } = &mut self.operation {
+            *timeout_ms = left.as_millis() as u64;
         }
     }
 }
 
-impl fmt::Display for Request {
+impl fmt::Display for CallerRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.wish {
-            Wish::Submit { given, .. } => write!(f, "submit {:016x}", given.id),
-            Wish::Cancel(id) => write!(f, "cancel {id:016x}"),
-            Wish::State(id) => write!(f, "state {id:016x}"),
-            Wish::Pending => write!(f, "pending {}", self.queue),
+        match &self.operation {
+            CallerOperation::Submit { submission, .. } => {
+                write!(f, "submit {:016x}", submission.id)
+            }
+            CallerOperation::Cancel(id) => write!(f, "cancel {id:016x}"),
+            CallerOperation::State(id) => write!(f, "state {id:016x}"),
+            CallerOperation::Pending => write!(f, "pending {}", self.queue),
         }
     }
 }
 
-impl fmt::Display for Ask {
+impl fmt::Display for PeerRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Ask::For(request) => request.fmt(f),
-            Ask::HandOver { cpu } => write!(f, "hand over to {cpu}"),
-            Ask::Release(lease) => write!(f, "release for {}", lease.node),
-            Ask::Life => write!(f, "life"),
-            Ask::Outage => write!(f, "outage"),
-            Ask::News { version, end } => write!(f, "news since {version} and {end}"),
-            Ask::Place(seeker) => write!(f, "place for {}", seeker.address),
-            Ask::Feed(question) => write!(f, "news for {}", question.seeker.address),
+            PeerRequest::Caller(request) => request.fmt(f),
+            PeerRequest::HandOver { cpu } => write!(f, "hand over to {cpu}"),
+            PeerRequest::Release(lease) => write!(f, "release for {}", lease.node),
+            PeerRequest::Incarnation => write!(f, "life"),
+            PeerRequest::Outage => write!(f, "outage"),
+            PeerRequest::Update { version, end } => write!(f, "news since {version} and {end}"),
+            PeerRequest::Assignment(seeker) => write!(f, "place for {}", seeker.address),
+            PeerRequest::Replication(question) => write!(f, "news for {}", question.seeker.address),
         }
     }
 }
@@ -141,7 +148,7 @@
 
 /// An answer of the owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Tell {
+pub enum PeerResponse {
     /// The job is kept.
     Accepted,
     /// The job is cancelled, or was over.
@@ -151,7 +158,8 @@
     /// The job is not taken, and nothing of it was sent to the log.
     Refused,
     /// The job is not taken: it would be done too late. There may be room for it in so many ms.
-    Hopeless(u64),
+    #[serde(rename = "Hopeless")]
+    TooLate(u64),
     /// The job is not taken: it asks for more than its workspace may ever have running.
     TooLarge,
     /// There is no such job.
@@ -163,15 +171,19 @@
     /// The entry that was asked owns nothing; nothing was done.
     NotOwner,
     /// This life of the process answers.
-    Life(Presence),
+    #[serde(rename = "Life")]
+    Incarnation(Presence),
     /// The cell is handed over.
     HandedOver,
     /// What is newer.
-    News(News),
+    #[serde(rename = "News")]
+    Update(News),
     /// This is where news come from.
-    Place(Source),
+    #[serde(rename = "Place")]
+    Assignment(Source),
     /// This is for a follower.
-    Feed(feed::Answer),
+    #[serde(rename = "Feed")]
+    Replication(feed::Answer),
     /// Whether the store is silent for an entry, and in which data centre that entry is.
     Outage {
         /// The entry's data centre.
@@ -190,42 +202,50 @@
         // Without this, answers are only slower.
         let _ = stream.set_nodelay(true);
         let node = Rc::clone(&node);
-        listen::serve(stream, move |request| answer(Rc::clone(&node), request))
+        listen::serve(stream, move |request| respond(Rc::clone(&node), request))
     };
     accept_each(listener, failed, serve).await;
 }
 
 /// Answers a question of another entry.
-async fn answer(node: Rc<Node>, request: hyper::Request<Incoming>) -> Reply {
-    let body = Limited::new(request.into_body(), LONGEST).collect().await;
-    let ask = body
+async fn respond(node: Rc<Node>, request: hyper::Request<Incoming>) -> Reply {
+    let body = Limited::new(request.into_body(), MAX_REQUEST_BYTES)
+        .collect()
+        .await;
+    let request = body
         .ok()
-        .and_then(|body| rmp_serde::from_slice::<Ask>(&body.to_bytes()).ok());
-    let Some(ask) = ask else {
+        .and_then(|body| rmp_serde::from_slice::<PeerRequest>(&body.to_bytes()).ok());
+    let Some(request) = request else {
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
     };
-    let tell = match (ask, node.own()) {
-        (Ask::News { version, end }, _) => Tell::News(news(&node, version, end)),
-        (Ask::Life, _) => Tell::Life(reach::presence(&node)),
-        (Ask::Feed(question), _) => Tell::Feed(feeding::answer(&node, question).await),
-        (Ask::Place(seeker), Some(_)) => Tell::Place(feeding::place(&node, seeker)),
-        (Ask::Outage, _) => outage::tell(&node).await,
-        (Ask::Release(lease), _) => release(&node, *lease).await,
-        (Ask::HandOver { cpu }, Some(owner)) => owner.hand_over(cpu),
-        (Ask::For(request), Some(owner)) => owner.answer(*request).await,
-        (_, None) => Tell::NotOwner,
+    let response = match (request, node.own()) {
+        (PeerRequest::Update { version, end }, _) => {
+            PeerResponse::Update(news(&node, version, end))
+        }
+        (PeerRequest::Incarnation, _) => PeerResponse::Incarnation(reach::presence(&node)),
+        (PeerRequest::Replication(question), _) => {
+            PeerResponse::Replication(feeding::answer(&node, question).await)
+        }
+        (PeerRequest::Assignment(seeker), Some(_)) => {
+            PeerResponse::Assignment(feeding::place(&node, seeker))
+        }
+        (PeerRequest::Outage, _) => outage::tell(&node).await,
+        (PeerRequest::Release(lease), _) => release_for_owner(&node, *lease).await,
+        (PeerRequest::HandOver { cpu }, Some(owner)) => owner.hand_over(cpu),
+        (PeerRequest::Caller(request), Some(owner)) => owner.answer(*request).await,
+        (_, None) => PeerResponse::NotOwner,
     };
-    let bytes = rmp_serde::to_vec(&tell).expect("plain data has a form in MessagePack");
+    let bytes = rmp_serde::to_vec(&response).expect("plain data has a form in MessagePack");
     Response::new(Full::new(bytes.into()))
 }
 
 /// Gives the cell up for an owner that the store turns away, and tells it what the log says now.
-async fn release(node: &Node, lease: Lease) -> Tell {
+async fn release_for_owner(node: &Node, lease: Lease) -> PeerResponse {
     match release_for(node, lease).await {
-        None => Tell::Unsure,
-        lease => Tell::News(News {
+        None => PeerResponse::Unsure,
+        lease => PeerResponse::Update(News {
             lease,
             ..News::default()
         }),
@@ -252,13 +272,13 @@
 /// # Errors
 ///
 /// Tells whether the question may have been taken.
-pub async fn ask(
+pub async fn call(
     node: &Node,
     address: &str,
-    ask: &Ask,
+    request: &PeerRequest,
     deadline: Instant,
-) -> Result<Tell, CallError> {
-    let body = rmp_serde::to_vec(ask).expect("plain data has a form in MessagePack");
+) -> Result<PeerResponse, CallError> {
+    let body = rmp_serde::to_vec(request).expect("plain data has a form in MessagePack");
     let call = Call {
         connection: Connection::Kept,
         address,
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -4,8 +4,8 @@
 //! answer, the owner and entries of other data centres are asked until one of them answers.
 
 use super::{
-    inner::{self, Ask, Tell},
     node::{LifeId, Node},
+    peer::{self, PeerRequest, PeerResponse},
 };
 use clock::{Instant, timer};
 use serde::{Deserialize, Serialize};
@@ -82,7 +82,7 @@
         .map(|address| {
             let node = Rc::clone(node);
             task::spawn_local(async move {
-                let answer = inner::ask(&node, &address, &Ask::Life, deadline).await;
+                let answer = peer::call(&node, &address, &PeerRequest::Incarnation, deadline).await;
                 (address, answer)
             })
         })
@@ -98,7 +98,9 @@
         }
         let is_owner = owner.as_ref() == Some(&address);
         match answer {
-            Ok(Tell::Life(presence)) => note_presence(node, address, presence, is_owner),
+            Ok(PeerResponse::Incarnation(presence)) => {
+                note_presence(node, address, presence, is_owner)
+            }
             // A port that refuses shows that the owner's process has ended.
             Err(error) if is_owner && !error.is_refused() => {
                 node.note_reach(|reach| reach.note_silence(Instant::now()));
