--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -2,7 +2,7 @@
 
 use super::{
     losses::give_up,
-    owner::{Fence, LEASE, Owner, longest},
+    owner::{FencingToken, LEASE, Owner, longest},
     resend::unless_overdue,
     starts::{REPEATED, start},
 };
@@ -71,7 +71,7 @@
         let Some(info) = find(owner, worker) else {
             return;
         };
-        let fence = owner.fence(worker);
+        let fence = owner.fencing_token(worker);
         match send_stop(owner, &info, task, run, fence).await {
             Ok(()) => {
                 owner
@@ -83,7 +83,9 @@
             Err(WorkerError::Replaced) => {
                 return give_up(owner, worker, Loss::Ended);
             }
-            Err(WorkerError::Refused(Refusal::Fenced)) if !owner.has_raised(worker, fence) => {
+            Err(WorkerError::Refused(Refusal::Fenced))
+                if !owner.has_raised_token(worker, fence) =>
+            {
                 return owner.end("a worker has seen a newer owner");
             }
             Err(error) => info!(task = %task, run, worker, %error, "stop failed"),
@@ -98,7 +100,7 @@
     info: &WorkerInfo,
     task: TaskId,
     run: RunId,
-    fence: Fence,
+    fence: FencingToken,
 ) -> Result<(), WorkerError> {
     let stop = |connection| {
         let workers = &owner.node.workers;
@@ -129,7 +131,7 @@
     let outcome = owner
         .node
         .workers
-        .pace(&info, task, run, percent, owner.fence(worker))
+        .pace(&info, task, run, percent, owner.fencing_token(worker))
         .await;
     if let Err(error) = outcome {
         info!(task = %task, run, worker, percent, %error, "change of pace failed");
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -55,7 +55,7 @@
 }
 
 /// A number that calls to a worker carry; it does nothing for one that is lower than the highest that it has seen.
-pub type Fence = u64;
+pub type FencingToken = u64;
 
 /// How many bits of a fence count the lives of a worker under one owner. With 33 more for the owner's epoch it is a whole
 /// number in any form of JSON, and a worker would have to start a million times under one owner to use them up.
@@ -241,14 +241,14 @@
     /// The fence of calls to a worker. It is higher than that of each earlier owner, and than that of each call that was
     /// meant for a life of the worker before the one that answers now: such a call may still be under way, and would
     /// start again what has been done or is started elsewhere.
-    pub fn fence(&self, worker: &str) -> Fence {
+    pub fn fencing_token(&self, worker: &str) -> FencingToken {
         let changes = self.cell.borrow().changes_of(worker);
         (self.epoch << LIFE_BITS) + changes.min((1 << LIFE_BITS) - 1)
     }
 
     /// Whether a call with this fence was refused since this owner has raised it, and no other has.
-    pub fn has_raised(&self, worker: &str, fence: Fence) -> bool {
-        fence < self.fence(worker)
+    pub fn has_raised_token(&self, worker: &str, fence: FencingToken) -> bool {
+        fence < self.fencing_token(worker)
     }
 
     /// Whether it may extend leases and start what is durable.
--- a/crates/havenladder/src/entry/questions.rs
+++ b/crates/havenladder/src/entry/questions.rs
@@ -77,7 +77,7 @@
 pub fn question(owner: &Owner, id: &str, last: Answers) -> Hold {
     let bare = Hold {
         deadline: None,
-        fence: owner.fence(id),
+        fence: owner.fencing_token(id),
         noted: 0,
         wait: 0,
     };
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -4,7 +4,7 @@
 use super::{
     losses::give_up as give_up_worker,
     orders::{find, lease_end},
-    owner::{Fence, Owner},
+    owner::{FencingToken, Owner},
     resend::unless_overdue,
     watch,
 };
@@ -60,7 +60,7 @@
             .refused(worker, task, run, Refusal::Unwell, Instant::now());
         return owner.wake();
     };
-    let fence = owner.fence(worker);
+    let fence = owner.fencing_token(worker);
     let order = Start {
         task: task.to_string(),
         run,
@@ -230,11 +230,11 @@
     worker: &str,
     task: TaskId,
     run: RunId,
-    fence: Fence,
+    fence: FencingToken,
     outcome: Result<Told<()>, WorkerError>,
 ) {
     let now = Instant::now();
-    let raised = owner.has_raised(worker, fence);
+    let raised = owner.has_raised_token(worker, fence);
     let mut cell = owner.cell.borrow_mut();
     match outcome {
         Ok(told) => {
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -4,7 +4,7 @@
     ends,
     losses::{give_up, give_up_runs},
     orders,
-    owner::{Fence, Owner, longest},
+    owner::{FencingToken, Owner, longest},
     questions::{Answer, Answers, ask_worker, question},
     worker_list::{meet, note_gone},
 };
@@ -192,7 +192,7 @@
 fn take_failure(
     owner: &Rc<Owner>,
     id: &WorkerId,
-    fence: Fence,
+    fence: FencingToken,
     error: WorkerError,
     last: Answers,
 ) -> Watch {
@@ -202,7 +202,7 @@
             note_gone(owner, id);
             return Watch::Ends(Loss::Ended);
         }
-        WorkerError::Refused(Refusal::Fenced) if owner.has_raised(id, fence) => {
+        WorkerError::Refused(Refusal::Fenced) if owner.has_raised_token(id, fence) => {
             return Watch::Again;
         }
         WorkerError::Refused(Refusal::Fenced) => {
