--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -181,7 +181,7 @@
 fn doubt_workers(owner: &Owner, list: &VmList) {
     for vm in list.values() {
         if let Some(worker) = &vm.worker {
-            let doubted = owner.is_doubtful(&vm.name);
+            let doubted = owner.has_unconfirmed_order(&vm.name);
             owner.cell.borrow_mut().doubt_worker(worker, doubted);
         }
     }
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -149,7 +149,9 @@
         address: node.inner_address(),
         cpu: node.settings.cpu,
         unrecorded: node.own().is_some_and(|owner| owner.may_be_unrecorded()),
-        orders: node.own().is_some_and(|owner| owner.may_order_unrecorded()),
+        orders: node
+            .own()
+            .is_some_and(|owner| owner.may_have_unrecorded_orders()),
         released: released.is_some(),
         waits: released.map_or(0, |waits| waits.as_millis() as u64),
     }
@@ -283,7 +285,7 @@
     let released = Lease {
         cpu: owner.successor.get().unwrap_or(node.settings.cpu),
         unrecorded: owner.has_unrecorded(),
-        orders: owner.may_order_unrecorded(),
+        orders: owner.may_have_unrecorded_orders(),
         ..record(node, Some(owner.inherited_for()))
     };
     owner.end(why);
--- a/crates/havenladder/src/entry/moves/mod.rs
+++ b/crates/havenladder/src/entry/moves/mod.rs
@@ -131,7 +131,7 @@
     /// Orders the moves that may be made now: as many as the platform's rate has room for, and recorded
     /// before.
     async fn order(&mut self, owner: &Rc<Owner>, list: &VmList, mut wanted: Vec<Shift>) {
-        wanted.retain(|shift| !owner.must_spare(&shift.vm) && !self.is_barred(shift));
+        wanted.retain(|shift| !owner.must_skip(&shift.vm) && !self.is_barred(shift));
         wanted.truncate(vm_orders::available(owner));
         let vms: Vec<&str> = wanted.iter().map(|shift| shift.vm.as_str()).collect();
         if vms.is_empty() || !owner.claim_vms(&vms).await {
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -6,7 +6,7 @@
     node::{Node, wall_ms},
     orders,
     owner::{
-        Owner, Predecessor, append::append, duties, load::load, pulse::Pulse,
+        Owner, Predecessor, append::append, load::load, pulse::Pulse, vm_orders,
         workspaces::tell_bound_waits,
     },
     suspension, worker_list,
@@ -53,7 +53,7 @@
     owner.settled.notify_waiters();
     task::spawn_local(worker_list::run(Rc::clone(&owner)));
     task::spawn_local(fleet::run(Rc::clone(&owner)));
-    task::spawn_local(duties::watch_holders(Rc::clone(&owner)));
+    task::spawn_local(vm_orders::watch_earlier_owners(Rc::clone(&owner)));
     task::spawn_local(complain(Rc::clone(&owner)));
     work(&owner).await;
     owner.end("the loop ends");
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -2,10 +2,10 @@
 
 mod answer;
 pub mod append;
-pub mod duties;
 mod evacuations;
 pub mod load;
 pub mod pulse;
+pub mod vm_orders;
 pub mod workspaces;
 
 use super::{
@@ -134,12 +134,12 @@
     /// When an order about VMs was last to be given without a record.
     order_due: Cell<Option<Instant>>,
     /// Whether the last renewal told of such orders.
-    orders_told: Cell<bool>,
+    orders_announced: Cell<bool>,
     /// From when on this owner may give orders about VMs that the earlier one gave orders about: it did
     /// so as long as it trusted its lease, and two holders must not act in turn.
-    pub duties: Instant,
+    pub inherited_orders_until: Instant,
     /// The earlier owners that are known to have ended.
-    pub ended: RefCell<HashSet<LifeId>>,
+    pub ended_owners: RefCell<HashSet<LifeId>>,
     /// How many orders about VMs may be given now.
     pub vm_rate: RefCell<RateLimit>,
     /// The end of the log of what operators are told, as far as it is known. Each record is appended on condition of
@@ -209,9 +209,10 @@
             inherited: (extended + longest(LEASE)).max(now + before.waits),
             trouble: before.trouble,
             order_due: Cell::new(None),
-            orders_told: Cell::new(false),
-            duties: before.renewed.map_or(now, |at| at + TRUST) + node.settings.lease,
-            ended: RefCell::default(),
+            orders_announced: Cell::new(false),
+            inherited_orders_until: before.renewed.map_or(now, |at| at + TRUST)
+                + node.settings.lease,
+            ended_owners: RefCell::default(),
             vm_rate: RefCell::new(RateLimit::new(node.settings.vm_orders, now)),
             status_end: Cell::new(0),
             outage: Cell::default(),
@@ -282,7 +283,7 @@
         if lease.unrecorded {
             self.announced.set(Some(sent));
         }
-        self.orders_told.set(lease.orders);
+        self.orders_announced.set(lease.orders);
         // Orders about VMs may have waited for this.
         self.settled.notify_waiters();
     }
--- a/crates/havenladder/src/entry/owner/duties.rs
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -11,14 +11,14 @@
 
 /// How long the record of the VMs is waited for before a renewal of the lease tells of the orders in its
 /// place: ten times what it takes as a rule.
-const RECORDED_WITHIN: Duration = Duration::from_millis(150);
+const RECORD_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// How long a renewal that tells of them may take: one that is under way, and the next, 360 ms each at 89
 /// times the usual.
-const ANNOUNCED_WITHIN: Duration = Duration::from_millis(1_000);
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// How long an earlier owner may take to answer which life of it runs; it takes some ms.
-const LIFE_TIMEOUT: Duration = Duration::from_millis(200);
+const INCARNATION_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Time until it is asked again: its process may be starting.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
@@ -29,31 +29,31 @@
         if !self.is_certain() {
             return false;
         }
-        let matters = self.node.settings.lease;
-        let noted = vms.iter().copied();
+        let relevance = self.node.settings.lease;
+        let names = vms.iter().copied();
         let holder = self.holder();
         let version = self
             .cell
             .borrow_mut()
-            .note_orders(noted, &holder, Instant::now(), matters);
+            .note_orders(names, &holder, Instant::now(), relevance);
         self.wake();
         let recorded = || self.cell.borrow().orders_durable(version);
-        if self.wait_until(RECORDED_WITHIN, recorded).await {
+        if self.wait_until(RECORD_TIMEOUT, recorded).await {
             return self.is_certain();
         }
         self.order_due.set(Some(Instant::now()));
         self.lease_due.notify_one();
         // A renewal that succeeded after the store became slow is enough: each one repeats it.
-        let told = || recorded() || self.orders_told.get();
-        self.wait_until(ANNOUNCED_WITHIN, told).await && self.is_certain()
+        let announced = || recorded() || self.orders_announced.get();
+        self.wait_until(ANNOUNCEMENT_TIMEOUT, announced).await && self.is_certain()
     }
 
     /// Waits until something holds; false if it does not in time, or this owner cannot be certain any more.
-    async fn wait_until(&self, within: Duration, holds: impl Fn() -> bool) -> bool {
+    async fn wait_until(&self, within: Duration, is_met: impl Fn() -> bool) -> bool {
         let until = Instant::now() + within;
         loop {
             let settled = self.settled.notified();
-            if holds() {
+            if is_met() {
                 return true;
             }
             if !self.is_certain() || timer::timeout_at(until, settled).await.is_err() {
@@ -64,27 +64,32 @@
 
     /// Whether orders about VMs that are not recorded may have been given, or may be soon: the next owner is
     /// to know as long as they matter.
-    pub fn may_order_unrecorded(&self) -> bool {
-        let inherited = Instant::now() < self.duties && self.cell.borrow().doubts_all_vms();
-        let matters = self.node.settings.lease + ANNOUNCED_WITHIN;
+    pub fn may_have_unrecorded_orders(&self) -> bool {
+        let inherited =
+            Instant::now() < self.inherited_orders_until && self.cell.borrow().doubts_all_vms();
+        let relevance = self.node.settings.lease + ANNOUNCEMENT_TIMEOUT;
         inherited
             || self
                 .order_due
                 .get()
-                .is_some_and(|at| at.elapsed() < matters)
+                .is_some_and(|at| at.elapsed() < relevance)
     }
 
     /// Whether an earlier owner may have given an order about a VM that is still under way, also if its
     /// process has ended since: bounds and budgets count such a VM as one that goes.
-    pub fn is_doubtful(&self, vm: &str) -> bool {
-        Instant::now() < self.duties && self.cell.borrow().may_be_ordered(vm)
+    pub fn has_unconfirmed_order(&self, vm: &str) -> bool {
+        Instant::now() < self.inherited_orders_until && self.cell.borrow().may_be_ordered(vm)
     }
 
     /// Whether a VM is to be left alone because an earlier owner that may still run may have just given
     /// an order about it.
-    pub fn must_spare(&self, vm: &str) -> bool {
-        let matters = Instant::now() < self.duties;
-        matters && self.cell.borrow().must_spare(vm, &self.ended.borrow())
+    pub fn must_skip(&self, vm: &str) -> bool {
+        let are_relevant = Instant::now() < self.inherited_orders_until;
+        are_relevant
+            && self
+                .cell
+                .borrow()
+                .must_spare(vm, &self.ended_owners.borrow())
     }
 
     /// In whose name this owner gives orders.
@@ -97,21 +102,21 @@
 }
 
 /// Finds out which of the earlier owners have ended, as long as their orders matter.
-pub async fn watch_holders(owner: Rc<Owner>) {
+pub async fn watch_earlier_owners(owner: Rc<Owner>) {
     for holder in owner.cell.borrow().earlier_holders() {
-        task::spawn_local(watch_holder(Rc::clone(&owner), holder));
+        task::spawn_local(watch_earlier_owner(Rc::clone(&owner), holder));
     }
-    timer::sleep_until(owner.duties).await;
+    timer::sleep_until(owner.inherited_orders_until).await;
     owner.cell.borrow_mut().forget_holders();
 }
 
 /// Asks at an earlier owner's address which life answers there: another one has taken its place.
-async fn watch_holder(owner: Rc<Owner>, holder: Holder) {
-    while owner.is_alive() && Instant::now() < owner.duties {
-        if let Some(life) = ask_life(&owner, &holder).await {
+async fn watch_earlier_owner(owner: Rc<Owner>, holder: Holder) {
+    while owner.is_alive() && Instant::now() < owner.inherited_orders_until {
+        if let Some(life) = poll_incarnation(&owner, &holder).await {
             if life != holder.life {
                 info!(address = holder.address, life, "an earlier owner has ended");
-                owner.ended.borrow_mut().insert(holder.life);
+                owner.ended_owners.borrow_mut().insert(holder.life);
             }
             return;
         }
@@ -120,7 +125,7 @@
 }
 
 /// Which life answers at an earlier owner's address; none if nobody does.
-async fn ask_life(owner: &Owner, holder: &Holder) -> Option<u64> {
+async fn poll_incarnation(owner: &Owner, holder: &Holder) -> Option<u64> {
     let node = &owner.node;
     if holder.address == node.inner_address() {
         return Some(node.life);
@@ -129,7 +134,7 @@
         node,
         &holder.address,
         &PeerRequest::Incarnation,
-        Instant::now() + LIFE_TIMEOUT,
+        Instant::now() + INCARNATION_TIMEOUT,
     )
     .await
     {
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -14,7 +14,7 @@
 use tracing::info;
 
 /// How long an entry may take to say that it is there; it takes some ms.
-const LIFE_TIMEOUT: Duration = Duration::from_millis(150);
+const INCARNATION_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Time between two rounds of questions.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -75,7 +75,7 @@
 /// Asks the owner, the seeds and some entries of other data centres at the same time whether they are there.
 async fn ask_all(node: &Rc<Node>) {
     let owner = owner_address(node);
-    let deadline = Instant::now() + LIFE_TIMEOUT;
+    let deadline = Instant::now() + INCARNATION_TIMEOUT;
     let asks: Vec<_> = node
         .known_entries()
         .into_iter()
--- a/crates/havenladder/src/entry/upkeep.rs
+++ b/crates/havenladder/src/entry/upkeep.rs
@@ -217,7 +217,7 @@
         _ if course.down.contains_key(name) => Whereabouts::Told,
         // One in a state that is not known is counted against the bound.
         Some(VmState::Upkeep | VmState::Down | VmState::Other) => Whereabouts::Down,
-        Some(VmState::Up) if owner.is_doubtful(name) => Whereabouts::Doubtful,
+        Some(VmState::Up) if owner.has_unconfirmed_order(name) => Whereabouts::Doubtful,
         Some(VmState::Up | VmState::Moving) | None => Whereabouts::Up,
     };
     room_to_go(wave.most, wave.vms.iter().map(whereabouts))
@@ -301,7 +301,7 @@
 fn may_go(owner: &Rc<Owner>, wave: &Wave, course: &mut Course, vm: &Vm) -> bool {
     let drained = course.closing[&vm.name].elapsed() >= DRAIN;
     match cost(owner, vm) {
-        _ if owner.must_spare(&vm.name) => false,
+        _ if owner.must_skip(&vm.name) => false,
         Takeout::Free => true,
         Takeout::Busy(_) => drained && !may_wait(owner, wave, course, vm),
         Takeout::Guarded => {
