--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -132,7 +132,7 @@
                 continue;
             }
         }
-        owner.empty_halls();
+        owner.drain_halls();
         if read.is_some() {
             moves.advance(&owner, &list, &waves).await;
         }
--- a/crates/havenladder/src/entry/follow.rs
+++ b/crates/havenladder/src/entry/follow.rs
@@ -150,7 +150,7 @@
     }
     node.in_force
         .borrow_mut()
-        .adopt(news.config, news.evacuations);
+        .adopt(news.config, news.hall_drains);
     let confirmed = sent - Duration::from_millis(news.age);
     node.note_freshness(|freshness| freshness.confirm(sent, confirmed));
 }
--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -67,7 +67,7 @@
     rows: Rows,
     keyring: Keyring,
     waves: BTreeMap<u64, Wave>,
-    evacuations: Evacuations,
+    hall_drains: Evacuations,
     /// The data centres of the deployment; none if they are not known.
     halls: BTreeSet<HallId>,
 }
@@ -128,8 +128,8 @@
     }
 
     /// The data centres that are to be emptied.
-    pub fn evacuations(&self) -> &Evacuations {
-        &self.evacuations
+    pub fn hall_drains(&self) -> &Evacuations {
+        &self.hall_drains
     }
 
     /// Takes in the newest record of each key of the operators' topic, which ended at `end`.
@@ -140,38 +140,38 @@
             HallOrder::TakeBack(_) => None,
         });
         // What has no record has been taken back.
-        self.adopt_evacuations(Evacuations::new(halls.collect(), end));
+        self.adopt_hall_drains(Evacuations::new(halls.collect(), end));
         newest.into_iter().for_each(|record| self.put(record));
     }
 
     /// Takes in the record at an offset of the operators' topic.
     pub fn take(&mut self, record: Keyed, offset: Offset) {
         let order = self.read_order(&record);
-        if self.evacuations.take(order, offset) {
-            self.tell_evacuations();
+        if self.hall_drains.take(order, offset) {
+            self.log_hall_drains();
         }
         self.put(record);
     }
 
     /// Takes in what another entry knows.
-    pub fn adopt(&mut self, config: Option<Written>, evacuations: Evacuations) {
+    pub fn adopt(&mut self, config: Option<Written>, hall_drains: Evacuations) {
         if let Some(config) = config {
             info!("another entry has a newer configuration");
             self.take_config(config.0.into());
         }
-        self.adopt_evacuations(evacuations);
+        self.adopt_hall_drains(hall_drains);
     }
 
     /// Takes over which data centres are to be emptied, unless something newer is known.
-    fn adopt_evacuations(&mut self, evacuations: Evacuations) {
-        if self.evacuations.adopt(evacuations) {
-            self.tell_evacuations();
+    fn adopt_hall_drains(&mut self, hall_drains: Evacuations) {
+        if self.hall_drains.adopt(hall_drains) {
+            self.log_hall_drains();
         }
     }
 
     /// One line for each change of what is to be emptied.
-    fn tell_evacuations(&self) {
-        let halls = self.evacuations.halls();
+    fn log_hall_drains(&self) {
+        let halls = self.hall_drains.halls();
         info!(?halls, "data centres to be emptied");
     }
 
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -115,7 +115,7 @@
 fn decide(owner: &Rc<Owner>) -> Batch {
     let now = Instant::now();
     owner.update_workspaces();
-    let may_start = owner.update_evacuations();
+    let may_start = owner.update_hall_drains();
     let mut cell = owner.cell.borrow_mut();
     cell.mark_due(wall_ms());
     cell.stop_still(now);
--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -107,7 +107,7 @@
 fn go_on(owner: &Rc<Owner>, starts: &mut Vec<Order>) {
     let now = Instant::now();
     owner.update_workspaces();
-    if !owner.update_evacuations() {
+    if !owner.update_hall_drains() {
         return;
     }
     let mut cell = owner.cell.borrow_mut();
--- a/crates/havenladder/src/entry/owner/evacuations.rs
+++ b/crates/havenladder/src/entry/owner/hall_drains.rs
@@ -7,19 +7,19 @@
 
 impl Owner {
     /// Puts the newest orders in force, unless they are. False while nothing is known of them: nothing may begin yet.
-    pub fn update_evacuations(&self) -> bool {
+    pub fn update_hall_drains(&self) -> bool {
         let in_force = self.node.in_force.borrow();
-        let evacuations = in_force.evacuations();
-        let as_of = evacuations.as_of();
-        if self.evacuated.replace(as_of) != as_of {
-            let halls = evacuations.halls().clone();
+        let hall_drains = in_force.hall_drains();
+        let as_of = hall_drains.as_of();
+        if self.hall_drains_as_of.replace(as_of) != as_of {
+            let halls = hall_drains.halls().clone();
             self.cell.borrow_mut().set_emptied(halls);
         }
         as_of > 0
     }
 
     /// Has runs leave the data centres that are to be emptied, as far as that is possible now.
-    pub fn empty_halls(self: &Rc<Self>) {
+    pub fn drain_halls(self: &Rc<Self>) {
         if !self.may_hold() {
             return;
         }
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -2,7 +2,7 @@
 
 mod answer;
 pub mod append;
-mod evacuations;
+mod hall_drains;
 pub mod load;
 pub mod pulse;
 pub mod vm_orders;
@@ -158,7 +158,7 @@
     /// The version of the configuration whose bounds are in force in the cell; none before there is one.
     bounds: Cell<Option<Version>>,
     /// As of which offset of the operators' topic the cell knows which data centres are to be emptied.
-    evacuated: Cell<Offset>,
+    hall_drains_as_of: Cell<Offset>,
     /// What sends orders to workers.
     send: SendOrders,
     /// Whether it may still decide.
@@ -219,7 +219,7 @@
             renewing: Cell::new(None),
             appending: Cell::new(None),
             bounds: Cell::new(None),
-            evacuated: Cell::new(0),
+            hall_drains_as_of: Cell::new(0),
             send,
             alive: Cell::new(true),
             loaded: Cell::new(false),
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -141,7 +141,7 @@
     pub lease: Option<(Lease, u64)>,
     /// The data centres that are to be emptied.
     #[serde(default)]
-    pub evacuations: Evacuations,
+    pub hall_drains: Evacuations,
     /// How many ms ago the entry's configuration was the newest for certain.
     pub age: u64,
 }
@@ -262,7 +262,7 @@
     News {
         config: node.in_force.borrow().written_after(version),
         lease: lease.filter(|(_, known)| *known > end),
-        evacuations: node.in_force.borrow().evacuations().clone(),
+        hall_drains: node.in_force.borrow().hall_drains().clone(),
         age: node.freshness.get().age(Instant::now()).as_millis() as u64,
     }
 }
