--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -2,7 +2,7 @@
 
 use super::{
     losses::give_up,
-    owner::{FencingToken, LEASE, Owner, longest},
+    owner::{FencingToken, Owner, WORKER_LEASE_DURATION, max_lease_duration},
     resend::unless_overdue,
     starts::{REPEATED, start},
 };
@@ -60,8 +60,8 @@
     let mut contacts = owner.contacts.borrow_mut();
     let contact = contacts.get_mut(worker)?;
     let (clock, read) = contact.clock?;
-    let lease = LEASE.min(owner.node.settings.hold);
-    contact.leased = contact.leased.max(now + longest(lease));
+    let lease = WORKER_LEASE_DURATION.min(owner.node.settings.hold);
+    contact.leased = contact.leased.max(now + max_lease_duration(lease));
     Some(clock + (now - read + lease).as_millis() as ClockMs)
 }
 
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -30,28 +30,28 @@
 /// How long a worker keeps its runs without a word from the owner. Long enough for the next question to a
 /// worker with runs (0.5 s), for a new owner to be found (2 s), to take over (0.5 s) and to reach the worker;
 /// a worker that is lost keeps its tasks waiting for as long. 4.5 s and 3.0 s serve worse (docs/DECISIONS.md).
-pub const LEASE: Duration = Duration::from_millis(3_600);
+pub const WORKER_LEASE_DURATION: Duration = Duration::from_millis(3_600);
 
 /// How long an owner that cannot renew goes on extending leases: while the store is down for all,
 /// nobody else can take over. A new owner waits it out where it does not reach a worker.
-pub const GRACE: Duration = Duration::from_millis(6_000);
+pub const MAX_RENEWAL_AGE: Duration = Duration::from_millis(6_000);
 
 /// By what factor a lease may outlast its length: a worker's clock may run 2 % slow.
-const SLOWNESS: f64 = 1.03;
+const MAX_CLOCK_SLOWDOWN: f64 = 1.03;
 
 /// By how much more it may: the worker's clock was read up to a second before the lease was given, in
 /// which it may have gone 20 ms astray.
-const DRIFT: Duration = Duration::from_millis(50);
+const MAX_CLOCK_ERROR: Duration = Duration::from_millis(50);
 
 /// How many starts are under way to one worker at a time. A step of eight tasks that one worker gets would
 /// otherwise open eight connections, of which each takes 12 KB: 7,000 of them made 80 MB on 1,100 workers. A
 /// start takes some ms, so that eight of them wait for less than 20; and where a worker falls silent, only these
 /// wait for its lease.
-const STARTS: usize = 3;
+const MAX_CONCURRENT_STARTS: usize = 3;
 
 /// How long a lease of this length may hold at the most, after it was given.
-pub fn longest(lease: Duration) -> Duration {
-    lease.mul_f64(SLOWNESS) + DRIFT
+pub fn max_lease_duration(lease: Duration) -> Duration {
+    lease.mul_f64(MAX_CLOCK_SLOWDOWN) + MAX_CLOCK_ERROR
 }
 
 /// A number that calls to a worker carry; it does nothing for one that is lower than the highest that it has seen.
@@ -59,7 +59,7 @@
 
 /// How many bits of a fence count the lives of a worker under one owner. With 33 more for the owner's epoch it is a whole
 /// number in any form of JSON, and a worker would have to start a million times under one owner to use them up.
-const LIFE_BITS: u32 = 20;
+const INCARNATION_BITS: u32 = 20;
 
 /// What the owner knows of the way to a life of a worker.
 #[derive(Clone, Debug)]
@@ -84,7 +84,7 @@
             leased,
             answered: None,
             noted: 0,
-            turns: Arc::new(Semaphore::new(STARTS)),
+            turns: Arc::new(Semaphore::new(MAX_CONCURRENT_STARTS)),
         }
     }
 }
@@ -94,7 +94,7 @@
 
 /// How long an owner may believe in its last renewal where two owners must not act in turn. Shorter
 /// than [`fleet::EXPIRY`] by what clocks and answers may be late.
-pub const TRUST: Duration = Duration::from_millis(1_100);
+pub const CERTAIN_RENEWAL_AGE: Duration = Duration::from_millis(1_100);
 
 /// What is known of the owner before.
 #[derive(Clone, Copy, Debug)]
@@ -190,7 +190,7 @@
     ) -> Self {
         let now = Instant::now();
         let extended = match before.renewed {
-            Some(at) => at + GRACE,
+            Some(at) => at + MAX_RENEWAL_AGE,
             None => now,
         };
         let mut cell = JobCell::new(limits(&node.settings));
@@ -206,11 +206,12 @@
             foreign: RefCell::default(),
             gone: RefCell::default(),
             renewed: Cell::new(since),
-            inherited: (extended + longest(LEASE)).max(now + before.waits),
+            inherited: (extended + max_lease_duration(WORKER_LEASE_DURATION))
+                .max(now + before.waits),
             trouble: before.trouble,
             order_due: Cell::new(None),
             orders_announced: Cell::new(false),
-            inherited_orders_until: before.renewed.map_or(now, |at| at + TRUST)
+            inherited_orders_until: before.renewed.map_or(now, |at| at + CERTAIN_RENEWAL_AGE)
                 + node.settings.lease,
             ended_owners: RefCell::default(),
             vm_rate: RefCell::new(RateLimit::new(node.settings.vm_orders, now)),
@@ -244,7 +245,7 @@
     /// start again what has been done or is started elsewhere.
     pub fn fencing_token(&self, worker: &str) -> FencingToken {
         let changes = self.cell.borrow().changes_of(worker);
-        (self.epoch << LIFE_BITS) + changes.min((1 << LIFE_BITS) - 1)
+        (self.epoch << INCARNATION_BITS) + changes.min((1 << INCARNATION_BITS) - 1)
     }
 
     /// Whether a call with this fence was refused since this owner has raised it, and no other has.
@@ -254,12 +255,12 @@
 
     /// Whether it may extend leases and start what is durable.
     pub fn may_hold(&self) -> bool {
-        self.is_alive() && self.renewed.get().elapsed() < GRACE
+        self.is_alive() && self.renewed.get().elapsed() < MAX_RENEWAL_AGE
     }
 
     /// Whether it is certain that nobody else owns the cell.
     pub fn is_certain(&self) -> bool {
-        self.is_alive() && self.renewed.get().elapsed() < TRUST
+        self.is_alive() && self.renewed.get().elapsed() < CERTAIN_RENEWAL_AGE
     }
 
     /// For how long leases of earlier owners may still hold.
@@ -346,7 +347,7 @@
 fn limits(settings: &Settings) -> Limits {
     Limits {
         stop: settings.stop,
-        hold: longest(settings.hold),
+        hold: max_lease_duration(settings.hold),
         far: settings.far,
         ..Limits::default()
     }
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -4,7 +4,7 @@
     ends,
     losses::{give_up, give_up_runs},
     orders,
-    owner::{FencingToken, Owner, longest},
+    owner::{FencingToken, Owner, max_lease_duration},
     questions::{Answer, Answers, ask_worker, question},
     worker_list::{meet, note_gone},
 };
@@ -166,7 +166,7 @@
 fn note_restart(owner: &Owner, id: &WorkerId, now: Instant) {
     info!(worker = %id, "worker has started again");
     owner.node.metrics.restarted_worker();
-    let leased = now + longest(owner.node.settings.hold);
+    let leased = now + max_lease_duration(owner.node.settings.hold);
     if let Some(contact) = owner.contacts.borrow_mut().get_mut(id) {
         contact.leased = contact.leased.max(leased);
     }
