--- a/crates/havenladder/src/entry/callers/ask.rs
+++ b/crates/havenladder/src/entry/callers/ask.rs
@@ -4,7 +4,7 @@
 use crate::entry::{
     follow,
     listen::Reply,
-    node::{LifeId, Node},
+    node::{IncarnationId, Node},
     peer::{self, CallerRequest, PeerRequest, PeerResponse},
     suspension,
 };
@@ -152,7 +152,7 @@
 
 /// Waits until an owner has been replaced, and for as long again as an answer that is on its way takes: one that stands still
 /// answers nobody, while the next one may do so in time.
-async fn replaced(node: &Node, life: LifeId) {
+async fn replaced(node: &Node, life: IncarnationId) {
     loop {
         let changed = node.lease_changed.notified();
         let lease = node.lease.borrow().as_ref().map(|lease| lease.life);
@@ -166,7 +166,7 @@
 
 /// The owner's port refuses connections. Where it does so twice in a row, 40 ms apart, its process has
 /// ended, and nobody needs to wait for its lease to run out.
-fn suspect(node: &Node, life: LifeId) {
+fn suspect(node: &Node, life: IncarnationId) {
     if node.suspect.replace(Some(life)) == Some(life) && node.refused.get() != Some(life) {
         info!(life, "the owner's process has ended");
         node.refused.set(Some(life));
--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::{
     lease_record::{TOPIC, append},
-    node::{Lease, LifeId, Node},
+    node::{IncarnationId, Lease, Node},
     owner::Predecessor,
     store_calls,
 };
@@ -24,9 +24,9 @@
     /// When this entry may claim, and from whom it should.
     pub(super) tenure: Tenure,
     /// Which life of an entry has written the newest record, and whether it gave the cell up with it.
-    pub(super) holder: Option<(LifeId, bool)>,
+    pub(super) holder: Option<(IncarnationId, bool)>,
     /// When a renewal of the current owner was last read.
-    pub(super) renewed: Option<Instant>,
+    pub(super) last_renewal: Option<Instant>,
     /// When the store last did not answer.
     pub(super) trouble: Option<Instant>,
     /// What was known of the owner when this entry last claimed.
@@ -114,7 +114,7 @@
 
 /// Takes note that the owner has written a record.
 fn note_heard(node: &Node, log: &mut Log, now: Instant) {
-    log.renewed = Some(now);
+    log.last_renewal = Some(now);
     node.note_reach(|reach| reach.note_renewal(now));
     // Whoever writes here lives, whatever its port did behind a cut.
     node.refused.set(None);
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -49,10 +49,10 @@
         end: 0,
         tenure: Tenure::new(node.settings.cpu, Instant::now()),
         holder: None,
-        renewed: None,
+        last_renewal: None,
         trouble: None,
         before: Predecessor {
-            renewed: None,
+            last_renewal: None,
             waits: Duration::ZERO,
             trouble: Trouble::None,
             orders: false,
@@ -170,7 +170,7 @@
     Predecessor {
         // An owner that gave the cell up extends no more leases, but the one before it may be cut off
         // and go on: it has told for how long.
-        renewed: log.renewed.filter(|_| released.is_none()),
+        last_renewal: log.last_renewal.filter(|_| released.is_none()),
         waits: Duration::from_millis(released.map_or(0, |lease| lease.waits)),
         trouble,
         orders: lease.as_ref().is_some_and(|lease| lease.orders),
@@ -286,7 +286,7 @@
         cpu: owner.successor.get().unwrap_or(node.settings.cpu),
         unrecorded: owner.has_unrecorded(),
         orders: owner.may_have_unrecorded_orders(),
-        ..record(node, Some(owner.inherited_for()))
+        ..record(node, Some(owner.inherited_leases_remaining()))
     };
     owner.end(why);
     relay::ask(node, &owner.relays.take(), &released).await;
--- a/crates/havenladder/src/entry/lease_state.rs
+++ b/crates/havenladder/src/entry/lease_state.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// One life of an entry's process.
-pub type LifeId = u64;
+pub type IncarnationId = u64;
 
 /// Who owns the cell, as the log says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -12,7 +12,7 @@
     /// The owner's name.
     pub node: String,
     /// Its life.
-    pub life: LifeId,
+    pub life: IncarnationId,
     /// Where it takes the calls of other entries.
     pub address: String,
     /// Whether it has given the cell up.
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -1,6 +1,6 @@
 //! What the duties of an entry share.
 
-pub use super::lease_state::{Lease, LifeId};
+pub use super::lease_state::{IncarnationId, Lease};
 
 use super::{feed::Feed, in_force::InForce, metrics::Metrics, owner::Owner, reach::Directory};
 use adapter::{
@@ -22,7 +22,7 @@
     /// What the platform's file says.
     pub settings: Settings,
     /// This life of the process.
-    pub life: LifeId,
+    pub life: IncarnationId,
     /// When the process began.
     pub began: Instant,
     /// What the entry counts.
@@ -56,9 +56,9 @@
     /// Told when the owner changes, or this entry is ready to own.
     pub lease_changed: Notify,
     /// The owner whose port refused the last connection.
-    pub suspect: Cell<Option<LifeId>>,
+    pub suspect: Cell<Option<IncarnationId>>,
     /// The owner whose port refused a connection, twice in a row.
-    pub refused: Cell<Option<LifeId>>,
+    pub refused: Cell<Option<IncarnationId>>,
     /// Told when the lease may be claimed sooner than was planned.
     pub claim_due: Notify,
     /// What this entry owns.
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -68,7 +68,7 @@
         owner
             .cell
             .borrow_mut()
-            .close_gate(owner.inherited, troubled);
+            .close_gate(owner.inherited_leases_until, troubled);
     }
 }
 
@@ -131,7 +131,7 @@
     owner.cell.borrow_mut().confirm(&batch);
     for (worker, number) in batch.noted {
         if let Some(contact) = owner.contacts.borrow_mut().get_mut(&worker) {
-            contact.noted = contact.noted.max(number);
+            contact.acknowledged = contact.acknowledged.max(number);
         }
     }
     owner.send(batch.starts);
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -9,7 +9,7 @@
 pub mod workspaces;
 
 use super::{
-    node::{Lease, LifeId, Node},
+    node::{IncarnationId, Lease, Node},
     outage::Outage,
 };
 use adapter::{operator::Version, settings::Settings, store::Offset, workers::ClockMs};
@@ -67,24 +67,24 @@
     /// The worker's clock when it last answered.
     pub clock: Option<(ClockMs, Instant)>,
     /// Until when its lease may hold at the latest.
-    pub leased: Instant,
+    pub lease_until: Instant,
     /// When its newest answer to a question came: which life takes a call shows only afterwards.
-    pub answered: Option<Instant>,
+    pub last_answer: Option<Instant>,
     /// Up to which number its ends are durable.
-    pub noted: u64,
+    pub acknowledged: u64,
     /// The turns of starts that are sent to it.
-    pub turns: Arc<Semaphore>,
+    pub start_permits: Arc<Semaphore>,
 }
 
 impl Contact {
     /// The way to a worker of which nothing is known but until when its lease may hold.
-    pub fn new(leased: Instant) -> Self {
+    pub fn new(lease_until: Instant) -> Self {
         Contact {
             clock: None,
-            leased,
-            answered: None,
-            noted: 0,
-            turns: Arc::new(Semaphore::new(MAX_CONCURRENT_STARTS)),
+            lease_until,
+            last_answer: None,
+            acknowledged: 0,
+            start_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_STARTS)),
         }
     }
 }
@@ -100,7 +100,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Predecessor {
     /// When its last record was read; none if there was no owner before, or it gave the cell up.
-    pub renewed: Option<Instant>,
+    pub last_renewal: Option<Instant>,
     /// How long leases of owners before it may hold.
     pub waits: Duration,
     /// Whether the store was in trouble of late.
@@ -122,13 +122,13 @@
     /// The ways to the lives of workers.
     pub contacts: RefCell<HashMap<WorkerId, Contact>>,
     /// When the renewal that last succeeded was sent.
-    pub renewed: Cell<Instant>,
+    pub last_renewal: Cell<Instant>,
     /// The entries that name no worker to use and have been logged, by id.
     pub foreign: RefCell<HashSet<WorkerName>>,
     /// The lives at whose address another worker has answered, with the address.
-    pub gone: RefCell<HashMap<WorkerId, String>>,
+    pub replaced: RefCell<HashMap<WorkerId, String>>,
     /// Until when an earlier owner's leases may hold.
-    pub inherited: Instant,
+    pub inherited_leases_until: Instant,
     /// Whether the store was in trouble when this owner began.
     pub trouble: Trouble,
     /// When an order about VMs was last to be given without a record.
@@ -139,7 +139,7 @@
     /// so as long as it trusted its lease, and two holders must not act in turn.
     pub inherited_orders_until: Instant,
     /// The earlier owners that are known to have ended.
-    pub ended_owners: RefCell<HashSet<LifeId>>,
+    pub ended_owners: RefCell<HashSet<IncarnationId>>,
     /// How many orders about VMs may be given now.
     pub vm_rate: RefCell<RateLimit>,
     /// The end of the log of what operators are told, as far as it is known. Each record is appended on condition of
@@ -189,7 +189,7 @@
         send: SendOrders,
     ) -> Self {
         let now = Instant::now();
-        let extended = match before.renewed {
+        let extended = match before.last_renewal {
             Some(at) => at + MAX_RENEWAL_AGE,
             None => now,
         };
@@ -204,14 +204,16 @@
             cell: RefCell::new(cell),
             contacts: RefCell::default(),
             foreign: RefCell::default(),
-            gone: RefCell::default(),
-            renewed: Cell::new(since),
-            inherited: (extended + max_lease_duration(WORKER_LEASE_DURATION))
+            replaced: RefCell::default(),
+            last_renewal: Cell::new(since),
+            inherited_leases_until: (extended + max_lease_duration(WORKER_LEASE_DURATION))
                 .max(now + before.waits),
             trouble: before.trouble,
             order_due: Cell::new(None),
             orders_announced: Cell::new(false),
-            inherited_orders_until: before.renewed.map_or(now, |at| at + CERTAIN_RENEWAL_AGE)
+            inherited_orders_until: before
+                .last_renewal
+                .map_or(now, |at| at + CERTAIN_RENEWAL_AGE)
                 + node.settings.lease,
             ended_owners: RefCell::default(),
             vm_rate: RefCell::new(RateLimit::new(node.settings.vm_orders, now)),
@@ -255,17 +257,18 @@
 
     /// Whether it may extend leases and start what is durable.
     pub fn may_hold(&self) -> bool {
-        self.is_alive() && self.renewed.get().elapsed() < MAX_RENEWAL_AGE
+        self.is_alive() && self.last_renewal.get().elapsed() < MAX_RENEWAL_AGE
     }
 
     /// Whether it is certain that nobody else owns the cell.
     pub fn is_certain(&self) -> bool {
-        self.is_alive() && self.renewed.get().elapsed() < CERTAIN_RENEWAL_AGE
+        self.is_alive() && self.last_renewal.get().elapsed() < CERTAIN_RENEWAL_AGE
     }
 
     /// For how long leases of earlier owners may still hold.
-    pub fn inherited_for(&self) -> Duration {
-        self.inherited.saturating_duration_since(Instant::now())
+    pub fn inherited_leases_remaining(&self) -> Duration {
+        self.inherited_leases_until
+            .saturating_duration_since(Instant::now())
     }
 
     /// Ends it: it decides and orders nothing any more.
@@ -280,7 +283,7 @@
 
     /// A renewal that was sent at `sent` is durable.
     pub fn note_renewal(&self, sent: Instant, lease: &Lease) {
-        self.renewed.set(sent);
+        self.last_renewal.set(sent);
         if lease.unrecorded {
             self.announced.set(Some(sent));
         }
@@ -298,7 +301,8 @@
     pub fn has_unrecorded(&self) -> bool {
         let recent = self.unrecorded.get();
         // What an earlier owner started so may still run until its leases have run out.
-        let inherited = self.trouble != Trouble::None && Instant::now() < self.inherited;
+        let inherited =
+            self.trouble != Trouble::None && Instant::now() < self.inherited_leases_until;
         inherited || recent.is_some_and(|at| at.elapsed() < TROUBLE)
     }
 
--- a/crates/havenladder/src/entry/questions.rs
+++ b/crates/havenladder/src/entry/questions.rs
@@ -105,8 +105,8 @@
 fn noted(owner: &Owner, id: &str) -> Option<u64> {
     let contacts = owner.contacts.borrow();
     let contact = contacts.get(id)?;
-    let answered = contact.answered?;
-    (contact.noted == 0 || answered.elapsed() < SAME_LIFE).then_some(contact.noted)
+    let answered = contact.last_answer?;
+    (contact.acknowledged == 0 || answered.elapsed() < SAME_LIFE).then_some(contact.acknowledged)
 }
 
 /// How long a question waits at a worker.
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -4,7 +4,7 @@
 //! answer, the owner and entries of other data centres are asked until one of them answers.
 
 use super::{
-    node::{LifeId, Node},
+    node::{IncarnationId, Node},
     peer::{self, PeerRequest, PeerResponse},
 };
 use clock::{Instant, timer};
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
     /// This life of its process.
-    pub life: LifeId,
+    pub life: IncarnationId,
     /// Its data centre.
     pub hall: String,
     /// Other entries that it knows, each with its data centre.
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -113,7 +113,7 @@
 /// Waits for a turn to send a start to a worker; none if the worker is not there any more.
 async fn take_turn(owner: &Owner, worker: &str) -> Option<OwnedSemaphorePermit> {
     let contact = owner.contacts.borrow().get(worker).cloned();
-    let turns = contact.map(|contact| contact.turns)?;
+    let turns = contact.map(|contact| contact.start_permits)?;
     // It is never closed.
     turns.acquire_owned().await.ok()
 }
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -39,7 +39,7 @@
 fn note_answer(owner: &Owner, id: &str, clock: ClockMs, now: Instant) {
     if let Some(contact) = owner.contacts.borrow_mut().get_mut(id) {
         contact.clock = Some((clock, now));
-        contact.answered = Some(now);
+        contact.last_answer = Some(now);
     }
 }
 
@@ -150,7 +150,7 @@
         }
         Hearing::Over { next, began } => {
             if !owner.contacts.borrow().contains_key(&next) {
-                meet(owner, next.clone(), owner.inherited);
+                meet(owner, next.clone(), owner.inherited_leases_until);
             }
             if began {
                 note_restart(owner, &next, now);
@@ -168,7 +168,7 @@
     owner.node.metrics.restarted_worker();
     let leased = now + max_lease_duration(owner.node.settings.hold);
     if let Some(contact) = owner.contacts.borrow_mut().get_mut(id) {
-        contact.leased = contact.leased.max(leased);
+        contact.lease_until = contact.lease_until.max(leased);
     }
 }
 
@@ -236,7 +236,7 @@
             .contacts
             .borrow()
             .get(worker)
-            .map_or(u64::MAX, |c| c.noted);
+            .map_or(u64::MAX, |c| c.acknowledged);
         if noted >= last {
             return;
         }
@@ -250,7 +250,7 @@
     let contacts = owner.contacts.borrow();
     contacts
         .get(id)
-        .is_none_or(|contact| contact.leased < Instant::now())
+        .is_none_or(|contact| contact.lease_until < Instant::now())
 }
 
 /// Whether a worker may have runs.
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -82,7 +82,7 @@
         Ok(entry) => entry,
         Err(error) => return distrust(owner, record.key, &error),
     };
-    if owner.gone.borrow().get(&entry.id) == Some(&entry.address) {
+    if owner.replaced.borrow().get(&entry.id) == Some(&entry.address) {
         return owner.node.metrics.foreign_entry("gone");
     }
     owner.foreign.borrow_mut().remove(entry.id.name());
@@ -94,7 +94,7 @@
         Listing::Of(life) if owner.contacts.borrow().contains_key(&life) => {}
         Listing::Of(life) => {
             info!(worker = %life, service, draining, "worker listed");
-            meet(owner, life, owner.inherited);
+            meet(owner, life, owner.inherited_leases_until);
         }
     }
 }
@@ -125,7 +125,7 @@
     for life in lives {
         info!(worker = %life, "worker no longer listed");
     }
-    let mut gone = owner.gone.borrow_mut();
+    let mut gone = owner.replaced.borrow_mut();
     if !gone.is_empty() {
         gone.retain(|life, _| life.name() != name);
     }
@@ -134,7 +134,7 @@
 /// Notes that another worker has answered at the address of a life: an entry that goes on to name it there is another
 /// writer's. Each would else be taken for a new worker, with a question and three lines every heartbeat.
 pub fn note_gone(owner: &Owner, life: &WorkerId) {
-    let mut gone = owner.gone.borrow_mut();
+    let mut gone = owner.replaced.borrow_mut();
     let cell = owner.cell.borrow();
     if let Some(worker) = cell.workers.get(life)
         && gone.len() < MOST_FOREIGN
@@ -155,7 +155,7 @@
 /// Gives up the workers that an earlier owner had used and that are not listed any more, once nothing
 /// can run there.
 async fn expire_orphans(owner: Rc<Owner>) {
-    timer::sleep_until(owner.inherited).await;
+    timer::sleep_until(owner.inherited_leases_until).await;
     let orphans = owner.cell.borrow().orphaned();
     for id in orphans {
         give_up(&owner, &id, Loss::Ended);
