--- a/crates/havenladder/src/entry/callers/ask.rs
+++ b/crates/havenladder/src/entry/callers/ask.rs
@@ -121,14 +121,16 @@
 /// Puts a question to the entry that owns the cell.
 async fn forward(node: &Rc<Node>, request: &CallerRequest, deadline: Instant) -> PeerResponse {
     let lease = node.lease.borrow().clone();
-    let Some(lease) = lease.filter(|lease| lease.life != node.life && !lease.released) else {
+    let Some(lease) =
+        lease.filter(|lease| lease.incarnation != node.incarnation && !lease.released)
+    else {
         return PeerResponse::NotOwner;
     };
     let ask = PeerRequest::Caller(Box::new(request.clone()));
     let answer = tokio::select! {
         answer = peer::call(node, &lease.address, &ask, deadline) => answer,
         () = node.reach_changed.notified() => Err(CallError::Unanswered),
-        () = replaced(node, lease.life) => Err(CallError::Unanswered),
+        () = replaced(node, lease.incarnation) => Err(CallError::Unanswered),
     };
     match answer {
         Ok(tell) => {
@@ -136,7 +138,7 @@
             tell
         }
         Err(CallError::Refused) => {
-            suspect(node, lease.life);
+            suspect(node, lease.incarnation);
             PeerResponse::NotOwner
         }
         Err(error) => {
@@ -152,11 +154,11 @@
 
 /// Waits until an owner has been replaced, and for as long again as an answer that is on its way takes: one that stands still
 /// answers nobody, while the next one may do so in time.
-async fn replaced(node: &Node, life: IncarnationId) {
+async fn replaced(node: &Node, incarnation: IncarnationId) {
     loop {
         let changed = node.lease_changed.notified();
-        let lease = node.lease.borrow().as_ref().map(|lease| lease.life);
-        if lease != Some(life) {
+        let lease = node.lease.borrow().as_ref().map(|lease| lease.incarnation);
+        if lease != Some(incarnation) {
             break;
         }
         changed.await;
@@ -166,10 +168,12 @@
 
 /// The owner's port refuses connections. Where it does so twice in a row, 40 ms apart, its process has
 /// ended, and nobody needs to wait for its lease to run out.
-fn suspect(node: &Node, life: IncarnationId) {
-    if node.suspect.replace(Some(life)) == Some(life) && node.refused.get() != Some(life) {
-        info!(life, "the owner's process has ended");
-        node.refused.set(Some(life));
+fn suspect(node: &Node, incarnation: IncarnationId) {
+    if node.suspect.replace(Some(incarnation)) == Some(incarnation)
+        && node.refused.get() != Some(incarnation)
+    {
+        info!(life = incarnation, "the owner's process has ended");
+        node.refused.set(Some(incarnation));
         node.claim_due.notify_one();
     }
 }
--- a/crates/havenladder/src/entry/following.rs
+++ b/crates/havenladder/src/entry/following.rs
@@ -65,7 +65,7 @@
         return None;
     }
     let lease = node.lease.borrow().clone();
-    let owner = lease.filter(|lease| lease.life != node.life && !lease.released)?;
+    let owner = lease.filter(|lease| lease.incarnation != node.incarnation && !lease.released)?;
     let deadline = Instant::now() + PLACE_TIMEOUT;
     match peer::call(
         node,
--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -149,7 +149,7 @@
     }
     info!(
         owner = lease.node,
-        life = lease.life,
+        life = lease.incarnation,
         end,
         released = lease.released,
         "owner seen"
@@ -168,7 +168,7 @@
 /// Takes note of who has the lease.
 fn note_tenure(log: &mut Log, lease: &Lease, now: Instant) {
     log.tenure.note_record(lease.cpu, now);
-    let known = log.holder.replace((lease.life, lease.released));
+    let known = log.holder.replace((lease.incarnation, lease.released));
     if known != log.holder {
         log.tenure.note_change(now);
     }
@@ -209,5 +209,7 @@
 /// Whether the newest record is of this life of the entry.
 fn is_own(node: &Node) -> bool {
     let lease = node.lease.borrow();
-    lease.as_ref().is_some_and(|lease| lease.life == node.life)
+    lease
+        .as_ref()
+        .is_some_and(|lease| lease.incarnation == node.incarnation)
 }
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -52,7 +52,7 @@
         last_renewal: None,
         trouble: None,
         before: Predecessor {
-            last_renewal: None,
+            renewed: None,
             waits: Duration::ZERO,
             trouble: Trouble::None,
             orders: false,
@@ -85,11 +85,13 @@
         None if log.end == 0 => Holder::Nobody,
         None => Holder::Unknown,
         Some(lease) if lease.released => Holder::Released,
-        Some(lease) if lease.node == node.settings.node && lease.life != node.life => {
+        Some(lease)
+            if lease.node == node.settings.node && lease.incarnation != node.incarnation =>
+        {
             Holder::EarlierLife
         }
         // Its port refuses connections: its process has ended.
-        Some(lease) if node.refused.get() == Some(lease.life) => Holder::Ended,
+        Some(lease) if node.refused.get() == Some(lease.incarnation) => Holder::Ended,
         Some(_) if node.reach.get().is_owner_silent(Instant::now()) => Holder::Silent,
         Some(_) if node.reach.get().is_owner_heard(Instant::now()) => Holder::Answering,
         Some(_) => Holder::Other,
@@ -122,7 +124,7 @@
 fn ask_for(node: &Rc<Node>, log: &Log) {
     let now = Instant::now();
     let lease = node.lease.borrow().clone();
-    let other = lease.filter(|lease| lease.life != node.life && !lease.released);
+    let other = lease.filter(|lease| lease.incarnation != node.incarnation && !lease.released);
     let Some(other) = other.filter(|lease| log.tenure.should_ask(lease.cpu, now)) else {
         return;
     };
@@ -145,7 +147,7 @@
 fn record(node: &Node, released: Option<Duration>) -> Lease {
     Lease {
         node: node.settings.node.clone(),
-        life: node.life,
+        incarnation: node.incarnation,
         address: node.inner_address(),
         cpu: node.settings.cpu,
         unrecorded: node.own().is_some_and(|owner| owner.may_be_unrecorded()),
@@ -170,7 +172,7 @@
     Predecessor {
         // An owner that gave the cell up extends no more leases, but the one before it may be cut off
         // and go on: it has told for how long.
-        last_renewal: log.last_renewal.filter(|_| released.is_none()),
+        renewed: log.last_renewal.filter(|_| released.is_none()),
         waits: Duration::from_millis(released.map_or(0, |lease| lease.waits)),
         trouble,
         orders: lease.as_ref().is_some_and(|lease| lease.orders),
@@ -198,7 +200,7 @@
     let lease = node.lease.borrow();
     lease
         .as_ref()
-        .is_some_and(|lease| lease.life == node.life && !lease.released)
+        .is_some_and(|lease| lease.incarnation == node.incarnation && !lease.released)
 }
 
 /// What an owner does about its lease next.
--- a/crates/havenladder/src/entry/lease_record.rs
+++ b/crates/havenladder/src/entry/lease_record.rs
@@ -23,7 +23,8 @@
 pub async fn release_for(node: &Node, released: Lease) -> Option<(Lease, Offset)> {
     let place = node.lease_end.get();
     let lease = node.lease.borrow().clone();
-    let owns = lease.is_some_and(|lease| lease.life == released.life && !lease.released);
+    let owns =
+        lease.is_some_and(|lease| lease.incarnation == released.incarnation && !lease.released);
     if !owns || !released.released {
         return None;
     }
--- a/crates/havenladder/src/entry/lease_state.rs
+++ b/crates/havenladder/src/entry/lease_state.rs
@@ -12,7 +12,7 @@
     /// The owner's name.
     pub node: String,
     /// Its life.
-    pub life: IncarnationId,
+    pub incarnation: IncarnationId,
     /// Where it takes the calls of other entries.
     pub address: String,
     /// Whether it has given the cell up.
@@ -33,6 +33,6 @@
 impl Lease {
     /// Whether another record says the same of who owns the cell.
     pub fn is_same(&self, other: &Lease) -> bool {
-        self.life == other.life && self.released == other.released
+        self.incarnation == other.incarnation && self.released == other.released
     }
 }
--- a/crates/havenladder/src/entry/mod.rs
+++ b/crates/havenladder/src/entry/mod.rs
@@ -85,7 +85,7 @@
     info!(
         node = settings.node,
         hall = settings.hall,
-        life = node.life,
+        life = node.incarnation,
         "entry starts"
     );
     suspension::follow_test_clock();
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -22,7 +22,7 @@
     /// What the platform's file says.
     pub settings: Settings,
     /// This life of the process.
-    pub life: IncarnationId,
+    pub incarnation: IncarnationId,
     /// When the process began.
     pub began: Instant,
     /// What the entry counts.
@@ -88,7 +88,7 @@
         let patience = settings.patience;
         let in_force = RefCell::new(InForce::new(settings.halls.clone()));
         Rc::new(Node {
-            life: rand::random(),
+            incarnation: rand::random(),
             began: Instant::now(),
             metrics: Rc::new(Metrics::new()),
             store: Store::new(client.clone(), &settings.store),
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -100,7 +100,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Predecessor {
     /// When its last record was read; none if there was no owner before, or it gave the cell up.
-    pub last_renewal: Option<Instant>,
+    pub renewed: Option<Instant>,
     /// How long leases of owners before it may hold.
     pub waits: Duration,
     /// Whether the store was in trouble of late.
@@ -189,7 +189,7 @@
         send: SendOrders,
     ) -> Self {
         let now = Instant::now();
-        let extended = match before.last_renewal {
+        let extended = match before.renewed {
             Some(at) => at + MAX_RENEWAL_AGE,
             None => now,
         };
@@ -211,9 +211,7 @@
             trouble: before.trouble,
             order_due: Cell::new(None),
             orders_announced: Cell::new(false),
-            inherited_orders_until: before
-                .last_renewal
-                .map_or(now, |at| at + CERTAIN_RENEWAL_AGE)
+            inherited_orders_until: before.renewed.map_or(now, |at| at + CERTAIN_RENEWAL_AGE)
                 + node.settings.lease,
             ended_owners: RefCell::default(),
             vm_rate: RefCell::new(RateLimit::new(node.settings.vm_orders, now)),
--- a/crates/havenladder/src/entry/owner/vm_orders.rs
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -95,7 +95,7 @@
     /// In whose name this owner gives orders.
     fn holder(&self) -> Holder {
         Holder {
-            life: self.node.life,
+            life: self.node.incarnation,
             address: self.node.inner_address(),
         }
     }
@@ -113,9 +113,13 @@
 /// Asks at an earlier owner's address which life answers there: another one has taken its place.
 async fn watch_earlier_owner(owner: Rc<Owner>, holder: Holder) {
     while owner.is_alive() && Instant::now() < owner.inherited_orders_until {
-        if let Some(life) = poll_incarnation(&owner, &holder).await {
-            if life != holder.life {
-                info!(address = holder.address, life, "an earlier owner has ended");
+        if let Some(incarnation) = poll_incarnation(&owner, &holder).await {
+            if incarnation != holder.life {
+                info!(
+                    address = holder.address,
+                    life = incarnation,
+                    "an earlier owner has ended"
+                );
                 owner.ended_owners.borrow_mut().insert(holder.life);
             }
             return;
@@ -128,7 +132,7 @@
 async fn poll_incarnation(owner: &Owner, holder: &Holder) -> Option<u64> {
     let node = &owner.node;
     if holder.address == node.inner_address() {
-        return Some(node.life);
+        return Some(node.incarnation);
     }
     match peer::call(
         node,
@@ -138,7 +142,7 @@
     )
     .await
     {
-        Ok(PeerResponse::Incarnation(presence)) => Some(presence.life),
+        Ok(PeerResponse::Incarnation(presence)) => Some(presence.incarnation),
         // It may be starting, or out of reach: its orders count until they do not matter any more.
         Ok(_) | Err(_) => None,
     }
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
     /// This life of its process.
-    pub life: IncarnationId,
+    pub incarnation: IncarnationId,
     /// Its data centre.
     pub hall: String,
     /// Other entries that it knows, each with its data centre.
@@ -42,7 +42,7 @@
 /// What this entry says of itself.
 pub fn presence(node: &Node) -> Presence {
     Presence {
-        life: node.life,
+        incarnation: node.incarnation,
         hall: node.settings.hall.clone(),
         known: node.directory.borrow().clone(),
     }
@@ -125,7 +125,7 @@
     let lease = node.lease.borrow();
     let other = lease
         .as_ref()
-        .filter(|lease| lease.life != node.life && !lease.released);
+        .filter(|lease| lease.incarnation != node.incarnation && !lease.released);
     other.map(|lease| lease.address.clone())
 }
 
