--- a/crates/havenladder/src/entry/follow.rs
+++ b/crates/havenladder/src/entry/follow.rs
@@ -3,7 +3,7 @@
 use super::{
     lease::set_lease,
     node::Node,
-    peer::{self, News, PeerRequest, PeerResponse},
+    peer::{self, PeerRequest, PeerResponse, Update},
     store_calls,
 };
 use adapter::{
@@ -38,12 +38,12 @@
 /// Follows the topic for ever, while no other entry tells what is new.
 pub async fn run(node: Rc<Node>) {
     if !node.settings.is_seed && !node.settings.seeds.is_empty() {
-        node.feed.wait_begun().await;
+        node.replication.wait_for_first_update().await;
     }
     let mut backoff = Backoff::new(RETRY_INTERVAL, LONGEST_RETRY);
     loop {
-        node.feed.wait_unfed().await;
-        let known = node.feed.recent.borrow().end();
+        node.replication.wait_until_unfollowing().await;
+        let known = node.replication.recent.borrow().end();
         let answered = match known {
             None => restart(&node).await,
             Some(from) => read_on(&node, from).await,
@@ -63,17 +63,17 @@
     let Ok(Some(newest)) = store_calls::newest(node, TOPIC).await else {
         return false;
     };
-    take_newest(node, newest.records, newest.end);
-    node.feed.recent.borrow_mut().confirm(sent);
+    apply_newest(node, newest.records, newest.end);
+    node.replication.recent.borrow_mut().confirm(sent);
     node.note_freshness(|freshness| freshness.confirm(sent, sent));
     true
 }
 
 /// Takes in the newest record of each key of the topic, which ended at `end`.
-pub fn take_newest(node: &Node, newest: Vec<Keyed>, end: Offset) {
-    node.feed.recent.borrow_mut().restart(&newest, end);
+pub fn apply_newest(node: &Node, newest: Vec<Keyed>, end: Offset) {
+    node.replication.recent.borrow_mut().restart(&newest, end);
     node.in_force.borrow_mut().restart(newest, end);
-    node.feed.news.notify_waiters();
+    node.replication.updated.notify_waiters();
 }
 
 /// Reads what stands from an offset on, waiting for it if there is nothing; false without an answer.
@@ -81,7 +81,7 @@
     let sent = Instant::now();
     match store_calls::read(node, TOPIC, from, WAIT).await {
         Ok(Read::Records(_, records)) => {
-            take_read(node, from, &records, sent, WAIT);
+            apply_read(node, from, &records, sent, WAIT);
             true
         }
         Ok(Read::Gone(first)) => {
@@ -89,7 +89,7 @@
                 from,
                 first, "records of operators are gone; the newest are read again"
             );
-            node.feed.recent.borrow_mut().lose();
+            node.replication.recent.borrow_mut().clear();
             true
         }
         Ok(Read::Busy) | Err(_) => false,
@@ -97,7 +97,7 @@
 }
 
 /// Takes in what a read from an offset on has brought that was sent at `sent` and waited for so long if there was nothing.
-fn take_read(node: &Node, from: Offset, records: &[Bytes], sent: Instant, wait: Duration) {
+fn apply_read(node: &Node, from: Offset, records: &[Bytes], sent: Instant, wait: Duration) {
     // An answer without records is given when the wait is over; one with records, at any time. This process may have stood
     // still since.
     let given = if records.is_empty() {
@@ -107,22 +107,22 @@
     };
     let confirmed = given.min(Instant::now());
     node.note_freshness(|freshness| freshness.confirm(sent, confirmed));
-    node.feed.recent.borrow_mut().confirm(confirmed);
-    take_records(node, from, records);
+    node.replication.recent.borrow_mut().confirm(confirmed);
+    apply_records(node, from, records);
 }
 
 /// Takes in the records of operators from an offset on.
-pub fn take_records(node: &Node, from: Offset, records: &[Bytes]) {
+pub fn apply_records(node: &Node, from: Offset, records: &[Bytes]) {
     let mut in_force = node.in_force.borrow_mut();
-    let mut recent = node.feed.recent.borrow_mut();
+    let mut recent = node.replication.recent.borrow_mut();
     for (offset, record) in (from..).zip(records) {
-        recent.note(offset, record);
+        recent.append(offset, record);
         if let Some(record) = split_keyed(record.clone()) {
             in_force.take(record, offset);
         }
     }
     if !records.is_empty() {
-        node.feed.news.notify_waiters();
+        node.replication.updated.notify_waiters();
     }
 }
 
@@ -135,8 +135,8 @@
     };
     for peer in node.peers() {
         let sent = Instant::now();
-        if let Ok(PeerResponse::Update(news)) = peer::call(node, &peer, &ask, sent + PEER).await {
-            take_news(node, news, sent);
+        if let Ok(PeerResponse::Update(update)) = peer::call(node, &peer, &ask, sent + PEER).await {
+            apply_update(node, update, sent);
             return true;
         }
     }
@@ -144,14 +144,14 @@
 }
 
 /// Takes in what another entry knows, which was asked at `sent`.
-pub fn take_news(node: &Node, news: News, sent: Instant) {
-    if let Some((lease, end)) = news.lease {
+pub fn apply_update(node: &Node, update: Update, sent: Instant) {
+    if let Some((lease, end)) = update.lease {
         set_lease(node, lease, end);
     }
     node.in_force
         .borrow_mut()
-        .adopt(news.config, news.hall_drains);
-    let confirmed = sent - Duration::from_millis(news.age);
+        .adopt(update.config, update.hall_drains);
+    let confirmed = sent - Duration::from_millis(update.age);
     node.note_freshness(|freshness| freshness.confirm(sent, confirmed));
 }
 
@@ -216,11 +216,11 @@
 /// Asks the store, then other entries, for what is newer; true if one has answered.
 async fn look(node: &Node) -> bool {
     let sent = Instant::now();
-    let known = node.feed.recent.borrow().end();
+    let known = node.replication.recent.borrow().end();
     if let Some(from) = known
         && let Ok(Read::Records(_, records)) = store_calls::read_once(node, TOPIC, from).await
     {
-        take_read(node, from, &records, sent, Duration::ZERO);
+        apply_read(node, from, &records, sent, Duration::ZERO);
         return true;
     }
     ask_peers(node).await
--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -64,7 +64,7 @@
     match read {
         Ok(Read::Records(_, records)) if records.is_empty() => Seen::Nothing,
         Ok(Read::Records(_, records)) => {
-            take_records(node, log, &records);
+            apply_records(node, log, &records);
             Seen::Records
         }
         Ok(Read::Gone(first)) => {
@@ -83,15 +83,15 @@
 
 /// Waits for the next records: those that the entry tells that this one follows, or those that it reads.
 pub(super) async fn next(node: &Node, log: &mut Log, wait: Duration) -> Seen {
-    if wait.is_zero() || !node.feed.follows() {
+    if wait.is_zero() || !node.replication.follows() {
         return read(node, log, wait).await;
     }
-    let news = node.feed.news.notified();
-    if take_told(node, log) {
+    let update = node.replication.updated.notified();
+    if apply_received(node, log) {
         return Seen::Records;
     }
-    match time::timeout(wait, news).await {
-        Ok(()) if take_told(node, log) => Seen::Records,
+    match time::timeout(wait, update).await {
+        Ok(()) if apply_received(node, log) => Seen::Records,
         Ok(()) => Seen::Unasked,
         // It is time to claim, if the log has nothing newer.
         Err(_) => read(node, log, Duration::ZERO).await,
@@ -99,7 +99,7 @@
 }
 
 /// Takes in what another entry has told of the lease; false if that is nothing new.
-fn take_told(node: &Node, log: &mut Log) -> bool {
+fn apply_received(node: &Node, log: &mut Log) -> bool {
     let end = node.lease_end.get();
     let lease = node.lease.borrow().clone();
     let Some(lease) = lease.filter(|_| end > log.end) else {
@@ -122,7 +122,7 @@
 }
 
 /// Takes in new records, of which the last one counts.
-fn take_records(node: &Node, log: &mut Log, records: &[Bytes]) {
+fn apply_records(node: &Node, log: &mut Log, records: &[Bytes]) {
     let now = Instant::now();
     log.end += records.len() as Offset;
     note_heard(node, log, now);
@@ -141,7 +141,7 @@
     if end < node.lease_end.replace(end.max(node.lease_end.get())) {
         return;
     }
-    node.feed.news.notify_waiters();
+    node.replication.updated.notify_waiters();
     let mut current = node.lease.borrow_mut();
     let known = current.replace(lease.clone());
     if known.is_some_and(|known| known.is_same(&lease)) {
--- a/crates/havenladder/src/entry/lease/relay.rs
+++ b/crates/havenladder/src/entry/lease/relay.rs
@@ -7,7 +7,7 @@
 use super::log::set_lease;
 use crate::entry::{
     node::{Lease, Node},
-    peer::{self, News, PeerRequest, PeerResponse},
+    peer::{self, PeerRequest, PeerResponse, Update},
 };
 use clock::Instant;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     for relay in relays {
         let ask = PeerRequest::Release(Box::new(released.clone()));
         let answer = peer::call(node, relay, &ask, Instant::now() + APPENDED).await;
-        if let Ok(PeerResponse::Update(News {
+        if let Ok(PeerResponse::Update(Update {
             lease: Some((lease, end)),
             ..
         })) = answer
--- a/crates/havenladder/src/entry/mod.rs
+++ b/crates/havenladder/src/entry/mod.rs
@@ -6,11 +6,8 @@
 
 mod callers;
 mod ends;
-mod feed;
-mod feeding;
 mod fleet;
 mod follow;
-mod following;
 mod in_force;
 mod lease;
 mod lease_record;
@@ -28,6 +25,9 @@
 mod peer;
 mod questions;
 mod reach;
+mod replication;
+mod replication_client;
+mod replication_server;
 mod resend;
 mod starts;
 mod stop;
@@ -91,7 +91,7 @@
     suspension::follow_test_clock();
     tokio::task::spawn_local(follow::run(Rc::clone(&node)));
     tokio::task::spawn_local(lease::run(Rc::clone(&node)));
-    tokio::task::spawn_local(following::run(Rc::clone(&node)));
+    tokio::task::spawn_local(replication_client::run(Rc::clone(&node)));
     tokio::task::spawn_local(reach::run(Rc::clone(&node)));
     tokio::task::spawn_local(callers::listen(Rc::clone(&node), callers));
     tokio::task::spawn_local(callers::listen_ready(Rc::clone(&node), ready));
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -2,7 +2,9 @@
 
 pub use super::lease_state::{IncarnationId, Lease};
 
-use super::{feed::Feed, in_force::InForce, metrics::Metrics, owner::Owner, reach::Directory};
+use super::{
+    in_force::InForce, metrics::Metrics, owner::Owner, reach::Directory, replication::Replication,
+};
 use adapter::{
     advice::Advice, cloud::Cloud, http::Client, operator::Config, settings::Settings, store::Store,
     workers::Workers,
@@ -46,7 +48,7 @@
     /// How sure this entry may be that nothing newer is.
     pub freshness: Cell<Freshness>,
     /// Where news come from, and who is told.
-    pub feed: Feed,
+    pub replication: Replication,
     /// Told when a look for something newer has ended.
     pub looked: Notify,
     /// Who owns the cell.
@@ -104,7 +106,7 @@
             settings,
             in_force,
             freshness: Cell::new(Freshness::new(Instant::now(), patience)),
-            feed: Feed::default(),
+            replication: Replication::default(),
             looked: Notify::new(),
             lease_end: Cell::new(0),
             lease: RefCell::default(),
--- a/crates/havenladder/src/entry/outage.rs
+++ b/crates/havenladder/src/entry/outage.rs
@@ -89,7 +89,7 @@
     let deadline = began + TELL_TIMEOUT;
     // Those that read say most: an owner may know few others, all turned away together with it.
     let mut peers = owner.node.known_entries();
-    peers.extend(owner.node.feed.known_readers());
+    peers.extend(owner.node.replication.known_readers());
     peers.sort();
     peers.dedup();
     let asked = peers.len();
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -1,13 +1,13 @@
 //! What entries ask of the cell's owner, over HTTP with MessagePack.
 
 use super::{
-    feed, feeding,
     in_force::{Caller, Written},
     lease_record::release_for,
     listen::{self, Reply, accept_each},
     node::{Lease, Node},
     outage,
     reach::{self, Presence},
+    replication, replication_server,
 };
 use adapter::{
     http::{Call, CallError, Connection},
@@ -92,7 +92,7 @@
     Assignment(Seeker),
     /// What is new? It is answered once there is something.
     #[serde(rename = "Feed")]
-    Replication(feed::Question),
+    Replication(replication::Request),
 }
 
 impl CallerRequest {
@@ -126,15 +126,15 @@
             PeerRequest::Incarnation => write!(f, "life"),
             PeerRequest::Outage => write!(f, "outage"),
             PeerRequest::Update { version, end } => write!(f, "news since {version} and {end}"),
-            PeerRequest::Assignment(seeker) => write!(f, "place for {}", seeker.address),
-            PeerRequest::Replication(question) => write!(f, "news for {}", question.seeker.address),
+            PeerRequest::Assignment(follower) => write!(f, "place for {}", follower.address),
+            PeerRequest::Replication(request) => write!(f, "news for {}", request.follower.address),
         }
     }
 }
 
 /// What an entry knows that another may not.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The configuration, as operators wrote it, if it is newer.
     pub config: Option<Written>,
     /// The lease and the end of its log, if it is newer.
@@ -177,13 +177,13 @@
     HandedOver,
     /// What is newer.
     #[serde(rename = "News")]
-    Update(News),
+    Update(Update),
     /// This is where news come from.
     #[serde(rename = "Place")]
     Assignment(Source),
     /// This is for a follower.
     #[serde(rename = "Feed")]
-    Replication(feed::Answer),
+    Replication(replication::Response),
     /// Whether the store is silent for an entry, and in which data centre that entry is.
     Outage {
         /// The entry's data centre.
@@ -222,14 +222,14 @@
     };
     let response = match (request, node.own()) {
         (PeerRequest::Update { version, end }, _) => {
-            PeerResponse::Update(news(&node, version, end))
+            PeerResponse::Update(update(&node, version, end))
         }
         (PeerRequest::Incarnation, _) => PeerResponse::Incarnation(reach::presence(&node)),
-        (PeerRequest::Replication(question), _) => {
-            PeerResponse::Replication(feeding::answer(&node, question).await)
+        (PeerRequest::Replication(request), _) => {
+            PeerResponse::Replication(replication_server::respond(&node, request).await)
         }
-        (PeerRequest::Assignment(seeker), Some(_)) => {
-            PeerResponse::Assignment(feeding::place(&node, seeker))
+        (PeerRequest::Assignment(follower), Some(_)) => {
+            PeerResponse::Assignment(replication_server::assign(&node, follower))
         }
         (PeerRequest::Outage, _) => outage::tell(&node).await,
         (PeerRequest::Release(lease), _) => release_for_owner(&node, *lease).await,
@@ -245,21 +245,21 @@
 async fn release_for_owner(node: &Node, lease: Lease) -> PeerResponse {
     match release_for(node, lease).await {
         None => PeerResponse::Unsure,
-        lease => PeerResponse::Update(News {
+        lease => PeerResponse::Update(Update {
             lease,
-            ..News::default()
+            ..Update::default()
         }),
     }
 }
 
 /// What this entry knows beyond a version of the configuration and an end of the lease's log.
-fn news(node: &Node, version: Version, end: u64) -> News {
+fn update(node: &Node, version: Version, end: u64) -> Update {
     let lease = node
         .lease
         .borrow()
         .clone()
         .map(|lease| (lease, node.lease_end.get()));
-    News {
+    Update {
         config: node.in_force.borrow().written_after(version),
         lease: lease.filter(|(_, known)| *known > end),
         hall_drains: node.in_force.borrow().hall_drains().clone(),
--- a/crates/havenladder/src/entry/feed/mod.rs
+++ b/crates/havenladder/src/entry/replication/mod.rs
@@ -7,7 +7,7 @@
 
 mod recent;
 
-pub use recent::{Lacking, Recent};
+pub use recent::{Missing, Recent};
 
 use super::lease_state::Lease;
 use adapter::store::Offset;
@@ -20,18 +20,18 @@
 use tracing::info;
 
 /// How long an answer without news is held back: the owner renews its lease more often.
-pub const HOLD: Duration = Duration::from_millis(500);
+pub const MAX_HOLD: Duration = Duration::from_millis(500);
 
 /// How long an entry that begins waits for what a seed tells until it reads for itself.
-const SEED_WAIT: Duration = Duration::from_millis(400);
+const SEED_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What an entry knows of the feed.
 #[derive(Default)]
-pub struct Feed {
+pub struct Replication {
     /// The entry that this one follows; none while it reads for itself.
     source: RefCell<Option<Address>>,
     /// Told whenever something new is known, and when the source is lost.
-    pub news: Notify,
+    pub updated: Notify,
     /// The last records of operators.
     pub recent: RefCell<Recent>,
     /// Who reads, while this entry owns the cell.
@@ -40,30 +40,30 @@
     pub followers: RefCell<Followers>,
 }
 
-impl Feed {
+impl Replication {
     /// Whether this entry follows another.
     pub fn follows(&self) -> bool {
         self.source.borrow().is_some()
     }
 
     /// Waits until this entry reads for itself.
-    pub async fn wait_unfed(&self) {
+    pub async fn wait_until_unfollowing(&self) {
         loop {
-            let news = self.news.notified();
+            let update = self.updated.notified();
             if !self.follows() {
                 return;
             }
-            news.await;
+            update.await;
         }
     }
 
     /// Waits until an entry that has just begun has been told something, or is to read for itself: all entries may begin
     /// together, and what each of them needs to know has many bytes.
-    pub async fn wait_begun(&self) {
-        let until = Instant::now() + SEED_WAIT;
+    pub async fn wait_for_first_update(&self) {
+        let until = Instant::now() + SEED_TIMEOUT;
         while self.recent.borrow().end().is_none() {
-            let news = self.news.notified();
-            if timer::timeout_at(until, news).await.is_err() {
+            let update = self.updated.notified();
+            if timer::timeout_at(until, update).await.is_err() {
                 return;
             }
         }
@@ -81,15 +81,15 @@
         }
         info!(source, "news come from another source");
         *self.source.borrow_mut() = source.cloned();
-        self.news.notify_waiters();
+        self.updated.notify_waiters();
     }
 }
 
 /// A follower's question.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Question {
+pub struct Request {
     /// Who asks.
-    pub seeker: Seeker,
+    pub follower: Seeker,
     /// The offset from which on it has no records of operators; none if it has none at all.
     pub from: Option<Offset>,
     /// The end of the lease's log, as far as it knows.
@@ -98,7 +98,7 @@
 
 /// What a follower is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The records of operators that it does not have.
     pub records: Vec<ByteBuf>,
     /// The end of the topic of which these are the newest records of each key; none if they go on from what it has.
@@ -110,16 +110,18 @@
     /// How long before the answer what it says was the newest for certain.
     pub age: Duration,
     /// How long before the answer the platform, or another data centre, was last heard of.
-    pub heard: Duration,
+    pub contact_age: Duration,
 }
 
 /// What a follower is answered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Response {
     /// This is new.
-    News(News),
+    #[serde(rename = "News")]
+    Update(Update),
     /// This entry is to be followed instead.
-    At(Address),
+    #[serde(rename = "At")]
+    Redirect(Address),
     /// The entry that was asked knows too little itself.
     Nothing,
 }
--- a/crates/havenladder/src/entry/feed/recent.rs
+++ b/crates/havenladder/src/entry/replication/recent.rs
@@ -10,11 +10,11 @@
 
 /// How many bytes of records in their order are kept: some configurations. A follower that lags by more gets the newest
 /// record of each key.
-const MOST_BYTES: usize = 512 << 10;
+const MAX_BYTES: usize = 512 << 10;
 
 /// What a follower lacks.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Lacking {
+pub enum Missing {
     /// These records, in their order.
     Records(Vec<Bytes>),
     /// All it knows may be old: these are the newest records of each key.
@@ -63,17 +63,17 @@
     }
 
     /// Nothing is known any more.
-    pub fn lose(&mut self) {
+    pub fn clear(&mut self) {
         *self = Recent::default();
     }
 
     /// Takes in the record at an offset, unless it is known.
-    pub fn note(&mut self, offset: Offset, record: &Bytes) {
+    pub fn append(&mut self, offset: Offset, record: &Bytes) {
         match self.end {
             Some(end) if offset < end => return,
             Some(end) if offset == end => {}
             // Records in between are missing: the newest are to be read again.
-            Some(_) => return self.lose(),
+            Some(_) => return self.clear(),
             None => return,
         }
         if let Some(Keyed { key, value }) = split_keyed(record.clone()) {
@@ -85,7 +85,7 @@
         self.end = Some(offset + 1);
         self.bytes += record.len();
         self.records.push_back(record.clone());
-        while self.bytes > MOST_BYTES
+        while self.bytes > MAX_BYTES
             && let Some(oldest) = self.records.pop_front()
         {
             self.bytes -= oldest.len();
@@ -94,13 +94,13 @@
 
     /// What a follower lacks that knows all records before an offset, or none; none where this entry knows nothing itself,
     /// or less.
-    pub fn since(&self, from: Option<Offset>) -> Option<Lacking> {
+    pub fn missing_since(&self, from: Option<Offset>) -> Option<Missing> {
         let end = self.end?;
         let missing = end.checked_sub(from.unwrap_or_default())? as usize;
         let known = from.and_then(|_| self.records.len().checked_sub(missing));
         Some(match known {
-            Some(known) => Lacking::Records(self.records.range(known..).cloned().collect()),
-            None => Lacking::Newest(self.newest.values().cloned().collect()),
+            Some(known) => Missing::Records(self.records.range(known..).cloned().collect()),
+            None => Missing::Newest(self.newest.values().cloned().collect()),
         })
     }
 }
--- a/crates/havenladder/src/entry/following.rs
+++ b/crates/havenladder/src/entry/replication_client.rs
@@ -1,11 +1,11 @@
 //! Follows another entry, or finds one that can be followed.
 
 use super::{
-    feed::{Answer, HOLD, News, Question},
     follow,
     lease::set_lease,
     node::Node,
     peer::{self, PeerRequest, PeerResponse},
+    replication::{MAX_HOLD, Request, Response, Update},
 };
 use adapter::store::{Offset, split_keyed};
 use clock::Instant;
@@ -14,29 +14,29 @@
 use tokio::time;
 
 /// How long a source may take beyond that.
-const SLACK: Duration = Duration::from_millis(400);
+const RESPONSE_SLACK: Duration = Duration::from_millis(400);
 
 /// How often an entry without a source asks for a place, and a reader says that it is there. The first time is drawn
 /// below it, so that entries that start together do not ask together.
-const PLACE_INTERVAL: Duration = Duration::from_millis(1_000);
+const ASSIGNMENT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// How long the owner may take to give a place.
-const PLACE_TIMEOUT: Duration = Duration::from_millis(400);
+const ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How old what an entry knows counts as that knows nothing.
-const NEVER: Duration = Duration::from_secs(3_600);
+const UNKNOWN_AGE: Duration = Duration::from_secs(3_600);
 
 /// How often an entry is sent on from one to another before it gives up: the depth of a tree of many thousands.
-const MOST_HOPS: usize = 16;
+const MAX_HOPS: usize = 16;
 
 /// What this entry says of itself.
-fn seeker(node: &Node) -> Seeker {
-    let age = node.feed.recent.borrow().age(Instant::now());
+fn follower(node: &Node) -> Seeker {
+    let age = node.replication.recent.borrow().age(Instant::now());
     Seeker {
         address: node.inner_address(),
         hall: node.settings.hall.clone(),
         cpu: node.settings.cpu,
-        age: age.unwrap_or(NEVER),
+        age: age.unwrap_or(UNKNOWN_AGE),
     }
 }
 
@@ -47,30 +47,30 @@
         let seed = &seeds[rand::random_range(0..seeds.len())];
         let address = format!("{seed}:{}", node.settings.inner_port);
         follow_from(&node, address).await;
-        node.feed.set_source(None);
+        node.replication.set_source(None);
     }
-    time::sleep(PLACE_INTERVAL.mul_f64(rand::random())).await;
+    time::sleep(ASSIGNMENT_INTERVAL.mul_f64(rand::random())).await;
     loop {
-        if let Some(Source::Entry(source)) = ask_place(&node).await {
+        if let Some(Source::Entry(source)) = request_assignment(&node).await {
             follow_from(&node, source).await;
-            node.feed.set_source(None);
+            node.replication.set_source(None);
         }
-        time::sleep(PLACE_INTERVAL.mul_f64(0.5 + rand::random::<f64>() / 2.0)).await;
+        time::sleep(ASSIGNMENT_INTERVAL.mul_f64(0.5 + rand::random::<f64>() / 2.0)).await;
     }
 }
 
 /// Asks the owner where this entry is to have its news from; none where that cannot be known now.
-async fn ask_place(node: &Node) -> Option<Source> {
+async fn request_assignment(node: &Node) -> Option<Source> {
     if node.own().is_some() || node.stopping.get() {
         return None;
     }
     let lease = node.lease.borrow().clone();
     let owner = lease.filter(|lease| lease.incarnation != node.incarnation && !lease.released)?;
-    let deadline = Instant::now() + PLACE_TIMEOUT;
+    let deadline = Instant::now() + ASSIGNMENT_TIMEOUT;
     match peer::call(
         node,
         &owner.address,
-        &PeerRequest::Assignment(seeker(node)),
+        &PeerRequest::Assignment(follower(node)),
         deadline,
     )
     .await
@@ -84,23 +84,23 @@
 async fn follow_from(node: &Node, mut source: Address) {
     let mut hops = 0;
     while node.own().is_none() && !node.stopping.get() {
-        let from = node.feed.recent.borrow().end();
+        let from = node.replication.recent.borrow().end();
         let sent = Instant::now();
-        let question = PeerRequest::Replication(Question {
-            seeker: seeker(node),
+        let request = PeerRequest::Replication(Request {
+            follower: follower(node),
             from,
             end: node.lease_end.get(),
         });
-        match peer::call(node, &source, &question, sent + HOLD + SLACK).await {
-            Ok(PeerResponse::Replication(Answer::News(news))) => {
-                if !take(node, from, news, sent) {
+        match peer::call(node, &source, &request, sent + MAX_HOLD + RESPONSE_SLACK).await {
+            Ok(PeerResponse::Replication(Response::Update(update))) => {
+                if !apply_update(node, from, update, sent) {
                     return;
                 }
-                node.feed.set_source(Some(&source));
+                node.replication.set_source(Some(&source));
                 hops = 0;
             }
-            Ok(PeerResponse::Replication(Answer::At(next)))
-                if hops < MOST_HOPS && next != node.inner_address() =>
+            Ok(PeerResponse::Replication(Response::Redirect(next)))
+                if hops < MAX_HOPS && next != node.inner_address() =>
             {
                 source = next;
                 hops += 1;
@@ -111,24 +111,24 @@
 }
 
 /// Takes in news that were asked for at `sent`; false if their source knows too little to be followed.
-fn take(node: &Node, from: Option<Offset>, news: News, sent: Instant) -> bool {
+fn apply_update(node: &Node, from: Option<Offset>, update: Update, sent: Instant) -> bool {
     // The answer was given when it had been held back, or later: this process may have stood still since.
-    let given = (sent + news.held).min(Instant::now());
-    let (confirmed, heard) = (given - news.age, given - news.heard);
-    let records = news.records.into_iter();
+    let given = (sent + update.held).min(Instant::now());
+    let (confirmed, contacted) = (given - update.age, given - update.contact_age);
+    let records = update.records.into_iter();
     let records: Vec<_> = records.map(|record| record.into_vec().into()).collect();
     node.note_freshness(|freshness| freshness.confirm(confirmed, confirmed));
-    node.note_reach(|reach| reach.note_store(heard));
-    if let Some((lease, end)) = news.lease {
+    node.note_reach(|reach| reach.note_store(contacted));
+    if let Some((lease, end)) = update.lease {
         set_lease(node, lease, end);
     }
-    match news.newest {
+    match update.newest {
         Some(end) => {
             let newest = records.into_iter().filter_map(split_keyed).collect();
-            follow::take_newest(node, newest, end);
+            follow::apply_newest(node, newest, end);
         }
-        None => follow::take_records(node, from.unwrap_or_default(), &records),
+        None => follow::apply_records(node, from.unwrap_or_default(), &records),
     }
-    node.feed.recent.borrow_mut().confirm(confirmed);
+    node.replication.recent.borrow_mut().confirm(confirmed);
     confirmed.elapsed() <= STALE
 }
--- /dev/null
+++ b/crates/havenladder/src/entry/replication_server.rs
@@ -0,0 +1,77 @@
+//! Gives entries their places, and tells followers what is new.
+
+use super::{
+    node::Node,
+    replication::{MAX_HOLD, Missing, Request, Response, Update},
+};
+use clock::{Instant, timer};
+use fleet::{Admission, Seeker, Source};
+use serde_bytes::ByteBuf;
+use std::time::Duration;
+
+/// Tells an entry where it is to have its news from; only an owner does.
+pub fn assign(node: &Node, follower: Seeker) -> Source {
+    let mut readers = node.replication.readers.borrow_mut();
+    readers.place(follower, rand::random::<u32>() as usize, Instant::now())
+}
+
+/// Answers a follower once there is news for it, or sends it on.
+pub async fn respond(node: &Node, request: Request) -> Response {
+    let began = Instant::now();
+    let admission = {
+        let mut followers = node.replication.followers.borrow_mut();
+        followers.admit(
+            request.follower.clone(),
+            rand::random::<u32>() as usize,
+            began,
+        )
+    };
+    if let Admission::At(other) = admission {
+        return Response::Redirect(other);
+    }
+    loop {
+        let update = node.replication.updated.notified();
+        if is_behind(node, &request) {
+            break;
+        }
+        if timer::timeout_at(began + MAX_HOLD, update).await.is_err() {
+            break;
+        }
+    }
+    response(node, &request, began.elapsed())
+}
+
+/// Whether this entry knows what a follower does not.
+fn is_behind(node: &Node, request: &Request) -> bool {
+    let Some(end) = node.replication.recent.borrow().end() else {
+        // This entry may just have begun, and know more at once.
+        return false;
+    };
+    request.from.is_none_or(|from| end > from) || node.lease_end.get() > request.end
+}
+
+/// What a follower is told that was kept waiting for so long.
+fn response(node: &Node, request: &Request, held: Duration) -> Response {
+    let now = Instant::now();
+    let recent = node.replication.recent.borrow();
+    let (Some(missing), Some(age)) = (recent.missing_since(request.from), recent.age(now)) else {
+        return Response::Nothing;
+    };
+    let (records, newest) = match missing {
+        Missing::Records(records) => (records, None),
+        Missing::Newest(records) => (records, recent.end()),
+    };
+    let lease = node.lease.borrow().clone();
+    let lease = lease.map(|lease| (lease, node.lease_end.get()));
+    Response::Update(Update {
+        records: records
+            .iter()
+            .map(|record| ByteBuf::from(record.to_vec()))
+            .collect(),
+        newest,
+        lease: lease.filter(|(_, end)| *end > request.end),
+        held,
+        age,
+        contact_age: node.reach.get().quiet_for(now),
+    })
+}
