--- a/crates/havenladder/src/entry/callers/ask.rs
+++ b/crates/havenladder/src/entry/callers/ask.rs
@@ -76,7 +76,7 @@
     loop {
         let left = give_up.saturating_duration_since(Instant::now());
         request.set_left(left.saturating_sub(WAY_BACK));
-        let tell = match node.own() {
+        let tell = match node.as_owner() {
             Some(owner) => {
                 let answer = timer::timeout_at(give_up, owner.answer(request.clone())).await;
                 answer.unwrap_or(PeerResponse::Unsure)
@@ -111,7 +111,7 @@
             return false;
         }
         if now >= look_at {
-            follow::look_soon(node);
+            follow::refresh_soon(node);
         }
         time::sleep(RETRY_INTERVAL).await;
     }
@@ -134,7 +134,7 @@
     };
     match answer {
         Ok(tell) => {
-            node.suspect.set(None);
+            node.suspected_owner.set(None);
             tell
         }
         Err(CallError::Refused) => {
@@ -169,11 +169,11 @@
 /// The owner's port refuses connections. Where it does so twice in a row, 40 ms apart, its process has
 /// ended, and nobody needs to wait for its lease to run out.
 fn suspect(node: &Node, incarnation: IncarnationId) {
-    if node.suspect.replace(Some(incarnation)) == Some(incarnation)
-        && node.refused.get() != Some(incarnation)
+    if node.suspected_owner.replace(Some(incarnation)) == Some(incarnation)
+        && node.ended_owner.get() != Some(incarnation)
     {
         info!(life = incarnation, "the owner's process has ended");
-        node.refused.set(Some(incarnation));
+        node.ended_owner.set(Some(incarnation));
         node.claim_due.notify_one();
     }
 }
--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -6,7 +6,7 @@
     reply,
 };
 use crate::entry::{
-    follow::{Reliance, make_sure},
+    follow::{FreshnessRequirement, ensure_fresh},
     in_force::{Barred, Caller},
     listen::Reply,
     node::{Node, wall_ms},
@@ -43,7 +43,7 @@
     path: String,
     shown: Authorization,
     /// When it came.
-    came: Instant,
+    received_at: Instant,
     /// Until when its caller waits.
     deadline: Instant,
 }
@@ -67,7 +67,7 @@
 
 impl Head {
     fn read(request: &Request<Incoming>) -> Self {
-        let came = Instant::now();
+        let received_at = Instant::now();
         let headers = request.headers();
         let shown = headers.get_all(header::AUTHORIZATION).into_iter();
         Head {
@@ -75,8 +75,8 @@
             host: text(headers, "host").to_owned(),
             path: request.uri().path().to_owned(),
             shown: read_authorization(SCHEME, shown.map(|value| value.to_str().ok())),
-            came,
-            deadline: deadline(headers, came),
+            received_at,
+            deadline: deadline(headers, received_at),
         }
     }
 }
@@ -98,7 +98,7 @@
 /// Answers a request, by its queue, caller, method and job.
 pub(super) async fn handle(node: &Rc<Node>, request: Request<Incoming>) -> Reply {
     let head = Head::read(&request);
-    if !make_sure(node, Reliance::Newest).await {
+    if !ensure_fresh(node, FreshnessRequirement::Newest).await {
         info!(
             path = head.path,
             "refused: the configuration may be too old"
@@ -142,7 +142,7 @@
     };
     // This entry may only be behind: a key may be as new as the call.
     if barred == Barred::Unknown {
-        make_sure(node, Reliance::Unknown(head.came)).await;
+        ensure_fresh(node, FreshnessRequirement::AsOf(head.received_at)).await;
         if let Ok(judged) = judge_now(node, head) {
             return judged;
         }
--- a/crates/havenladder/src/entry/follow.rs
+++ b/crates/havenladder/src/entry/follow.rs
@@ -20,52 +20,52 @@
 
 /// How long a read waits for the next record. A connection that fell silent is noticed soon after
 /// this, and a change must be in force within 2 s.
-const WAIT: Duration = Duration::from_millis(800);
+const READ_HOLD: Duration = Duration::from_millis(800);
 
 /// How long a peer may take to tell what is new.
-const PEER: Duration = Duration::from_millis(150);
+const PEER_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Time until the store is asked again after it did not answer once.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The same after several times: a change must be in force within 2 s.
-const LONGEST_RETRY: Duration = Duration::from_millis(750);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(750);
 
 /// How long a call waits for a look at what is newest: an answer takes some ms, a fifth of a second at 50 times the
 /// usual.
-const LOOK_WAIT: Duration = Duration::from_millis(250);
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Follows the topic for ever, while no other entry tells what is new.
 pub async fn run(node: Rc<Node>) {
     if !node.settings.is_seed && !node.settings.seeds.is_empty() {
         node.replication.wait_for_first_update().await;
     }
-    let mut backoff = Backoff::new(RETRY_INTERVAL, LONGEST_RETRY);
+    let mut backoff = Backoff::new(RETRY_INTERVAL, MAX_RETRY_INTERVAL);
     loop {
         node.replication.wait_until_unfollowing().await;
         let known = node.replication.recent.borrow().end();
         let answered = match known {
-            None => restart(&node).await,
-            Some(from) => read_on(&node, from).await,
+            None => read_newest(&node).await,
+            Some(from) => read_from(&node, from).await,
         };
         if answered {
             backoff.reset();
         } else {
-            ask_peers(&node).await;
+            poll_peers(&node).await;
             time::sleep(backoff.pause(rand::random())).await;
         }
     }
 }
 
 /// Reads the newest records; false without an answer.
-async fn restart(node: &Node) -> bool {
+async fn read_newest(node: &Node) -> bool {
     let sent = Instant::now();
     let Ok(Some(newest)) = store_calls::newest(node, TOPIC).await else {
         return false;
     };
     apply_newest(node, newest.records, newest.end);
     node.replication.recent.borrow_mut().confirm(sent);
-    node.note_freshness(|freshness| freshness.confirm(sent, sent));
+    node.update_freshness(|freshness| freshness.confirm(sent, sent));
     true
 }
 
@@ -77,11 +77,11 @@
 }
 
 /// Reads what stands from an offset on, waiting for it if there is nothing; false without an answer.
-async fn read_on(node: &Node, from: Offset) -> bool {
+async fn read_from(node: &Node, from: Offset) -> bool {
     let sent = Instant::now();
-    match store_calls::read(node, TOPIC, from, WAIT).await {
+    match store_calls::read(node, TOPIC, from, READ_HOLD).await {
         Ok(Read::Records(_, records)) => {
-            apply_read(node, from, &records, sent, WAIT);
+            apply_read(node, from, &records, sent, READ_HOLD);
             true
         }
         Ok(Read::Gone(first)) => {
@@ -100,13 +100,13 @@
 fn apply_read(node: &Node, from: Offset, records: &[Bytes], sent: Instant, wait: Duration) {
     // An answer without records is given when the wait is over; one with records, at any time. This process may have stood
     // still since.
-    let given = if records.is_empty() {
+    let answered_at = if records.is_empty() {
         sent + wait
     } else {
         sent
     };
-    let confirmed = given.min(Instant::now());
-    node.note_freshness(|freshness| freshness.confirm(sent, confirmed));
+    let confirmed = answered_at.min(Instant::now());
+    node.update_freshness(|freshness| freshness.confirm(sent, confirmed));
     node.replication.recent.borrow_mut().confirm(confirmed);
     apply_records(node, from, records);
 }
@@ -127,15 +127,17 @@
 }
 
 /// Asks other entries for what the platform does not tell this one; true if one has answered.
-async fn ask_peers(node: &Node) -> bool {
+async fn poll_peers(node: &Node) -> bool {
     let version = node.in_force.borrow().version();
-    let ask = PeerRequest::Update {
+    let request = PeerRequest::Update {
         version,
         end: node.lease_end.get(),
     };
     for peer in node.peers() {
         let sent = Instant::now();
-        if let Ok(PeerResponse::Update(update)) = peer::call(node, &peer, &ask, sent + PEER).await {
+        if let Ok(PeerResponse::Update(update)) =
+            peer::call(node, &peer, &request, sent + PEER_TIMEOUT).await
+        {
             apply_update(node, update, sent);
             return true;
         }
@@ -152,33 +154,35 @@
         .borrow_mut()
         .adopt(update.config, update.hall_drains);
     let confirmed = sent - Duration::from_millis(update.age);
-    node.note_freshness(|freshness| freshness.confirm(sent, confirmed));
+    node.update_freshness(|freshness| freshness.confirm(sent, confirmed));
 }
 
 /// What a call is about to rely on.
 #[derive(Clone, Copy)]
-pub enum Reliance {
+pub enum FreshnessRequirement {
     /// That the configuration is the newest.
     Newest,
     /// That what it does not know of does not exist, at the moment when the call came.
-    Unknown(Instant),
+    AsOf(Instant),
 }
 
 /// Makes sure of the configuration before a call relies on it, as far as that can be done in a short time. False if the
 /// call is to be refused because that has not been possible for too long.
-pub async fn make_sure(node: &Rc<Node>, reliance: Reliance) -> bool {
-    let until = Instant::now() + LOOK_WAIT;
+pub async fn ensure_fresh(node: &Rc<Node>, requirement: FreshnessRequirement) -> bool {
+    let until = Instant::now() + REFRESH_TIMEOUT;
     loop {
         let now = Instant::now();
-        let looked = node.looked.notified();
-        let next = match reliance {
-            Reliance::Newest => node.freshness.get().next(now),
-            Reliance::Unknown(came) => node.freshness.get().next_unknown(came, now),
+        let refreshed = node.refreshed.notified();
+        let next = match requirement {
+            FreshnessRequirement::Newest => node.freshness.get().next(now),
+            FreshnessRequirement::AsOf(received_at) => {
+                node.freshness.get().next_unknown(received_at, now)
+            }
         };
         match next {
             Next::Go => return true,
             Next::Refuse => return false,
-            Next::Look => begin_look(node),
+            Next::Look => start_refresh(node),
             Next::Join => {}
             Next::Wait(due) => {
                 timer::sleep_until(due.min(until)).await;
@@ -187,7 +191,7 @@
                 }
             }
         }
-        let ended = now < until && timer::timeout_at(until, looked).await.is_ok();
+        let ended = now < until && timer::timeout_at(until, refreshed).await.is_ok();
         if !ended {
             return node.freshness.get().unsure(Instant::now()) != Next::Refuse;
         }
@@ -195,26 +199,26 @@
 }
 
 /// Begins a look, unless one is under way or was a moment ago.
-pub fn look_soon(node: &Rc<Node>) {
+pub fn refresh_soon(node: &Rc<Node>) {
     let now = Instant::now();
     if node.freshness.get().next_unknown(now, now) == Next::Look {
-        begin_look(node);
+        start_refresh(node);
     }
 }
 
 /// Begins a look for what is newer than what this entry knows; all calls that wait share it.
-fn begin_look(node: &Rc<Node>) {
-    node.note_freshness(|freshness| freshness.begin_look(Instant::now()));
+fn start_refresh(node: &Rc<Node>) {
+    node.update_freshness(|freshness| freshness.begin_look(Instant::now()));
     let node = Rc::clone(node);
     task::spawn_local(async move {
-        let answered = look(&node).await;
-        node.note_freshness(|freshness| freshness.end_look(answered));
-        node.looked.notify_waiters();
+        let answered = refresh(&node).await;
+        node.update_freshness(|freshness| freshness.end_look(answered));
+        node.refreshed.notify_waiters();
     });
 }
 
 /// Asks the store, then other entries, for what is newer; true if one has answered.
-async fn look(node: &Node) -> bool {
+async fn refresh(node: &Node) -> bool {
     let sent = Instant::now();
     let known = node.replication.recent.borrow().end();
     if let Some(from) = known
@@ -223,5 +227,5 @@
         apply_read(node, from, &records, sent, Duration::ZERO);
         return true;
     }
-    ask_peers(node).await
+    poll_peers(node).await
 }
--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -59,7 +59,7 @@
 pub(super) async fn read(node: &Node, log: &mut Log, wait: Duration) -> Seen {
     let read = store_calls::read(node, TOPIC, log.end, wait).await;
     if read.is_ok() {
-        node.note_reach(|reach| reach.note_store(Instant::now()));
+        node.update_reach(|reach| reach.note_store(Instant::now()));
     }
     match read {
         Ok(Read::Records(_, records)) if records.is_empty() => Seen::Nothing,
@@ -115,10 +115,10 @@
 /// Takes note that the owner has written a record.
 fn note_heard(node: &Node, log: &mut Log, now: Instant) {
     log.last_renewal = Some(now);
-    node.note_reach(|reach| reach.note_renewal(now));
+    node.update_reach(|reach| reach.note_renewal(now));
     // Whoever writes here lives, whatever its port did behind a cut.
-    node.refused.set(None);
-    node.suspect.set(None);
+    node.ended_owner.set(None);
+    node.suspected_owner.set(None);
 }
 
 /// Takes in new records, of which the last one counts.
@@ -155,7 +155,7 @@
         "owner seen"
     );
     // Whether it answers is not known yet.
-    node.note_reach(fleet::Reach::note_owner);
+    node.update_reach(fleet::Reach::note_owner);
     node.lease_changed.notify_waiters();
 }
 
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -91,7 +91,7 @@
             Holder::EarlierLife
         }
         // Its port refuses connections: its process has ended.
-        Some(lease) if node.refused.get() == Some(lease.incarnation) => Holder::Ended,
+        Some(lease) if node.ended_owner.get() == Some(lease.incarnation) => Holder::Ended,
         Some(_) if node.reach.get().is_owner_silent(Instant::now()) => Holder::Silent,
         Some(_) if node.reach.get().is_owner_heard(Instant::now()) => Holder::Answering,
         Some(_) => Holder::Other,
@@ -148,11 +148,13 @@
     Lease {
         node: node.settings.node.clone(),
         incarnation: node.incarnation,
-        address: node.inner_address(),
+        address: node.peer_address(),
         cpu: node.settings.cpu,
-        unrecorded: node.own().is_some_and(|owner| owner.may_be_unrecorded()),
+        unrecorded: node
+            .as_owner()
+            .is_some_and(|owner| owner.may_be_unrecorded()),
         orders: node
-            .own()
+            .as_owner()
             .is_some_and(|owner| owner.may_have_unrecorded_orders()),
         released: released.is_some(),
         waits: released.map_or(0, |waits| waits.as_millis() as u64),
@@ -320,7 +322,7 @@
     match (renewed, lease) {
         (Some(renewed), Some(lease)) => {
             owner.note_renewal(renewed, &lease);
-            node.note_reach(|reach| reach.note_store(Instant::now()));
+            node.update_reach(|reach| reach.note_store(Instant::now()));
         }
         _ if holds(node) => time::sleep(RETRY_INTERVAL).await,
         _ => {}
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -50,7 +50,7 @@
     /// Where news come from, and who is told.
     pub replication: Replication,
     /// Told when a look for something newer has ended.
-    pub looked: Notify,
+    pub refreshed: Notify,
     /// Who owns the cell.
     pub lease: RefCell<Option<Lease>>,
     /// The end of the lease's log, as far as it is known.
@@ -58,9 +58,9 @@
     /// Told when the owner changes, or this entry is ready to own.
     pub lease_changed: Notify,
     /// The owner whose port refused the last connection.
-    pub suspect: Cell<Option<IncarnationId>>,
+    pub suspected_owner: Cell<Option<IncarnationId>>,
     /// The owner whose port refused a connection, twice in a row.
-    pub refused: Cell<Option<IncarnationId>>,
+    pub ended_owner: Cell<Option<IncarnationId>>,
     /// Told when the lease may be claimed sooner than was planned.
     pub claim_due: Notify,
     /// What this entry owns.
@@ -107,12 +107,12 @@
             in_force,
             freshness: Cell::new(Freshness::new(Instant::now(), patience)),
             replication: Replication::default(),
-            looked: Notify::new(),
+            refreshed: Notify::new(),
             lease_end: Cell::new(0),
             lease: RefCell::default(),
             lease_changed: Notify::new(),
-            suspect: Cell::new(None),
-            refused: Cell::new(None),
+            suspected_owner: Cell::new(None),
+            ended_owner: Cell::new(None),
             claim_due: Notify::new(),
             owner: RefCell::default(),
             stopping: Cell::new(false),
@@ -127,7 +127,7 @@
     }
 
     /// Where this entry takes the calls of others.
-    pub fn inner_address(&self) -> String {
+    pub fn peer_address(&self) -> String {
         format!("{}:{}", self.settings.ip, self.settings.inner_port)
     }
 
@@ -137,10 +137,10 @@
         let lease = self.lease.borrow();
         let owner = lease.iter().map(|lease| lease.address.clone());
         let seeds = self.settings.seeds.iter().map(|ip| format!("{ip}:{port}"));
-        let own = self.inner_address();
+        let own_address = self.peer_address();
         owner
             .chain(seeds)
-            .filter(|address| *address != own)
+            .filter(|address| *address != own_address)
             .collect()
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// The owner, if this entry is it.
-    pub fn own(&self) -> Option<Rc<Owner>> {
+    pub fn as_owner(&self) -> Option<Rc<Owner>> {
         self.owner
             .borrow()
             .as_ref()
@@ -163,9 +163,9 @@
     }
 
     /// Changes what is known of what this entry reaches.
-    pub fn note_reach(&self, note: impl FnOnce(&mut Reach)) {
+    pub fn update_reach(&self, update: impl FnOnce(&mut Reach)) {
         let mut reach = self.reach.get();
-        note(&mut reach);
+        update(&mut reach);
         self.reach.set(reach);
     }
 
@@ -175,9 +175,9 @@
     }
 
     /// Changes what is known of how new this entry's configuration is.
-    pub fn note_freshness(&self, note: impl FnOnce(&mut Freshness)) {
+    pub fn update_freshness(&self, update: impl FnOnce(&mut Freshness)) {
         let mut freshness = self.freshness.get();
-        note(&mut freshness);
+        update(&mut freshness);
         self.freshness.set(freshness);
     }
 }
--- a/crates/havenladder/src/entry/owner/answer.rs
+++ b/crates/havenladder/src/entry/owner/answer.rs
@@ -57,7 +57,7 @@
     fn newer(&self, request: &CallerRequest) -> Option<Version> {
         let version = self.node.in_force.borrow().version();
         if version < request.version {
-            follow::look_soon(&self.node);
+            follow::refresh_soon(&self.node);
         }
         (version > request.version).then_some(version)
     }
--- a/crates/havenladder/src/entry/owner/vm_orders.rs
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -96,7 +96,7 @@
     fn holder(&self) -> Holder {
         Holder {
             life: self.node.incarnation,
-            address: self.node.inner_address(),
+            address: self.node.peer_address(),
         }
     }
 }
@@ -131,7 +131,7 @@
 /// Which life answers at an earlier owner's address; none if nobody does.
 async fn poll_incarnation(owner: &Owner, holder: &Holder) -> Option<u64> {
     let node = &owner.node;
-    if holder.address == node.inner_address() {
+    if holder.address == node.peer_address() {
         return Some(node.incarnation);
     }
     match peer::call(
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -220,7 +220,7 @@
         *response.status_mut() = StatusCode::BAD_REQUEST;
         return response;
     };
-    let response = match (request, node.own()) {
+    let response = match (request, node.as_owner()) {
         (PeerRequest::Update { version, end }, _) => {
             PeerResponse::Update(update(&node, version, end))
         }
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -103,7 +103,7 @@
             }
             // A port that refuses shows that the owner's process has ended.
             Err(error) if is_owner && !error.is_refused() => {
-                node.note_reach(|reach| reach.note_silence(Instant::now()));
+                node.update_reach(|reach| reach.note_silence(Instant::now()));
             }
             Ok(_) | Err(_) => {}
         }
@@ -132,11 +132,11 @@
 /// Takes note of an entry that answered.
 fn note_presence(node: &Node, address: Address, presence: Presence, is_owner: bool) {
     if is_owner {
-        node.note_reach(|reach| reach.note_answer(Instant::now()));
+        node.update_reach(|reach| reach.note_answer(Instant::now()));
     }
     let own = &node.settings.hall;
     if presence.hall != *own {
-        node.note_reach(|reach| reach.note_peer(Instant::now()));
+        node.update_reach(|reach| reach.note_peer(Instant::now()));
     }
     let heard = presence.known.into_iter().chain([(address, presence.hall)]);
     let mut directory = node.directory.borrow_mut();
--- a/crates/havenladder/src/entry/replication_client.rs
+++ b/crates/havenladder/src/entry/replication_client.rs
@@ -33,7 +33,7 @@
 fn follower(node: &Node) -> Seeker {
     let age = node.replication.recent.borrow().age(Instant::now());
     Seeker {
-        address: node.inner_address(),
+        address: node.peer_address(),
         hall: node.settings.hall.clone(),
         cpu: node.settings.cpu,
         age: age.unwrap_or(UNKNOWN_AGE),
@@ -61,7 +61,7 @@
 
 /// Asks the owner where this entry is to have its news from; none where that cannot be known now.
 async fn request_assignment(node: &Node) -> Option<Source> {
-    if node.own().is_some() || node.stopping.get() {
+    if node.as_owner().is_some() || node.stopping.get() {
         return None;
     }
     let lease = node.lease.borrow().clone();
@@ -83,7 +83,7 @@
 /// Follows an entry, or those to which it is sent on, for as long as that has news.
 async fn follow_from(node: &Node, mut source: Address) {
     let mut hops = 0;
-    while node.own().is_none() && !node.stopping.get() {
+    while node.as_owner().is_none() && !node.stopping.get() {
         let from = node.replication.recent.borrow().end();
         let sent = Instant::now();
         let request = PeerRequest::Replication(Request {
@@ -100,7 +100,7 @@
                 hops = 0;
             }
             Ok(PeerResponse::Replication(Response::Redirect(next)))
-                if hops < MAX_HOPS && next != node.inner_address() =>
+                if hops < MAX_HOPS && next != node.peer_address() =>
             {
                 source = next;
                 hops += 1;
@@ -117,8 +117,8 @@
     let (confirmed, contacted) = (given - update.age, given - update.contact_age);
     let records = update.records.into_iter();
     let records: Vec<_> = records.map(|record| record.into_vec().into()).collect();
-    node.note_freshness(|freshness| freshness.confirm(confirmed, confirmed));
-    node.note_reach(|reach| reach.note_store(contacted));
+    node.update_freshness(|freshness| freshness.confirm(confirmed, confirmed));
+    node.update_reach(|reach| reach.note_store(contacted));
     if let Some((lease, end)) = update.lease {
         set_lease(node, lease, end);
     }
