--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -2,12 +2,12 @@
 //! be had: where the owner, or another entry, knows a newer one, it is judged anew.
 
 use super::{
-    ask::{Answer, ask},
+    owner_request::{OwnerReply, request_owner},
     reply,
 };
 use crate::entry::{
     follow::{FreshnessRequirement, ensure_fresh},
-    in_force::{Barred, Caller},
+    in_force::{Caller, Unauthorized},
     listen::Reply,
     node::{Node, wall_ms},
     peer::{self, CallerOperation},
@@ -31,17 +31,17 @@
 use workspaces::{Authorization, read_authorization};
 
 /// The longest body of a job; the platform's pages name 262,144 bytes.
-const LONGEST: usize = 262_144;
+const MAX_BODY_BYTES: usize = 262_144;
 
 /// How long a caller waits if it does not say.
-const DEADLINE: Duration = Duration::from_millis(3_000);
+const DEFAULT_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// What a call says, before its body is read.
-struct Head {
+struct RequestHead {
     method: Method,
     host: String,
     path: String,
-    shown: Authorization,
+    authorization: Authorization,
     /// When it came.
     received_at: Instant,
     /// Until when its caller waits.
@@ -58,23 +58,26 @@
 }
 
 /// What becomes of a call before the owner is asked.
-enum Judged {
+enum Authentication {
     /// It is let in.
-    In(Admitted),
+    Admitted(Admitted),
     /// It is not, and this is why.
-    Out(Reply),
+    Rejected(Reply),
 }
 
-impl Head {
+impl RequestHead {
     fn read(request: &Request<Incoming>) -> Self {
         let received_at = Instant::now();
         let headers = request.headers();
-        let shown = headers.get_all(header::AUTHORIZATION).into_iter();
-        Head {
+        let authorization = headers.get_all(header::AUTHORIZATION).into_iter();
+        RequestHead {
             method: request.method().clone(),
             host: text(headers, "host").to_owned(),
             path: request.uri().path().to_owned(),
-            shown: read_authorization(SCHEME, shown.map(|value| value.to_str().ok())),
+            authorization: read_authorization(
+                SCHEME,
+                authorization.map(|value| value.to_str().ok()),
+            ),
             received_at,
             deadline: deadline(headers, received_at),
         }
@@ -91,13 +94,13 @@
 fn deadline(headers: &HeaderMap, now: Instant) -> Instant {
     let ms = text(headers, HEADER_DEADLINE)
         .parse()
-        .map_or(DEADLINE, Duration::from_millis);
-    now + ms.min(DEADLINE * 20)
+        .map_or(DEFAULT_TIMEOUT, Duration::from_millis);
+    now + ms.min(DEFAULT_TIMEOUT * 20)
 }
 
 /// Answers a request, by its queue, caller, method and job.
 pub(super) async fn handle(node: &Rc<Node>, request: Request<Incoming>) -> Reply {
-    let head = Head::read(&request);
+    let head = RequestHead::read(&request);
     if !ensure_fresh(node, FreshnessRequirement::Newest).await {
         info!(
             path = head.path,
@@ -105,49 +108,51 @@
         );
         return reply(StatusCode::SERVICE_UNAVAILABLE, "");
     }
-    let mut admitted = match judge(node, &head).await {
-        Judged::In(admitted) => admitted,
-        Judged::Out(reply) => return reply,
+    let mut admitted = match authenticate(node, &head).await {
+        Authentication::Admitted(admitted) => admitted,
+        Authentication::Rejected(reply) => return reply,
     };
-    let wanted = match read_wanted(&head, &admitted, request.into_body()).await {
-        Ok(wanted) => wanted,
+    let operation = match read_operation(&head, &admitted, request.into_body()).await {
+        Ok(operation) => operation,
         Err(reply) => return reply,
     };
-    let mut unsure = false;
+    let mut may_have_run = false;
     loop {
         let request = peer::CallerRequest {
             caller: admitted.caller.clone(),
             queue: admitted.queue.name.clone(),
             version: admitted.version,
-            operation: wanted.put(&admitted),
+            operation: operation.for_owner(&admitted),
         };
-        unsure = match ask(node, request, unsure, head.deadline).await {
-            Answer::Final(reply) => return reply,
-            Answer::Outdated { sent } => sent,
+        may_have_run = match request_owner(node, request, may_have_run, head.deadline).await {
+            OwnerReply::Final(reply) => return reply,
+            OwnerReply::Outdated { may_have_run } => may_have_run,
         };
-        match judge(node, &head).await {
-            Judged::In(anew) => admitted = anew,
+        match authenticate(node, &head).await {
+            Authentication::Admitted(again) => admitted = again,
             // That it has not run would not be true for certain.
-            Judged::Out(_) if unsure => return reply(StatusCode::GATEWAY_TIMEOUT, ""),
-            Judged::Out(reply) => return reply,
+            Authentication::Rejected(_) if may_have_run => {
+                return reply(StatusCode::GATEWAY_TIMEOUT, "");
+            }
+            Authentication::Rejected(reply) => return reply,
         }
     }
 }
 
 /// Finds a call's queue and who makes it.
-async fn judge(node: &Rc<Node>, head: &Head) -> Judged {
-    let barred = match judge_now(node, head) {
-        Ok(judged) => return judged,
-        Err(barred) => barred,
+async fn authenticate(node: &Rc<Node>, head: &RequestHead) -> Authentication {
+    let unauthorized = match authenticate_now(node, head) {
+        Ok(authentication) => return authentication,
+        Err(unauthorized) => unauthorized,
     };
     // This entry may only be behind: a key may be as new as the call.
-    if barred == Barred::Unknown {
+    if unauthorized == Unauthorized::Unknown {
         ensure_fresh(node, FreshnessRequirement::AsOf(head.received_at)).await;
-        if let Ok(judged) = judge_now(node, head) {
-            return judged;
+        if let Ok(authentication) = authenticate_now(node, head) {
+            return authentication;
         }
     }
-    Judged::Out(bar(node, head, barred))
+    Authentication::Rejected(reject_unauthorized(node, head, unauthorized))
 }
 
 /// The same by what this entry knows now.
@@ -155,16 +160,19 @@
 /// # Errors
 ///
 /// Tells why the call is not let in, where that is for its key.
-fn judge_now(node: &Node, head: &Head) -> Result<Judged, Barred> {
+fn authenticate_now(node: &Node, head: &RequestHead) -> Result<Authentication, Unauthorized> {
     let in_force = node.in_force.borrow();
     let Some(config) = in_force.config() else {
-        return Ok(Judged::Out(reply(StatusCode::SERVICE_UNAVAILABLE, "")));
+        return Ok(Authentication::Rejected(reply(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "",
+        )));
     };
     let Some(queue) = config.queue(&head.host, &head.path) else {
-        return Ok(Judged::Out(reply(StatusCode::NOT_FOUND, "")));
+        return Ok(Authentication::Rejected(reply(StatusCode::NOT_FOUND, "")));
     };
-    let caller = in_force.judge(queue, &head.shown)?;
-    Ok(Judged::In(Admitted {
+    let caller = in_force.authenticate(queue, &head.authorization)?;
+    Ok(Authentication::Admitted(Admitted {
         queue: queue.clone(),
         caller,
         version: config.version,
@@ -173,8 +181,8 @@
 }
 
 /// The answer to a call that is not let in for its key. Nothing of it has run.
-fn bar(node: &Node, head: &Head, barred: Barred) -> Reply {
-    let reason = barred.reason();
+fn reject_unauthorized(node: &Node, head: &RequestHead, unauthorized: Unauthorized) -> Reply {
+    let reason = unauthorized.reason();
     let version = node.in_force.borrow().version();
     node.metrics.barred(reason);
     info!(method = %head.method, path = head.path, reason, version, "not let in");
@@ -186,24 +194,24 @@
 }
 
 /// What a call asks for, by its method, path and body.
-enum Wanted {
+enum Operation {
     Submit(JobId, JobSpec),
     Cancel(JobId),
     State(JobId),
     Pending,
 }
 
-impl Wanted {
+impl Operation {
     /// The same as it is put to the owner; a job that is handed in takes what its queue says now.
-    fn put(&self, admitted: &Admitted) -> CallerOperation {
+    fn for_owner(&self, admitted: &Admitted) -> CallerOperation {
         match self {
-            Wanted::Submit(id, spec) => CallerOperation::Submit {
+            Operation::Submit(id, spec) => CallerOperation::Submit {
                 submission: submission(admitted, *id, spec.clone()),
                 timeout_ms: 0,
             },
-            Wanted::Cancel(id) => CallerOperation::Cancel(*id),
-            Wanted::State(id) => CallerOperation::State(*id),
-            Wanted::Pending => CallerOperation::Pending,
+            Operation::Cancel(id) => CallerOperation::Cancel(*id),
+            Operation::State(id) => CallerOperation::State(*id),
+            Operation::Pending => CallerOperation::Pending,
         }
     }
 }
@@ -213,18 +221,22 @@
 /// # Errors
 ///
 /// Fails with the answer for its caller where the path is no job's, there is no such method, or the body is odd.
-async fn read_wanted(head: &Head, admitted: &Admitted, body: Incoming) -> Result<Wanted, Reply> {
+async fn read_operation(
+    head: &RequestHead,
+    admitted: &Admitted,
+    body: Incoming,
+) -> Result<Operation, Reply> {
     if head.method == Method::GET && admitted.rest.is_empty() {
-        return Ok(Wanted::Pending);
+        return Ok(Operation::Pending);
     }
     let Some(id) = read_id(&admitted.rest) else {
         let body = "{\"error\":\"a job's id is 16 hex digits\"}";
         return Err(reply(StatusCode::BAD_REQUEST, body));
     };
     match head.method {
-        Method::GET => Ok(Wanted::State(id)),
-        Method::DELETE => Ok(Wanted::Cancel(id)),
-        Method::POST => Ok(Wanted::Submit(id, read_spec(id, body).await?)),
+        Method::GET => Ok(Operation::State(id)),
+        Method::DELETE => Ok(Operation::Cancel(id)),
+        Method::POST => Ok(Operation::Submit(id, read_spec(id, body).await?)),
         _ => Err(reply(StatusCode::METHOD_NOT_ALLOWED, "")),
     }
 }
@@ -235,7 +247,7 @@
 ///
 /// Fails with the answer for its caller where the body is too long or odd.
 async fn read_spec(id: JobId, body: Incoming) -> Result<JobSpec, Reply> {
-    let Ok(body) = Limited::new(body, LONGEST).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         return Err(reply(StatusCode::PAYLOAD_TOO_LARGE, ""));
     };
     decode_spec(&body.to_bytes()).map_err(|why| {
--- a/crates/havenladder/src/entry/callers/mod.rs
+++ b/crates/havenladder/src/entry/callers/mod.rs
@@ -1,7 +1,7 @@
 //! Takes the calls of consumers and of the platform's balancer.
 
-mod ask;
 mod call;
+mod owner_request;
 
 use super::{
     listen::{self, Reply, accept_each},
--- a/crates/havenladder/src/entry/follow.rs
+++ b/crates/havenladder/src/entry/follow.rs
@@ -118,7 +118,7 @@
     for (offset, record) in (from..).zip(records) {
         recent.append(offset, record);
         if let Some(record) = split_keyed(record.clone()) {
-            in_force.take(record, offset);
+            in_force.apply(record, offset);
         }
     }
     if !records.is_empty() {
--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -19,11 +19,11 @@
 
 /// A configuration as operators wrote it. Its `Debug` form does not show it, since it holds keys.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Written(#[serde(with = "serde_bytes")] pub Vec<u8>);
+pub struct RawConfig(#[serde(with = "serde_bytes")] pub Vec<u8>);
 
-impl fmt::Debug for Written {
+impl fmt::Debug for RawConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Written({} bytes)", self.0.len())
+        write!(f, "RawConfig({} bytes)", self.0.len())
     }
 }
 
@@ -39,7 +39,7 @@
 
 /// Why a call is not let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Barred {
+pub enum Unauthorized {
     /// It shows no key.
     Missing,
     /// What it shows is no key.
@@ -48,13 +48,13 @@
     Unknown,
 }
 
-impl Barred {
+impl Unauthorized {
     /// What its caller, the log and the metrics are told.
     pub fn reason(self) -> &'static str {
         match self {
-            Barred::Missing => "no key",
-            Barred::Malformed => "malformed key",
-            Barred::Unknown => "unknown key",
+            Unauthorized::Missing => "no key",
+            Unauthorized::Malformed => "malformed key",
+            Unauthorized::Unknown => "unknown key",
         }
     }
 }
@@ -63,7 +63,7 @@
 #[derive(Default)]
 pub struct InForce {
     config: Option<Rc<Config>>,
-    written: Option<Bytes>,
+    raw_config: Option<Bytes>,
     rows: Rows,
     keyring: Keyring,
     waves: BTreeMap<u64, Wave>,
@@ -92,10 +92,10 @@
     }
 
     /// The newest configuration as it was written, if it is newer than a version.
-    pub fn written_after(&self, version: Version) -> Option<Written> {
-        let written = self.written.as_ref();
-        let newer = written.filter(|_| self.version() > version);
-        newer.map(|written| Written(written.to_vec()))
+    pub fn raw_config_after(&self, version: Version) -> Option<RawConfig> {
+        let raw_config = self.raw_config.as_ref();
+        let newer = raw_config.filter(|_| self.version() > version);
+        newer.map(|raw_config| RawConfig(raw_config.to_vec()))
     }
 
     /// The waves that operators asked for, by number.
@@ -113,15 +113,19 @@
     /// # Errors
     ///
     /// Tells why the call is not let in.
-    pub fn judge(&self, queue: &Queue, shown: &Authorization) -> Result<Caller, Barred> {
+    pub fn authenticate(
+        &self,
+        queue: &Queue,
+        authorization: &Authorization,
+    ) -> Result<Caller, Unauthorized> {
         let config = self.config.as_ref();
         let open = queue.open || config.is_none_or(|config| config.workspaces.is_none());
-        match shown {
+        match authorization {
             _ if open => Ok(Caller::Anyone),
-            Authorization::Missing => Err(Barred::Missing),
-            Authorization::Malformed => Err(Barred::Malformed),
+            Authorization::Missing => Err(Unauthorized::Missing),
+            Authorization::Malformed => Err(Unauthorized::Malformed),
             Authorization::Key(key) => {
-                let workspace = self.keyring.find(key).ok_or(Barred::Unknown)?;
+                let workspace = self.keyring.find(key).ok_or(Unauthorized::Unknown)?;
                 Ok(Caller::Workspace(workspace.clone()))
             }
         }
@@ -141,23 +145,25 @@
         });
         // What has no record has been taken back.
         self.adopt_hall_drains(Evacuations::new(halls.collect(), end));
-        newest.into_iter().for_each(|record| self.put(record));
+        newest
+            .into_iter()
+            .for_each(|record| self.apply_record(record));
     }
 
     /// Takes in the record at an offset of the operators' topic.
-    pub fn take(&mut self, record: Keyed, offset: Offset) {
+    pub fn apply(&mut self, record: Keyed, offset: Offset) {
         let order = self.read_order(&record);
         if self.hall_drains.take(order, offset) {
             self.log_hall_drains();
         }
-        self.put(record);
+        self.apply_record(record);
     }
 
     /// Takes in what another entry knows.
-    pub fn adopt(&mut self, config: Option<Written>, hall_drains: Evacuations) {
+    pub fn adopt(&mut self, config: Option<RawConfig>, hall_drains: Evacuations) {
         if let Some(config) = config {
             info!("another entry has a newer configuration");
-            self.take_config(config.0.into());
+            self.apply_config(config.0.into());
         }
         self.adopt_hall_drains(hall_drains);
     }
@@ -197,20 +203,20 @@
     }
 
     /// Puts a configuration or a wave in force.
-    fn put(&mut self, record: Keyed) {
+    fn apply_record(&mut self, record: Keyed) {
         let Some(value) = record.value else { return };
         if record.key == CONFIG_KEY {
-            self.take_config(value);
+            self.apply_config(value);
         } else if record.key.starts_with(WAVE_KEY) {
-            self.take_wave(&record.key, &value);
+            self.add_wave(&record.key, &value);
         }
     }
 
     /// Puts a configuration in force, unless a newer one is.
-    fn take_config(&mut self, value: Bytes) {
+    fn apply_config(&mut self, value: Bytes) {
         // Other entries and looks bring what is in force already, and a large one takes long to read on a weak entry.
-        let is_known = |version| self.config.is_some() && version <= self.version();
-        if operator::read_version(&value).is_some_and(is_known) {
+        let is_old = |version| self.config.is_some() && version <= self.version();
+        if operator::read_version(&value).is_some_and(is_old) {
             return;
         }
         let config = match operator::read_config(&value, &mut self.rows) {
@@ -220,24 +226,24 @@
             }
         };
         let old = self.version();
-        let listed = config.workspaces.as_ref();
+        let workspaces = config.workspaces.as_ref();
         self.keyring
-            .replace(listed.map_or(&[], |listed| listed.rows.as_slice()));
+            .replace(workspaces.map_or(&[], |workspaces| workspaces.rows.as_slice()));
         info!(
             version = config.version,
             old,
             queues = config.routes.len(),
             workspaces = self.keyring.workspaces().count(),
-            odd = ?listed.map(|listed| listed.odd).unwrap_or_default(),
+            odd = ?workspaces.map(|workspaces| workspaces.odd).unwrap_or_default(),
             shared_keys = self.keyring.shared_keys(),
             "configuration in force"
         );
         self.config = Some(Rc::new(config));
-        self.written = Some(value);
+        self.raw_config = Some(value);
     }
 
     /// Takes in a wave; it does not change once it is asked for.
-    fn take_wave(&mut self, key: &str, value: &Bytes) {
+    fn add_wave(&mut self, key: &str, value: &Bytes) {
         match operator::read_wave(value) {
             Ok(wave) => {
                 let (number, vms, most) = (wave.number, wave.vms.len(), wave.most);
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -1,7 +1,7 @@
 //! What entries ask of the cell's owner, over HTTP with MessagePack.
 
 use super::{
-    in_force::{Caller, Written},
+    in_force::{Caller, RawConfig},
     lease_record::release_for,
     listen::{self, Reply, accept_each},
     node::{Lease, Node},
@@ -136,7 +136,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The configuration, as operators wrote it, if it is newer.
-    pub config: Option<Written>,
+    pub config: Option<RawConfig>,
     /// The lease and the end of its log, if it is newer.
     pub lease: Option<(Lease, u64)>,
     /// The data centres that are to be emptied.
@@ -260,7 +260,7 @@
         .clone()
         .map(|lease| (lease, node.lease_end.get()));
     Update {
-        config: node.in_force.borrow().written_after(version),
+        config: node.in_force.borrow().raw_config_after(version),
         lease: lease.filter(|(_, known)| *known > end),
         hall_drains: node.in_force.borrow().hall_drains().clone(),
         age: node.freshness.get().age(Instant::now()).as_millis() as u64,
