--- a/crates/havenladder/src/entry/callers/owner_request.rs
+++ b/crates/havenladder/src/entry/callers/owner_request.rs
@@ -60,7 +60,7 @@
 ) -> OwnerReply {
     tokio::select! {
         answer = request_until(node, request, may_have_run, deadline) => answer,
-        never = suspension::watch(node) => match never {},
+        never = suspension::check_periodically(node) => match never {},
     }
 }
 
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -66,7 +66,7 @@
             seen = log::next(&node, &mut log, wait) => seen,
             () = node.claim_due.notified() => Seen::Records,
         };
-        suspension::notice(&node);
+        suspension::check(&node);
         match seen {
             Seen::Nothing if next(&node, &mut log) == Claim::Now => claim(&node, &mut log).await,
             Seen::Records => ask_for(&node, &log),
@@ -253,7 +253,7 @@
     let owner = own_cell::start(node, log.end, log.before, since);
     loop {
         wait_for_turn(node, &owner).await;
-        suspension::notice(node);
+        suspension::check(node);
         match next_step(node, &owner) {
             Step::Renew => tokio::select! {
                 () = renew(node, log, &owner) => {}
@@ -278,7 +278,7 @@
 async fn ask_meanwhile(owner: &Rc<Owner>) -> Infallible {
     loop {
         time::sleep(SLOW_RENEWAL).await;
-        outage::ask(owner);
+        outage::start_check(owner);
     }
 }
 
--- a/crates/havenladder/src/entry/lease_record.rs
+++ b/crates/havenladder/src/entry/lease_record.rs
@@ -2,7 +2,7 @@
 
 use super::{
     node::{Lease, Node},
-    store_calls::{self, Matter},
+    store_calls::{self, AppendKind},
 };
 use adapter::store::{Appended, Condition, Offset, frame_plain};
 use tracing::info;
@@ -14,7 +14,7 @@
 pub async fn append(node: &Node, at: Offset, lease: &Lease) -> Option<Appended> {
     let bytes = rmp_serde::to_vec(lease).expect("plain data has a form in MessagePack");
     let body = frame_plain([bytes.as_slice()]);
-    let call = store_calls::append(node, Matter::Lease, TOPIC, Condition::At(at), body);
+    let call = store_calls::append(node, AppendKind::Lease, TOPIC, Condition::At(at), body);
     call.await.ok()
 }
 
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -78,7 +78,7 @@
     let mut pulse = Pulse::new(Instant::now());
     while owner.is_alive() {
         let _ = time::timeout(LONGEST_GAP, owner.wake.notified()).await;
-        suspension::notice(&owner.node);
+        suspension::check(&owner.node);
         let began = Instant::now();
         let mut batch = decide(owner);
         pulse.note_round(owner, began.elapsed());
--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -4,7 +4,7 @@
 use crate::entry::{
     node::wall_ms,
     outage,
-    store_calls::{self, Matter},
+    store_calls::{self, AppendKind},
 };
 use adapter::store::{Appended, Condition, frame_keyed};
 use clock::Instant;
@@ -61,7 +61,13 @@
         sequence,
     };
     while owner.is_alive() {
-        let call = store_calls::append(&owner.node, Matter::Jobs, TOPIC, condition, body.clone());
+        let call = store_calls::append(
+            &owner.node,
+            AppendKind::Jobs,
+            TOPIC,
+            condition,
+            body.clone(),
+        );
         match meanwhile(owner, call, starts).await {
             Ok(Appended::Done(_)) => return true,
             Ok(Appended::Fenced) => owner.end("a newer owner appends"),
@@ -90,7 +96,7 @@
             return outcome;
         }
         if owner.has_waited(SLOW) && owner.loaded.get() && owner.may_hold() {
-            outage::ask(owner);
+            outage::start_check(owner);
             if owner.stall().may_go_on() {
                 owner.unrecorded.set(Some(Instant::now()));
                 go_on(owner, starts);
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -231,7 +231,7 @@
         (PeerRequest::Assignment(follower), Some(_)) => {
             PeerResponse::Assignment(replication_server::assign(&node, follower))
         }
-        (PeerRequest::Outage, _) => outage::tell(&node).await,
+        (PeerRequest::Outage, _) => outage::report(&node).await,
         (PeerRequest::Release(lease), _) => release_for_owner(&node, *lease).await,
         (PeerRequest::HandOver { cpu }, Some(owner)) => owner.hand_over(cpu),
         (PeerRequest::Caller(request), Some(owner)) => owner.answer(*request).await,
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -20,7 +20,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How many entries of other data centres are remembered: enough that some of them live.
-const REMEMBERED: usize = 6;
+const MAX_DIRECTORY_ENTRIES: usize = 6;
 
 /// Where an entry takes the calls of others, as IP and port.
 type Address = String;
@@ -51,17 +51,17 @@
 /// Finds out what this entry reaches, whenever that is in doubt.
 pub async fn run(node: Rc<Node>) {
     // Who there is to be asked is learnt while all is well.
-    ask_all(&node).await;
+    poll_entries(&node).await;
     loop {
-        wait_for_doubt(&node).await;
-        ask_all(&node).await;
-        judge(&node);
+        wait_until_check_due(&node).await;
+        poll_entries(&node).await;
+        evaluate(&node);
         time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Waits until nothing has been heard from outside for a while, or the owner did not answer.
-async fn wait_for_doubt(node: &Node) {
+async fn wait_until_check_due(node: &Node) {
     if node.cut_off.get() {
         return;
     }
@@ -73,10 +73,10 @@
 }
 
 /// Asks the owner, the seeds and some entries of other data centres at the same time whether they are there.
-async fn ask_all(node: &Rc<Node>) {
+async fn poll_entries(node: &Rc<Node>) {
     let owner = owner_address(node);
     let deadline = Instant::now() + INCARNATION_TIMEOUT;
-    let asks: Vec<_> = node
+    let requests: Vec<_> = node
         .known_entries()
         .into_iter()
         .map(|address| {
@@ -89,8 +89,8 @@
         .collect();
     let began = Instant::now();
     let mut missing = Vec::new();
-    for ask in asks {
-        let Ok((address, answer)) = ask.await else {
+    for request in requests {
+        let Ok((address, answer)) = request.await else {
             continue;
         };
         if answer.is_err() {
@@ -99,7 +99,7 @@
         let is_owner = owner.as_ref() == Some(&address);
         match answer {
             Ok(PeerResponse::Incarnation(presence)) => {
-                note_presence(node, address, presence, is_owner)
+                record_presence(node, address, presence, is_owner)
             }
             // A port that refuses shows that the owner's process has ended.
             Err(error) if is_owner && !error.is_refused() => {
@@ -108,12 +108,12 @@
             Ok(_) | Err(_) => {}
         }
     }
-    forget_missing(node, &missing, began);
+    remove_missing(node, &missing, began);
 }
 
 /// Forgets the entries that did not answer where others of other data centres did: they may be gone for good,
 /// and make room for those that the others know.
-fn forget_missing(node: &Node, missing: &[Address], began: Instant) {
+fn remove_missing(node: &Node, missing: &[Address], began: Instant) {
     if node.reach.get().was_peer_heard(began) {
         let mut directory = node.directory.borrow_mut();
         directory.retain(|address, _| !missing.contains(address));
@@ -130,25 +130,25 @@
 }
 
 /// Takes note of an entry that answered.
-fn note_presence(node: &Node, address: Address, presence: Presence, is_owner: bool) {
+fn record_presence(node: &Node, address: Address, presence: Presence, is_owner: bool) {
     if is_owner {
         node.update_reach(|reach| reach.note_answer(Instant::now()));
     }
-    let own = &node.settings.hall;
-    if presence.hall != *own {
+    let own_hall = &node.settings.hall;
+    if presence.hall != *own_hall {
         node.update_reach(|reach| reach.note_peer(Instant::now()));
     }
-    let heard = presence.known.into_iter().chain([(address, presence.hall)]);
+    let reported = presence.known.into_iter().chain([(address, presence.hall)]);
     let mut directory = node.directory.borrow_mut();
-    for (address, hall) in heard.filter(|(_, hall)| hall != own) {
-        if directory.len() < REMEMBERED {
+    for (address, hall) in reported.filter(|(_, hall)| hall != own_hall) {
+        if directory.len() < MAX_DIRECTORY_ENTRIES {
             directory.entry(address).or_insert(hall);
         }
     }
 }
 
 /// Draws from what was heard whether the entry is cut off, and whether the owner may be replaced sooner.
-fn judge(node: &Node) {
+fn evaluate(node: &Node) {
     let now = Instant::now();
     if node.reach.get().is_owner_silent(now) {
         node.claim_due.notify_one();
--- a/crates/havenladder/src/entry/resend.rs
+++ b/crates/havenladder/src/entry/resend.rs
@@ -17,7 +17,7 @@
 
 /// How late a wait ends where this process has nothing else to do: timers have steps of a ms and a busy thread some
 /// more.
-const LATE: Duration = Duration::from_millis(10);
+const MAX_WAKE_DELAY: Duration = Duration::from_millis(10);
 
 /// How long an answer is waited for.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +38,7 @@
 }
 
 /// A call that is under way has ended: with what, and how long it took.
-type Ended<T> = (Result<T, CallError>, Duration);
+type TimedOutcome<T> = (Result<T, CallError>, Duration);
 
 /// Sends a call that may be repeated until it is answered.
 pub async fn until_answered<T, F>(
@@ -51,21 +51,21 @@
     F: Future<Output = Result<T, CallError>> + 'static,
 {
     let Timeouts { hold, limit } = timeouts;
-    let until = Instant::now() + hold + limit;
+    let deadline = Instant::now() + hold + limit;
     let mut wait = times.get().first_wait();
     let mut calls = 1;
-    let mut under_way = JoinSet::new();
-    under_way.spawn_local(timed(send(Connection::Kept)));
+    let mut in_flight = JoinSet::new();
+    in_flight.spawn_local(timed(send(Connection::Kept)));
     let mut failure = CallError::Unreachable;
-    let mut until_again = hold + wait;
+    let mut until_resend = hold + wait;
     loop {
-        let ended = {
-            let answer = pin!(first_answer(&mut under_way, &mut failure));
-            unless_overdue(answer, until_again).await
+        let finished = {
+            let answer = pin!(first_answer(&mut in_flight, &mut failure));
+            unless_overdue(answer, until_resend).await
         };
-        match ended {
+        match finished {
             Some(Some((answer, took))) => {
-                note(times, hold, took);
+                record_time(times, hold, took);
                 let outcome = Ok(answer);
                 return Answered { outcome, calls };
             }
@@ -73,16 +73,16 @@
                 let outcome = Err(failure);
                 return Answered { outcome, calls };
             }
-            None if Instant::now() >= until => {
+            None if Instant::now() >= deadline => {
                 let outcome = Err(CallError::Unanswered);
                 return Answered { outcome, calls };
             }
             None => {
                 calls += 1;
-                under_way.spawn_local(timed(send(Connection::Fresh)));
+                in_flight.spawn_local(timed(send(Connection::Fresh)));
                 wait = next_wait(wait);
                 // Who waits may have others to ask, and is told in time.
-                until_again = wait.min(until.saturating_duration_since(Instant::now()));
+                until_resend = wait.min(deadline.saturating_duration_since(Instant::now()));
             }
         }
     }
@@ -101,7 +101,7 @@
             return Some(answer);
         }
         let late = due.elapsed();
-        if late < LATE {
+        if late < MAX_WAKE_DELAY {
             return None;
         }
         due = Instant::now() + late;
@@ -109,29 +109,29 @@
 }
 
 /// Times a call.
-async fn timed<T>(call: impl Future<Output = Result<T, CallError>>) -> Ended<T> {
+async fn timed<T>(call: impl Future<Output = Result<T, CallError>>) -> TimedOutcome<T> {
     let began = Instant::now();
     let outcome = call.await;
     (outcome, began.elapsed())
 }
 
 /// Learns from an answer; one that came before its time had something to tell, and could have come any time.
-fn note(times: &Cell<AnswerTime>, hold: Duration, took: Duration) {
+fn record_time(times: &Cell<AnswerTime>, hold: Duration, took: Duration) {
     if let Some(took) = took.checked_sub(hold) {
-        let mut learned = times.get();
-        learned.note(took);
-        times.set(learned);
+        let mut response_time = times.get();
+        response_time.note(took);
+        times.set(response_time);
     }
 }
 
 /// Waits for the first of the calls under way that is answered; none once all have failed. `failure` is then why:
 /// "no answer" where one of them, also one that failed before, may have been carried out.
 async fn first_answer<T: 'static>(
-    under_way: &mut JoinSet<Ended<T>>,
+    in_flight: &mut JoinSet<TimedOutcome<T>>,
     failure: &mut CallError,
 ) -> Option<(T, Duration)> {
-    while let Some(ended) = under_way.join_next().await {
-        match ended {
+    while let Some(finished) = in_flight.join_next().await {
+        match finished {
             Ok((Ok(answer), took)) => return Some((answer, took)),
             Ok((Err(error), _)) if error.is_unsent() && failure.is_unsent() => *failure = error,
             // A call that panicked may have been made.
--- a/crates/havenladder/src/entry/stop.rs
+++ b/crates/havenladder/src/entry/stop.rs
@@ -10,13 +10,13 @@
 
 /// How long callers may still connect after the entry has said that it is not ready: the balancer
 /// asks every second and needs two misses.
-const LINGER: Duration = Duration::from_millis(2_500);
+const CONNECT_GRACE: Duration = Duration::from_millis(2_500);
 
 /// What is left of the time to stop when the process ends whatever it still does.
-const RESERVE: Duration = Duration::from_millis(500);
+const EXIT_RESERVE: Duration = Duration::from_millis(500);
 
 /// Time between two looks at what is still being answered.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until the process has been told to stop and has answered what it had taken.
 pub async fn wait(node: &Rc<Node>) {
@@ -36,10 +36,13 @@
     info!(in_flight = node.in_flight.get(), "told to stop");
     node.stopping.set(true);
     node.stop.notify_waiters();
-    time::sleep(LINGER).await;
-    let grace = node.settings.grace.saturating_sub(LINGER + RESERVE);
-    let end = time::Instant::now() + grace;
-    while node.in_flight.get() > 0 && time::Instant::now() < end {
-        time::sleep(LOOK_INTERVAL).await;
+    time::sleep(CONNECT_GRACE).await;
+    let grace = node
+        .settings
+        .grace
+        .saturating_sub(CONNECT_GRACE + EXIT_RESERVE);
+    let deadline = time::Instant::now() + grace;
+    while node.in_flight.get() > 0 && time::Instant::now() < deadline {
+        time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/havenladder/src/entry/store_calls.rs
+++ b/crates/havenladder/src/entry/store_calls.rs
@@ -17,22 +17,22 @@
 use tracing::info;
 
 /// From how long on an append is logged: ten times what it takes as a rule.
-const LONG: Duration = Duration::from_millis(150);
+const LOG_THRESHOLD: Duration = Duration::from_millis(150);
 
 /// How long an append, and a part of the newest records, is sent again: three answers of a store that is 89 times
 /// slower than usual.
-const APPEND: Timeouts = Timeouts {
+const APPEND_TIMEOUTS: Timeouts = Timeouts {
     hold: Duration::ZERO,
     limit: Duration::from_millis(1_500),
 };
 
 /// How long a read is sent again beyond the time that it waits: an entry that the store turns away must ask others
 /// early enough for a change to be in force within 2 s.
-const READ_LIMIT: Duration = Duration::from_millis(700);
+const READ_RESEND_LIMIT: Duration = Duration::from_millis(700);
 
 /// What an append is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Matter {
+pub enum AppendKind {
     /// Records of jobs.
     Jobs,
     /// The lease.
@@ -41,13 +41,13 @@
     Wave,
 }
 
-impl Matter {
+impl AppendKind {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Matter::Jobs => "jobs",
-            Matter::Lease => "lease",
-            Matter::Wave => "wave",
+            AppendKind::Jobs => "jobs",
+            AppendKind::Lease => "lease",
+            AppendKind::Wave => "wave",
         }
     }
 }
@@ -59,7 +59,7 @@
 /// After a call without an answer the records may be there, or come later.
 pub async fn append(
     node: &Node,
-    matter: Matter,
+    kind: AppendKind,
     topic: &str,
     condition: Condition<'_>,
     body: Bytes,
@@ -70,8 +70,8 @@
         let (store, append) = (node.store.over(connection), append.clone());
         async move { store.append(append).await }
     };
-    let answered = until_answered(&node.store_times, APPEND, send).await;
-    note(node, matter, &answered, began.elapsed());
+    let answered = until_answered(&node.store_times, APPEND_TIMEOUTS, send).await;
+    record_append(node, kind, &answered, began.elapsed());
     answered.outcome
 }
 
@@ -95,7 +95,7 @@
         async move { store.read(topic, from, wait).await }
     };
     node.metrics.read(topic);
-    let limit = READ_LIMIT;
+    let limit = READ_RESEND_LIMIT;
     let answered = until_answered(&node.store_times, Timeouts { hold, limit }, send).await;
     answered.outcome
 }
@@ -126,7 +126,7 @@
             let (store, after) = (node.store.over(connection), after.clone());
             async move { store.newest(topic, after.as_deref()).await }
         };
-        let answered = until_answered(&node.store_times, APPEND, send).await;
+        let answered = until_answered(&node.store_times, APPEND_TIMEOUTS, send).await;
         let Some(part) = answered.outcome? else {
             return Ok(None);
         };
@@ -138,19 +138,19 @@
 }
 
 /// Counts an append, and logs one that was sent more than once, took long or has no answer.
-fn note(node: &Node, matter: Matter, answered: &Answered<Appended>, took: Duration) {
+fn record_append(node: &Node, kind: AppendKind, answered: &Answered<Appended>, took: Duration) {
     let Answered { outcome, calls } = answered;
-    let again = u64::from(calls - 1);
+    let resends = u64::from(calls - 1);
     node.metrics
-        .store_called(matter.name(), name(outcome), again);
-    if outcome.is_err() || again > 0 || took >= LONG {
+        .store_called(kind.name(), outcome_name(outcome), resends);
+    if outcome.is_err() || resends > 0 || took >= LOG_THRESHOLD {
         let ms = took.as_millis() as u64;
-        info!(matter = matter.name(), ?outcome, calls, ms, "append");
+        info!(matter = kind.name(), ?outcome, calls, ms, "append");
     }
 }
 
 /// The name of an outcome in the metrics.
-fn name(outcome: &Result<Appended, CallError>) -> &'static str {
+fn outcome_name(outcome: &Result<Appended, CallError>) -> &'static str {
     match outcome {
         Ok(Appended::Done(_)) => "done",
         Ok(Appended::Busy) => "busy",
--- a/crates/havenladder/src/entry/wave_status.rs
+++ b/crates/havenladder/src/entry/wave_status.rs
@@ -2,7 +2,7 @@
 
 use super::{
     owner::Owner,
-    store_calls::{self, Matter},
+    store_calls::{self, AppendKind},
 };
 use adapter::{
     operator::{STATUS_TOPIC, WAVE_KEY, WaveState, write_wave},
@@ -21,7 +21,13 @@
     let body = frame_keyed([(key.as_str(), Some(value.as_ref()))]);
     for _ in 0..TRIES {
         let at = Condition::At(owner.status_end.get());
-        let call = store_calls::append(&owner.node, Matter::Wave, STATUS_TOPIC, at, body.clone());
+        let call = store_calls::append(
+            &owner.node,
+            AppendKind::Wave,
+            STATUS_TOPIC,
+            at,
+            body.clone(),
+        );
         match call.await {
             Ok(Appended::Done(end)) => {
                 owner.status_end.set(end);
