--- a/crates/havenladder/src/entry/callers/owner_request.rs
+++ b/crates/havenladder/src/entry/callers/owner_request.rs
@@ -78,7 +78,7 @@
         request.set_left(left.saturating_sub(RESPONSE_RESERVE));
         let response = match node.as_owner() {
             Some(owner) => {
-                let answer = timer::timeout_at(abandon_at, owner.answer(request.clone())).await;
+                let answer = timer::timeout_at(abandon_at, owner.handle(request.clone())).await;
                 answer.unwrap_or(PeerResponse::Unsure)
             }
             None if node.cut_off.get() => {
--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -22,77 +22,77 @@
     /// The end of the log, as far as it was read.
     pub(super) end: Offset,
     /// When this entry may claim, and from whom it should.
-    pub(super) tenure: Tenure,
+    pub(super) election: Tenure,
     /// Which life of an entry has written the newest record, and whether it gave the cell up with it.
     pub(super) holder: Option<(IncarnationId, bool)>,
     /// When a renewal of the current owner was last read.
     pub(super) last_renewal: Option<Instant>,
     /// When the store last did not answer.
-    pub(super) trouble: Option<Instant>,
+    pub(super) last_outage: Option<Instant>,
     /// What was known of the owner when this entry last claimed.
-    pub(super) before: Predecessor,
+    pub(super) predecessor: Predecessor,
     /// For which place this entry last sent a record, and since when.
-    pub(super) sent: Option<FirstSent>,
+    pub(super) first_sent: Option<FirstSent>,
 }
 
 impl Log {
     /// The earliest moment at which the log can have taken its newest record, if this entry sent it.
-    pub(super) fn taken(&self) -> Option<Instant> {
-        let place = self.end.checked_sub(1)?;
-        self.sent.and_then(|sent| sent.earliest(place))
+    pub(super) fn earliest_append(&self) -> Option<Instant> {
+        let offset = self.end.checked_sub(1)?;
+        self.first_sent.and_then(|sent| sent.earliest(offset))
     }
 }
 
 /// What a read of the lease's records found.
-pub(super) enum Seen {
+pub(super) enum ReadOutcome {
     /// New records.
     Records,
     /// None, and the store answered.
     Nothing,
     /// The store was not asked: there is news of another kind.
-    Unasked,
+    NotRead,
     /// The store did not answer.
     Failed,
 }
 
 /// Reads on and takes in what the newest record says.
-pub(super) async fn read(node: &Node, log: &mut Log, wait: Duration) -> Seen {
+pub(super) async fn read(node: &Node, log: &mut Log, wait: Duration) -> ReadOutcome {
     let read = store_calls::read(node, TOPIC, log.end, wait).await;
     if read.is_ok() {
         node.update_reach(|reach| reach.note_store(Instant::now()));
     }
     match read {
-        Ok(Read::Records(_, records)) if records.is_empty() => Seen::Nothing,
+        Ok(Read::Records(_, records)) if records.is_empty() => ReadOutcome::Nothing,
         Ok(Read::Records(_, records)) => {
             apply_records(node, log, &records);
-            Seen::Records
+            ReadOutcome::Records
         }
         Ok(Read::Gone(first)) => {
             log.end = first;
-            Seen::Records
+            ReadOutcome::Records
         }
         Ok(Read::Busy) | Err(_) => {
             let now = Instant::now();
-            log.tenure.note_trouble(now);
-            log.trouble = Some(now);
+            log.election.note_trouble(now);
+            log.last_outage = Some(now);
             time::sleep(RETRY_INTERVAL).await;
-            Seen::Failed
+            ReadOutcome::Failed
         }
     }
 }
 
 /// Waits for the next records: those that the entry tells that this one follows, or those that it reads.
-pub(super) async fn next(node: &Node, log: &mut Log, wait: Duration) -> Seen {
+pub(super) async fn next(node: &Node, log: &mut Log, wait: Duration) -> ReadOutcome {
     if wait.is_zero() || !node.replication.follows() {
         return read(node, log, wait).await;
     }
     let update = node.replication.updated.notified();
     if apply_received(node, log) {
-        return Seen::Records;
+        return ReadOutcome::Records;
     }
     match time::timeout(wait, update).await {
-        Ok(()) if apply_received(node, log) => Seen::Records,
-        Ok(()) => Seen::Unasked,
+        Ok(()) if apply_received(node, log) => ReadOutcome::Records,
+        Ok(()) => ReadOutcome::NotRead,
         // It is time to claim, if the log has nothing newer.
         Err(_) => read(node, log, Duration::ZERO).await,
     }
@@ -107,13 +107,13 @@
     };
     let now = Instant::now();
     log.end = end;
-    note_heard(node, log, now);
-    note_tenure(log, &lease, now);
+    record_owner_contact(node, log, now);
+    update_election(log, &lease, now);
     true
 }
 
 /// Takes note that the owner has written a record.
-fn note_heard(node: &Node, log: &mut Log, now: Instant) {
+fn record_owner_contact(node: &Node, log: &mut Log, now: Instant) {
     log.last_renewal = Some(now);
     node.update_reach(|reach| reach.note_renewal(now));
     // Whoever writes here lives, whatever its port did behind a cut.
@@ -125,12 +125,12 @@
 fn apply_records(node: &Node, log: &mut Log, records: &[Bytes]) {
     let now = Instant::now();
     log.end += records.len() as Offset;
-    note_heard(node, log, now);
+    record_owner_contact(node, log, now);
     match records
         .last()
         .map(|record| rmp_serde::from_slice::<Lease>(record))
     {
-        Some(Ok(lease)) => note_lease(node, log, lease, now),
+        Some(Ok(lease)) => apply_lease(node, log, lease, now),
         Some(Err(error)) => warn!(%error, "a record of the lease cannot be read"),
         None => {}
     }
@@ -144,7 +144,7 @@
     node.replication.updated.notify_waiters();
     let mut current = node.lease.borrow_mut();
     let known = current.replace(lease.clone());
-    if known.is_some_and(|known| known.is_same(&lease)) {
+    if known.is_some_and(|known| known.has_same_owner(&lease)) {
         return;
     }
     info!(
@@ -160,49 +160,49 @@
 }
 
 /// Takes in a record of the lease, read or appended at `now`.
-pub(super) fn note_lease(node: &Node, log: &mut Log, lease: Lease, now: Instant) {
-    note_tenure(log, &lease, now);
+pub(super) fn apply_lease(node: &Node, log: &mut Log, lease: Lease, now: Instant) {
+    update_election(log, &lease, now);
     set_lease(node, lease, log.end);
 }
 
 /// Takes note of who has the lease.
-fn note_tenure(log: &mut Log, lease: &Lease, now: Instant) {
-    log.tenure.note_record(lease.cpu, now);
+fn update_election(log: &mut Log, lease: &Lease, now: Instant) {
+    log.election.note_record(lease.cpu, now);
     let known = log.holder.replace((lease.incarnation, lease.released));
     if known != log.holder {
-        log.tenure.note_change(now);
+        log.election.note_change(now);
     }
 }
 
 /// What came of a record that was to be appended.
-pub(super) enum Written {
+pub(super) enum WriteOutcome {
     /// It is in the log.
     Done,
     /// The log has another record of this entry in its place: an earlier call took it, whose answer was lost.
-    Earlier,
+    AlreadyWritten,
     /// Another entry has written, or it is not known what came of it.
-    Unsure,
+    Unconfirmed,
 }
 
 /// Appends a record to the end of the log as far as it was read, and takes in what the log has there.
-pub(super) async fn write(node: &Node, log: &mut Log, lease: Lease) -> Written {
-    let place = log.end;
-    log.sent = Some(FirstSent::note(log.sent, place, Instant::now()));
-    match append(node, place, &lease).await {
+pub(super) async fn write(node: &Node, log: &mut Log, lease: Lease) -> WriteOutcome {
+    let offset = log.end;
+    log.first_sent = Some(FirstSent::note(log.first_sent, offset, Instant::now()));
+    match append(node, offset, &lease).await {
         Some(Appended::Done(end)) => {
             log.end = end;
-            note_lease(node, log, lease, Instant::now());
-            Written::Done
+            apply_lease(node, log, lease, Instant::now());
+            WriteOutcome::Done
         }
         Some(Appended::Moved(_)) => {
             read(node, log, Duration::ZERO).await;
-            if log.end == place + 1 && is_own(node) {
-                Written::Earlier
+            if log.end == offset + 1 && is_own(node) {
+                WriteOutcome::AlreadyWritten
             } else {
-                Written::Unsure
+                WriteOutcome::Unconfirmed
             }
         }
-        Some(_) | None => Written::Unsure,
+        Some(_) | None => WriteOutcome::Unconfirmed,
     }
 }
 
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -19,63 +19,65 @@
 };
 use clock::Instant;
 use fleet::{Claim, Holder, Tenure, Told, Trouble};
-use log::{Log, RETRY_INTERVAL, Seen, Written, write};
+use log::{Log, RETRY_INTERVAL, ReadOutcome, WriteOutcome, write};
 use std::{convert::Infallible, rc::Rc, time::Duration};
 use tokio::{task, time};
 use tracing::info;
 
 /// How often the owner renews. Three renewals fit into [`fleet::EXPIRY`], so that two may be lost.
-const RENEW: Duration = Duration::from_millis(400);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long a read waits at the most: what it then says of the store must not be older than the owner needs to renew its
 /// lease after the store's return.
-const MOST_WAIT: Duration = Duration::from_millis(1_000);
+const MAX_READ_HOLD: Duration = Duration::from_millis(1_000);
 
 /// How long a renewal may take until the owner asks others whether the store answers them: ten times what it takes.
-const SLOW_RENEWAL: Duration = Duration::from_millis(150);
+const SLOW_RENEWAL_THRESHOLD: Duration = Duration::from_millis(150);
 
 /// How long a read waits at the least: one that comes back at once would be repeated at once.
-const LEAST_WAIT: Duration = Duration::from_millis(50);
+const MIN_READ_HOLD: Duration = Duration::from_millis(50);
 
 /// Time until the log is read again after a claim that was not confirmed.
-const CLAIM_AGAIN: Duration = Duration::from_millis(20);
+const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long an owner may take to answer whether it hands the cell over; it takes some ms.
-const HAND_OVER: Duration = Duration::from_millis(500);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Follows the lease, claims it where it has lapsed, and renews it while this entry has it.
 pub async fn run(node: Rc<Node>) {
     let mut log = Log {
         end: 0,
-        tenure: Tenure::new(node.settings.cpu, Instant::now()),
+        election: Tenure::new(node.settings.cpu, Instant::now()),
         holder: None,
         last_renewal: None,
-        trouble: None,
-        before: Predecessor {
+        last_outage: None,
+        predecessor: Predecessor {
             renewed: None,
             waits: Duration::ZERO,
             trouble: Trouble::None,
             orders: false,
         },
-        sent: None,
+        first_sent: None,
     };
     // The first read needs no wait: where there is no record yet, the first to claim has it.
     let mut wait = Duration::ZERO;
     loop {
-        let seen = tokio::select! {
-            seen = log::next(&node, &mut log, wait) => seen,
-            () = node.claim_due.notified() => Seen::Records,
+        let outcome = tokio::select! {
+            outcome = log::next(&node, &mut log, wait) => outcome,
+            () = node.claim_due.notified() => ReadOutcome::Records,
         };
         suspension::check(&node);
-        match seen {
-            Seen::Nothing if next(&node, &mut log) == Claim::Now => claim(&node, &mut log).await,
-            Seen::Records => ask_for(&node, &log),
-            Seen::Nothing | Seen::Unasked | Seen::Failed => {}
+        match outcome {
+            ReadOutcome::Nothing if next_claim(&node, &mut log) == Claim::Now => {
+                claim(&node, &mut log).await
+            }
+            ReadOutcome::Records => request_hand_over(&node, &log),
+            ReadOutcome::Nothing | ReadOutcome::NotRead | ReadOutcome::Failed => {}
         }
-        if holds(&node) {
-            own(&node, &mut log).await;
+        if holds_lease(&node) {
+            hold_lease(&node, &mut log).await;
         }
-        wait = next_wait(&node, &mut log);
+        wait = next_read_hold(&node, &mut log);
     }
 }
 
@@ -99,41 +101,41 @@
 }
 
 /// When this entry may claim the lease; one that is to stop does not.
-fn next(node: &Node, log: &mut Log) -> Claim {
+fn next_claim(node: &Node, log: &mut Log) -> Claim {
     let now = Instant::now();
     if node.stopping.get() {
         return Claim::At(now + fleet::EXPIRY);
     }
     let holder = holder(node, log);
-    log.tenure.next(holder, now)
+    log.election.next(holder, now)
 }
 
 /// How long the next read waits: not at all where only the log has to be asked before a claim.
-fn next_wait(node: &Node, log: &mut Log) -> Duration {
-    match next(node, log) {
+fn next_read_hold(node: &Node, log: &mut Log) -> Duration {
+    match next_claim(node, log) {
         Claim::Now => Duration::ZERO,
         Claim::At(at) => {
             let wait = at.saturating_duration_since(Instant::now());
-            wait.clamp(LEAST_WAIT, MOST_WAIT)
+            wait.clamp(MIN_READ_HOLD, MAX_READ_HOLD)
         }
     }
 }
 
 /// Asks an owner that is much weaker than this entry to hand the cell over. Whether it does shows in
 /// the log.
-fn ask_for(node: &Rc<Node>, log: &Log) {
+fn request_hand_over(node: &Rc<Node>, log: &Log) {
     let now = Instant::now();
     let lease = node.lease.borrow().clone();
     let other = lease.filter(|lease| lease.incarnation != node.incarnation && !lease.released);
-    let Some(other) = other.filter(|lease| log.tenure.should_ask(lease.cpu, now)) else {
+    let Some(other) = other.filter(|lease| log.election.should_ask(lease.cpu, now)) else {
         return;
     };
-    let ask = PeerRequest::HandOver {
+    let request = PeerRequest::HandOver {
         cpu: node.settings.cpu,
     };
     let node = Rc::clone(node);
     task::spawn_local(async move {
-        let answer = peer::call(&node, &other.address, &ask, now + HAND_OVER).await;
+        let answer = peer::call(&node, &other.address, &request, now + HAND_OVER_TIMEOUT).await;
         info!(
             owner = other.node,
             cpu = other.cpu,
@@ -152,12 +154,12 @@
         cpu: node.settings.cpu,
         unrecorded: node
             .as_owner()
-            .is_some_and(|owner| owner.may_be_unrecorded()),
-        orders: node
+            .is_some_and(|owner| owner.may_have_unrecorded_runs()),
+        unrecorded_orders: node
             .as_owner()
             .is_some_and(|owner| owner.may_have_unrecorded_orders()),
         released: released.is_some(),
-        waits: released.map_or(0, |waits| waits.as_millis() as u64),
+        inherited_lease_ms: released.map_or(0, |waits| waits.as_millis() as u64),
     }
 }
 
@@ -169,36 +171,36 @@
         Some(lease) if lease.released => Told::None,
         Some(_) | None => Told::NoneThen,
     };
-    let trouble = fleet::trouble(told, log.trouble, node.began, Instant::now());
+    let trouble = fleet::trouble(told, log.last_outage, node.began, Instant::now());
     let released = lease.as_ref().filter(|lease| lease.released);
     Predecessor {
         // An owner that gave the cell up extends no more leases, but the one before it may be cut off
         // and go on: it has told for how long.
         renewed: log.last_renewal.filter(|_| released.is_none()),
-        waits: Duration::from_millis(released.map_or(0, |lease| lease.waits)),
+        waits: Duration::from_millis(released.map_or(0, |lease| lease.inherited_lease_ms)),
         trouble,
-        orders: lease.as_ref().is_some_and(|lease| lease.orders),
+        orders: lease.as_ref().is_some_and(|lease| lease.unrecorded_orders),
     }
 }
 
 /// Claims the lease, on the condition that nobody else has.
 async fn claim(node: &Node, log: &mut Log) {
-    log.before = predecessor(node, log);
+    log.predecessor = predecessor(node, log);
     // An owner that ends before it has met the workers leaves them to the next one.
     let lease = Lease {
-        unrecorded: log.before.trouble != Trouble::None,
-        orders: log.before.orders,
+        unrecorded: log.predecessor.trouble != Trouble::None,
+        unrecorded_orders: log.predecessor.orders,
         ..record(node, None)
     };
     match write(node, log, lease).await {
-        Written::Done | Written::Earlier => {}
+        WriteOutcome::Done | WriteOutcome::AlreadyWritten => {}
         // Another was first, or the answer was lost: the next read tells.
-        Written::Unsure => time::sleep(CLAIM_AGAIN).await,
+        WriteOutcome::Unconfirmed => time::sleep(CLAIM_RETRY_INTERVAL).await,
     }
 }
 
 /// Whether the newest record says that this life of the entry owns the cell.
-fn holds(node: &Node) -> bool {
+fn holds_lease(node: &Node) -> bool {
     let lease = node.lease.borrow();
     lease
         .as_ref()
@@ -233,9 +235,9 @@
 }
 
 /// Waits until an owner is to look at its lease: a renewal is due, or something has come up before.
-async fn wait_for_turn(node: &Node, owner: &Owner) {
+async fn wait_until_step_due(node: &Node, owner: &Owner) {
     let wait = if owner.is_alive() {
-        RENEW
+        RENEWAL_INTERVAL
     } else {
         Duration::ZERO
     };
@@ -247,27 +249,27 @@
 }
 
 /// Owns the cell until the lease is lost or given up.
-async fn own(node: &Rc<Node>, log: &mut Log) {
+async fn hold_lease(node: &Rc<Node>, log: &mut Log) {
     // One that cannot tell since when others may have read its record relies on the next renewal.
-    let since = log.taken().unwrap_or(node.began);
-    let owner = own_cell::start(node, log.end, log.before, since);
+    let since = log.earliest_append().unwrap_or(node.began);
+    let owner = own_cell::start(node, log.end, log.predecessor, since);
     loop {
-        wait_for_turn(node, &owner).await;
+        wait_until_step_due(node, &owner).await;
         suspension::check(node);
         match next_step(node, &owner) {
             Step::Renew => tokio::select! {
                 () = renew(node, log, &owner) => {}
                 // A renewal that the store does not answer takes 1.5 s.
                 () = owner.relays_known.notified() => {}
-                never = ask_meanwhile(&owner) => match never {},
+                never = check_outage_while_waiting(&owner) => match never {},
             },
             Step::Release(why) => return release(node, log, &owner, why).await,
             Step::Lost => {
                 info!("the cell was lost to a newer owner");
-                return forget(node);
+                return forget_owner(node);
             }
         }
-        if !holds(node) {
+        if !holds_lease(node) {
             owner.end("another entry has the lease");
             return;
         }
@@ -275,9 +277,9 @@
 }
 
 /// Finds out why a renewal takes long.
-async fn ask_meanwhile(owner: &Rc<Owner>) -> Infallible {
+async fn check_outage_while_waiting(owner: &Rc<Owner>) -> Infallible {
     loop {
-        time::sleep(SLOW_RENEWAL).await;
+        time::sleep(SLOW_RENEWAL_THRESHOLD).await;
         outage::start_check(owner);
     }
 }
@@ -288,23 +290,23 @@
     // What is known of its runs is told as of now: an owner that has ended knows nothing.
     let released = Lease {
         cpu: owner.successor.get().unwrap_or(node.settings.cpu),
-        unrecorded: owner.has_unrecorded(),
-        orders: owner.may_have_unrecorded_orders(),
+        unrecorded: owner.has_unrecorded_runs(),
+        unrecorded_orders: owner.may_have_unrecorded_orders(),
         ..record(node, Some(owner.inherited_leases_remaining()))
     };
     owner.end(why);
-    relay::ask(node, &owner.relays.take(), &released).await;
+    relay::release_through(node, &owner.relays.take(), &released).await;
     // Only this record says what the next owner must look for: an owner that began anew in this process would know
     // nothing of it, and release the cell without.
-    while holds(node) {
-        if let Written::Unsure = write(node, log, released.clone()).await {
+    while holds_lease(node) {
+        if let WriteOutcome::Unconfirmed = write(node, log, released.clone()).await {
             time::sleep(RETRY_INTERVAL).await;
         }
     }
 }
 
 /// A newer owner was met before its record was read.
-fn forget(node: &Node) {
+fn forget_owner(node: &Node) {
     *node.lease.borrow_mut() = None;
 }
 
@@ -313,18 +315,18 @@
     let sent = Instant::now();
     owner.renewing.set(Some(sent));
     let renewed = match write(node, log, record(node, None)).await {
-        Written::Done => Some(sent),
-        Written::Earlier => log.taken(),
-        Written::Unsure => None,
+        WriteOutcome::Done => Some(sent),
+        WriteOutcome::AlreadyWritten => log.earliest_append(),
+        WriteOutcome::Unconfirmed => None,
     };
     owner.renewing.set(None);
     let lease = node.lease.borrow().clone();
     match (renewed, lease) {
         (Some(renewed), Some(lease)) => {
-            owner.note_renewal(renewed, &lease);
+            owner.record_renewal(renewed, &lease);
             node.update_reach(|reach| reach.note_store(Instant::now()));
         }
-        _ if holds(node) => time::sleep(RETRY_INTERVAL).await,
+        _ if holds_lease(node) => time::sleep(RETRY_INTERVAL).await,
         _ => {}
     }
 }
--- a/crates/havenladder/src/entry/lease/relay.rs
+++ b/crates/havenladder/src/entry/lease/relay.rs
@@ -14,13 +14,13 @@
 use tracing::info;
 
 /// How long an entry may take to append the record: 20 ms as a rule.
-const APPENDED: Duration = Duration::from_millis(250);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Asks one entry after the other to append the record with which this one gives the cell up, until one has.
-pub(super) async fn ask(node: &Node, relays: &[String], released: &Lease) {
+pub(super) async fn release_through(node: &Node, relays: &[String], released: &Lease) {
     for relay in relays {
-        let ask = PeerRequest::Release(Box::new(released.clone()));
-        let answer = peer::call(node, relay, &ask, Instant::now() + APPENDED).await;
+        let request = PeerRequest::Release(Box::new(released.clone()));
+        let answer = peer::call(node, relay, &request, Instant::now() + RELEASE_TIMEOUT).await;
         if let Ok(PeerResponse::Update(Update {
             lease: Some((lease, end)),
             ..
--- a/crates/havenladder/src/entry/lease_record.rs
+++ b/crates/havenladder/src/entry/lease_record.rs
@@ -11,17 +11,17 @@
 pub const TOPIC: &str = "owner";
 
 /// Appends a record, on the condition that the log ends at `at`; none if the store did not answer.
-pub async fn append(node: &Node, at: Offset, lease: &Lease) -> Option<Appended> {
+pub async fn append(node: &Node, end: Offset, lease: &Lease) -> Option<Appended> {
     let bytes = rmp_serde::to_vec(lease).expect("plain data has a form in MessagePack");
     let body = frame_plain([bytes.as_slice()]);
-    let call = store_calls::append(node, AppendKind::Lease, TOPIC, Condition::At(at), body);
+    let call = store_calls::append(node, AppendKind::Lease, TOPIC, Condition::At(end), body);
     call.await.ok()
 }
 
 /// Appends the record with which an owner gives the cell up that the store turns away. The record and the end of the log
 /// behind it; none if it is not the owner's turn to give anything up, or it is not known what came of it.
-pub async fn release_for(node: &Node, released: Lease) -> Option<(Lease, Offset)> {
-    let place = node.lease_end.get();
+pub async fn append_release(node: &Node, released: Lease) -> Option<(Lease, Offset)> {
+    let offset = node.lease_end.get();
     let lease = node.lease.borrow().clone();
     let owns =
         lease.is_some_and(|lease| lease.incarnation == released.incarnation && !lease.released);
@@ -30,9 +30,10 @@
     }
     info!(
         owner = released.node,
-        place, "gives the cell up for its owner"
+        place = offset,
+        "gives the cell up for its owner"
     );
-    match append(node, place, &released).await {
+    match append(node, offset, &released).await {
         Some(Appended::Done(end)) => Some((released, end)),
         Some(_) | None => None,
     }
--- a/crates/havenladder/src/entry/lease_state.rs
+++ b/crates/havenladder/src/entry/lease_state.rs
@@ -18,7 +18,7 @@
     /// Whether it has given the cell up.
     pub released: bool,
     /// When it has: for how many ms more leases of owners before it may hold.
-    pub waits: u64,
+    pub inherited_lease_ms: u64,
     /// The owner's part of a core; when it gave the cell up for a stronger entry, that one's.
     #[serde(default)]
     pub cpu: MilliCpu,
@@ -27,12 +27,12 @@
     pub unrecorded: bool,
     /// Whether the owner may have given orders about VMs that it has not recorded.
     #[serde(default)]
-    pub orders: bool,
+    pub unrecorded_orders: bool,
 }
 
 impl Lease {
     /// Whether another record says the same of who owns the cell.
-    pub fn is_same(&self, other: &Lease) -> bool {
+    pub fn has_same_owner(&self, other: &Lease) -> bool {
         self.incarnation == other.incarnation && self.released == other.released
     }
 }
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -6,8 +6,8 @@
     node::{Node, wall_ms},
     orders,
     owner::{
-        Owner, Predecessor, append::append, load::load, pulse::Pulse, vm_orders,
-        workspaces::tell_bound_waits,
+        Owner, Predecessor, append::append, load::load, loop_stats::LoopStats, vm_orders,
+        workspaces::log_bound_waits,
     },
     suspension, worker_list,
 };
@@ -21,16 +21,16 @@
 /// The least time between two rounds of decisions: each append has a price and each pass over what waits
 /// costs processor time, and what comes up meanwhile shares one. 350 workers wake the owner 2,000 times
 /// a second.
-const ROUND_GAP: Duration = Duration::from_millis(8);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(8);
 
 /// Time between two looks at what only time changes: due rounds and runs that stand still.
-const LONGEST_GAP: Duration = Duration::from_millis(200);
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time between two lines about lasting tasks that wait for room.
 const LOG_INTERVAL: Duration = Duration::from_millis(2_000);
 
 /// How long a takeover may take before the store counts as troubled: it takes 50 ms as a rule.
-const LOADED: Duration = Duration::from_millis(300);
+const SLOW_TAKEOVER_THRESHOLD: Duration = Duration::from_millis(300);
 
 /// Begins to own the cell, by a record that others may have read since `since`.
 pub fn start(node: &Rc<Node>, epoch: u64, before: Predecessor, since: Instant) -> Rc<Owner> {
@@ -44,26 +44,26 @@
 
 /// Takes the cell over, then works until the owner ends.
 async fn run(owner: Rc<Owner>) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     if !load(&owner).await {
         return;
     }
-    close_gate(&owner, began.elapsed());
+    raise_takeover_barrier(&owner, started_at.elapsed());
     owner.loaded.set(true);
     owner.settled.notify_waiters();
     task::spawn_local(worker_list::run(Rc::clone(&owner)));
     task::spawn_local(fleet::run(Rc::clone(&owner)));
     task::spawn_local(vm_orders::watch_earlier_owners(Rc::clone(&owner)));
-    task::spawn_local(complain(Rc::clone(&owner)));
-    work(&owner).await;
+    task::spawn_local(log_waiting_tasks(Rc::clone(&owner)));
+    run_rounds(&owner).await;
     owner.end("the loop ends");
 }
 
 /// Holds back what waited until all workers are met, if the earlier owner may have started some of it
 /// without a record: a takeover that took long counts as trouble of the store as well.
-fn close_gate(owner: &Owner, took: Duration) {
+fn raise_takeover_barrier(owner: &Owner, took: Duration) {
     let trouble = owner.trouble;
-    if trouble != Trouble::None || took >= LOADED {
+    if trouble != Trouble::None || took >= SLOW_TAKEOVER_THRESHOLD {
         let troubled = trouble != Trouble::Unknown;
         owner
             .cell
@@ -73,15 +73,15 @@
 }
 
 /// Decides, records and acts in turn until the owner ends.
-async fn work(owner: &Rc<Owner>) {
+async fn run_rounds(owner: &Rc<Owner>) {
     let mut sequence = 1;
-    let mut pulse = Pulse::new(Instant::now());
+    let mut loop_stats = LoopStats::new(Instant::now());
     while owner.is_alive() {
-        let _ = time::timeout(LONGEST_GAP, owner.wake.notified()).await;
+        let _ = time::timeout(MAX_ROUND_INTERVAL, owner.wake.notified()).await;
         suspension::check(&owner.node);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut batch = decide(owner);
-        pulse.note_round(owner, began.elapsed());
+        loop_stats.record_round(owner, started_at.elapsed());
         owner.send_urgent();
         if !batch.entries.is_empty() {
             if !append(owner, &batch.entries, sequence, &mut batch.starts).await {
@@ -92,14 +92,14 @@
         if !batch.is_empty() {
             carry_out(owner, batch);
         }
-        let due = Instant::now() + ROUND_GAP;
+        let due = Instant::now() + MIN_ROUND_INTERVAL;
         timer::sleep_until(due).await;
-        pulse.note_sleep(owner, due.elapsed());
+        loop_stats.record_sleep(owner, due.elapsed());
     }
 }
 
 /// Tells for a lasting task that waits what keeps it from the workers.
-async fn complain(owner: Rc<Owner>) {
+async fn log_waiting_tasks(owner: Rc<Owner>) {
     while owner.is_alive() {
         time::sleep(LOG_INTERVAL).await;
         let cell = owner.cell.borrow();
@@ -122,7 +122,7 @@
     if may_start {
         cell.schedule(now);
     }
-    tell_bound_waits(&owner.node, cell.take_bound_waits());
+    log_bound_waits(&owner.node, cell.take_bound_waits());
     cell.take_batch()
 }
 
--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -20,7 +20,7 @@
 const PRODUCER: &str = "owner";
 
 /// How long an append may take before work goes on without it: ten times what it takes as a rule.
-pub(super) const SLOW: Duration = Duration::from_millis(150);
+pub(super) const SLOW_APPEND_THRESHOLD: Duration = Duration::from_millis(150);
 
 /// Time between two looks at what can be done while an append is under way.
 const STALL_INTERVAL: Duration = Duration::from_millis(50);
@@ -68,12 +68,12 @@
             condition,
             body.clone(),
         );
-        match meanwhile(owner, call, starts).await {
+        match work_while_waiting(owner, call, starts).await {
             Ok(Appended::Done(_)) => return true,
             Ok(Appended::Fenced) => owner.end("a newer owner appends"),
             Ok(Appended::Busy) | Err(_) => {
                 let pause = time::sleep(RETRY_INTERVAL);
-                meanwhile(owner, pause, starts).await;
+                work_while_waiting(owner, pause, starts).await;
             }
             Ok(odd) => {
                 warn!(?odd, sequence, "an append was refused");
@@ -85,7 +85,7 @@
 }
 
 /// Waits for something and, where an append takes long, goes on with jobs that the log holds.
-async fn meanwhile<T>(
+async fn work_while_waiting<T>(
     owner: &Rc<Owner>,
     call: impl Future<Output = T>,
     starts: &mut Vec<Order>,
@@ -95,11 +95,14 @@
         if let Ok(outcome) = time::timeout(STALL_INTERVAL, call.as_mut()).await {
             return outcome;
         }
-        if owner.has_waited(SLOW) && owner.loaded.get() && owner.may_hold() {
+        if owner.is_append_pending_for(SLOW_APPEND_THRESHOLD)
+            && owner.loaded.get()
+            && owner.may_hold()
+        {
             outage::start_check(owner);
             if owner.stall().may_go_on() {
-                owner.unrecorded.set(Some(Instant::now()));
-                go_on(owner, starts);
+                owner.unrecorded_start_at.set(Some(Instant::now()));
+                start_unrecorded(owner, starts);
             } else {
                 // A renewal tells the next owner first.
                 owner.lease_due.notify_one();
@@ -110,7 +113,7 @@
 
 /// Starts what is due of jobs that the log holds, though the starts themselves are not recorded: a
 /// new owner meets all workers before it starts what waited.
-fn go_on(owner: &Rc<Owner>, starts: &mut Vec<Order>) {
+fn start_unrecorded(owner: &Rc<Owner>, starts: &mut Vec<Order>) {
     let now = Instant::now();
     owner.update_workspaces();
     if !owner.update_hall_drains() {
@@ -120,9 +123,9 @@
     cell.mark_due(wall_ms());
     cell.stop_still(now);
     cell.schedule_unrecorded(now);
-    let mut known = cell.take_known(starts);
-    known.extend(cell.take_unrecorded());
+    let mut due_starts = cell.take_known(starts);
+    due_starts.extend(cell.take_unrecorded());
     drop(cell);
     owner.send_urgent();
-    owner.send(known);
+    owner.send(due_starts);
 }
--- a/crates/havenladder/src/entry/owner/load.rs
+++ b/crates/havenladder/src/entry/owner/load.rs
@@ -12,7 +12,7 @@
 use tracing::{info, warn};
 
 /// How many jobs are named whose records do not fit each other: all of them would be a line each.
-const MOST_ODD: usize = 100;
+const MAX_LOGGED_JOBS: usize = 100;
 
 /// Shuts out earlier owners and takes in what they recorded; false if this owner was shut out.
 pub async fn load(owner: &Rc<Owner>) -> bool {
@@ -30,7 +30,7 @@
                 let records: Vec<_> = newest.records.iter().filter_map(decode).collect();
                 let count = records.len();
                 let odd = owner.cell.borrow_mut().load(records);
-                odd.into_iter().take(MOST_ODD).for_each(|job| {
+                odd.into_iter().take(MAX_LOGGED_JOBS).for_each(|job| {
                     warn!(
                         job = format!("{job:016x}"),
                         "the records of a job do not fit each other; it is left out"
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -1,10 +1,10 @@
 //! The owner of the cell: what it knows, what it answers, and how decisions are made durable.
 
-mod answer;
 pub mod append;
 mod hall_drains;
 pub mod load;
-pub mod pulse;
+pub mod loop_stats;
+mod requests;
 pub mod vm_orders;
 pub mod workspaces;
 
@@ -13,7 +13,7 @@
     outage::Outage,
 };
 use adapter::{operator::Version, settings::Settings, store::Offset, workers::ClockMs};
-use append::SLOW;
+use append::SLOW_APPEND_THRESHOLD;
 use clock::Instant;
 use fleet::{MilliCpu, RateLimit, Stall, TROUBLE, Trouble};
 use jobs::{Cell as JobCell, Limits, Order, WorkerId, WorkerName};
@@ -132,7 +132,7 @@
     /// Whether the store was in trouble when this owner began.
     pub trouble: Trouble,
     /// When an order about VMs was last to be given without a record.
-    order_due: Cell<Option<Instant>>,
+    unrecorded_order_at: Cell<Option<Instant>>,
     /// Whether the last renewal told of such orders.
     orders_announced: Cell<bool>,
     /// From when on this owner may give orders about VMs that the earlier one gave orders about: it did
@@ -148,15 +148,15 @@
     /// What other entries say of the store.
     pub outage: Cell<Outage>,
     /// When the renewal was sent that last told that runs may be started without a record.
-    announced: Cell<Option<Instant>>,
+    unrecorded_announced_at: Cell<Option<Instant>>,
     /// When runs were last started without a record.
-    unrecorded: Cell<Option<Instant>>,
+    unrecorded_start_at: Cell<Option<Instant>>,
     /// Since when a renewal of the lease is under way.
     pub renewing: Cell<Option<Instant>>,
     /// Since when an append is under way.
     appending: Cell<Option<Instant>>,
     /// The version of the configuration whose bounds are in force in the cell; none before there is one.
-    bounds: Cell<Option<Version>>,
+    bounds_version: Cell<Option<Version>>,
     /// As of which offset of the operators' topic the cell knows which data centres are to be emptied.
     hall_drains_as_of: Cell<Offset>,
     /// What sends orders to workers.
@@ -209,7 +209,7 @@
             inherited_leases_until: (extended + max_lease_duration(WORKER_LEASE_DURATION))
                 .max(now + before.waits),
             trouble: before.trouble,
-            order_due: Cell::new(None),
+            unrecorded_order_at: Cell::new(None),
             orders_announced: Cell::new(false),
             inherited_orders_until: before.renewed.map_or(now, |at| at + CERTAIN_RENEWAL_AGE)
                 + node.settings.lease,
@@ -219,7 +219,7 @@
             outage: Cell::default(),
             renewing: Cell::new(None),
             appending: Cell::new(None),
-            bounds: Cell::new(None),
+            bounds_version: Cell::new(None),
             hall_drains_as_of: Cell::new(0),
             send,
             alive: Cell::new(true),
@@ -228,8 +228,8 @@
             relays: RefCell::default(),
             relays_known: Notify::new(),
             lease_due: Notify::new(),
-            announced: Cell::new(None),
-            unrecorded: Cell::new(None),
+            unrecorded_announced_at: Cell::new(None),
+            unrecorded_start_at: Cell::new(None),
             wake: Notify::new(),
             settled: Notify::new(),
         }
@@ -280,24 +280,24 @@
     }
 
     /// A renewal that was sent at `sent` is durable.
-    pub fn note_renewal(&self, sent: Instant, lease: &Lease) {
+    pub fn record_renewal(&self, sent: Instant, lease: &Lease) {
         self.last_renewal.set(sent);
         if lease.unrecorded {
-            self.announced.set(Some(sent));
+            self.unrecorded_announced_at.set(Some(sent));
         }
-        self.orders_announced.set(lease.orders);
+        self.orders_announced.set(lease.unrecorded_orders);
         // Orders about VMs may have waited for this.
         self.settled.notify_waiters();
     }
 
     /// Whether runs may have been started without a record, or may be soon: the next owner is to know.
-    pub fn may_be_unrecorded(&self) -> bool {
-        self.has_unrecorded() || self.has_waited(SLOW)
+    pub fn may_have_unrecorded_runs(&self) -> bool {
+        self.has_unrecorded_runs() || self.is_append_pending_for(SLOW_APPEND_THRESHOLD)
     }
 
     /// Whether runs may have been started without a record by now.
-    pub fn has_unrecorded(&self) -> bool {
-        let recent = self.unrecorded.get();
+    pub fn has_unrecorded_runs(&self) -> bool {
+        let recent = self.unrecorded_start_at.get();
         // What an earlier owner started so may still run until its leases have run out.
         let inherited =
             self.trouble != Trouble::None && Instant::now() < self.inherited_leases_until;
@@ -325,23 +325,24 @@
     fn stall(&self) -> Stall {
         Stall {
             since: self.appending.get(),
-            announced: self.announced.get(),
+            announced: self.unrecorded_announced_at.get(),
             confirmed: self.outage.get().is_confirmed(),
             certain: self.is_certain(),
         }
     }
 
     /// Whether a renewal or another append is under way that has taken at least this long.
-    pub fn is_stalled(&self, least: Duration) -> bool {
+    pub fn is_stalled(&self, min_duration: Duration) -> bool {
         let renewing = self.renewing.get();
-        renewing.is_some_and(|since| since.elapsed() >= least) || self.has_waited(least)
+        renewing.is_some_and(|since| since.elapsed() >= min_duration)
+            || self.is_append_pending_for(min_duration)
     }
 
     /// Whether an append is under way that has taken at least this long.
-    fn has_waited(&self, least: Duration) -> bool {
+    fn is_append_pending_for(&self, min_duration: Duration) -> bool {
         self.appending
             .get()
-            .is_some_and(|since| since.elapsed() >= least)
+            .is_some_and(|since| since.elapsed() >= min_duration)
     }
 }
 
--- a/crates/havenladder/src/entry/owner/answer.rs
+++ b/crates/havenladder/src/entry/owner/requests.rs
@@ -14,18 +14,18 @@
 use tracing::info;
 
 /// How long an append may take before new jobs are refused at once: the store is away.
-const AWAY: Duration = Duration::from_millis(500);
+const STORE_OUTAGE_THRESHOLD: Duration = Duration::from_millis(500);
 
 impl Owner {
     /// Does what a caller wants.
-    pub async fn answer(self: &Rc<Self>, request: CallerRequest) -> PeerResponse {
+    pub async fn handle(self: &Rc<Self>, request: CallerRequest) -> PeerResponse {
         while !self.loaded.get() {
             if !self.is_alive() {
                 return PeerResponse::NotOwner;
             }
             self.settled.notified().await;
         }
-        if let Some(version) = self.newer(&request) {
+        if let Some(version) = self.newer_config_version(&request) {
             return PeerResponse::Outdated(version);
         }
         let CallerRequest {
@@ -46,7 +46,7 @@
                 self.cancel(id).await
             }
             CallerOperation::State(id) if self.may_see(&caller, &queue, id) => self.state(id).await,
-            CallerOperation::Cancel(_) | CallerOperation::State(_) => self.deny(),
+            CallerOperation::Cancel(_) | CallerOperation::State(_) => self.not_found(),
             CallerOperation::Pending => PeerResponse::Pending(self.cell.borrow().pending(&queue)),
         }
     }
@@ -54,7 +54,7 @@
     /// The version of the configuration, where the one by which a request was judged is older: keys may have been taken away
     /// since. The configuration itself does not go along: one with 1,200 routes has 260 KB, a fifth of a second on the weakest
     /// entries' links, for each call that is under way as it changes.
-    fn newer(&self, request: &CallerRequest) -> Option<Version> {
+    fn newer_config_version(&self, request: &CallerRequest) -> Option<Version> {
         let version = self.node.in_force.borrow().version();
         if version < request.version {
             follow::refresh_soon(&self.node);
@@ -79,8 +79,10 @@
     /// Hands the cell over to an entry that is much stronger, unless there is trouble: the lease's duty
     /// releases it.
     pub fn hand_over(&self, cpu: MilliCpu) -> PeerResponse {
-        let calm = self.loaded.get() && self.is_certain() && !self.has_waited(AWAY);
-        if !calm || !outranks(cpu, self.node.settings.cpu) {
+        let is_stable = self.loaded.get()
+            && self.is_certain()
+            && !self.is_append_pending_for(STORE_OUTAGE_THRESHOLD);
+        if !is_stable || !outranks(cpu, self.node.settings.cpu) {
             return PeerResponse::Refused;
         }
         self.successor.set(Some(cpu));
@@ -94,8 +96,8 @@
         let id = submission.id;
         let job = format!("{id:016x}");
         match self.admit(&submission) {
-            Admission::Open => {}
-            Admission::Taken => return PeerResponse::Refused,
+            Admission::Admitted => {}
+            Admission::IdTaken => return PeerResponse::Refused,
             Admission::TooLarge => {
                 info!(
                     job,
@@ -105,7 +107,7 @@
                 return PeerResponse::TooLarge;
             }
         }
-        if let Some(ms) = self.foresee(&submission) {
+        if let Some(ms) = self.forecast(&submission) {
             self.node.metrics.refused_hopeless();
             info!(
                 job,
@@ -115,20 +117,22 @@
             );
             return PeerResponse::TooLate(ms);
         }
-        if self.has_waited(AWAY) && !self.cell.borrow().jobs.contains_key(&id) {
+        if self.is_append_pending_for(STORE_OUTAGE_THRESHOLD)
+            && !self.cell.borrow().jobs.contains_key(&id)
+        {
             info!(job, "refused: the store is away");
             return PeerResponse::Refused;
         }
         let accepted = self.cell.borrow_mut().accept(submission);
         self.wake();
-        match time::timeout(within, self.durable(id)).await {
-            Ok(Settled::Durable(_)) => {
+        match time::timeout(within, self.wait_durable(id)).await {
+            Ok(DurableOutcome::Durable(_)) => {
                 info!(job, new = accepted == Accepted::New, "accepted");
                 PeerResponse::Accepted
             }
             // Another request for the same job gave it back.
-            Ok(Settled::Missing) => PeerResponse::Refused,
-            Ok(Settled::Ended) | Err(_) => self.give_back(id),
+            Ok(DurableOutcome::Missing) => PeerResponse::Refused,
+            Ok(DurableOutcome::Ended) | Err(_) => self.withdraw(id),
         }
     }
 
@@ -138,20 +142,20 @@
         let cell = self.cell.borrow();
         if let Some(job) = cell.jobs.get(&submission.id) {
             return match job.given.workspace == submission.workspace {
-                true => Admission::Open,
+                true => Admission::Admitted,
                 // It is another workspace's: nothing may tell that it is there.
-                false => Admission::Taken,
+                false => Admission::IdTaken,
             };
         }
         let steps = &submission.spec.steps;
         match &submission.workspace {
             Some(workspace) if cell.exceeds_bound(workspace, steps) => Admission::TooLarge,
-            _ => Admission::Open,
+            _ => Admission::Admitted,
         }
     }
 
     /// In how many ms there may be room for a job, where it would be done too late if it was taken in now.
-    fn foresee(&self, submission: &Submission) -> Option<u64> {
+    fn forecast(&self, submission: &Submission) -> Option<u64> {
         let cell = self.cell.borrow();
         if cell.jobs.contains_key(&submission.id) {
             return None;
@@ -163,7 +167,7 @@
     }
 
     /// Gives a job back of which nothing was sent; what becomes of any other is not known.
-    fn give_back(&self, id: JobId) -> PeerResponse {
+    fn withdraw(&self, id: JobId) -> PeerResponse {
         if !self.cell.borrow_mut().withdraw(id) {
             return PeerResponse::Unsure;
         }
@@ -183,14 +187,14 @@
     async fn cancel(self: &Rc<Self>, id: JobId) -> PeerResponse {
         let cancelled = self.cell.borrow_mut().cancel(id);
         if cancelled == Cancelled::Unknown {
-            return self.deny();
+            return self.not_found();
         }
         self.wake();
         info!(job = format!("{id:016x}"), "cancelled");
-        match self.durable(id).await {
-            Settled::Durable(_) => PeerResponse::Cancelled,
-            Settled::Missing => self.deny(),
-            Settled::Ended => PeerResponse::Unsure,
+        match self.wait_durable(id).await {
+            DurableOutcome::Durable(_) => PeerResponse::Cancelled,
+            DurableOutcome::Missing => self.not_found(),
+            DurableOutcome::Ended => PeerResponse::Unsure,
         }
     }
 
@@ -198,19 +202,19 @@
     async fn state(&self, id: JobId) -> PeerResponse {
         let shown = self.cell.borrow().jobs.get(&id).map(|job| job.shown);
         match shown {
-            None => self.deny(),
+            None => self.not_found(),
             Some(Some(phase)) => PeerResponse::State(phase),
-            Some(None) => match self.durable(id).await {
-                Settled::Durable(phase) => PeerResponse::State(phase),
-                Settled::Missing => self.deny(),
-                Settled::Ended => PeerResponse::Unsure,
+            Some(None) => match self.wait_durable(id).await {
+                DurableOutcome::Durable(phase) => PeerResponse::State(phase),
+                DurableOutcome::Missing => self.not_found(),
+                DurableOutcome::Ended => PeerResponse::Unsure,
             },
         }
     }
 
     /// Says that there is no such job, where this owner can know: one whose renewal is too old may have been
     /// replaced, and the next owner may have taken the job.
-    fn deny(&self) -> PeerResponse {
+    fn not_found(&self) -> PeerResponse {
         if self.is_certain() {
             PeerResponse::Unknown
         } else {
@@ -219,13 +223,13 @@
     }
 
     /// Waits until what is known of a job is durable, or never will be.
-    async fn durable(&self, id: JobId) -> Settled {
+    async fn wait_durable(&self, id: JobId) -> DurableOutcome {
         loop {
             let settled = self.settled.notified();
             if !self.is_alive() {
-                return Settled::Ended;
+                return DurableOutcome::Ended;
             }
-            match self.told(id) {
+            match self.durable_outcome(id) {
                 Some(outcome) => return outcome,
                 None => settled.await,
             }
@@ -233,29 +237,29 @@
     }
 
     /// What can be told of a job now; none while its record is under way.
-    fn told(&self, id: JobId) -> Option<Settled> {
+    fn durable_outcome(&self, id: JobId) -> Option<DurableOutcome> {
         let cell = self.cell.borrow();
         let Some(job) = cell.jobs.get(&id) else {
-            return Some(Settled::Missing);
+            return Some(DurableOutcome::Missing);
         };
         // Over or not is what a caller was told or waits for; the rest may be behind.
         let shown = job.shown?;
-        (shown.is_over() == job.phase.is_over()).then_some(Settled::Durable(shown))
+        (shown.is_over() == job.phase.is_over()).then_some(DurableOutcome::Durable(shown))
     }
 }
 
 /// Whether a job may be taken in for its workspace.
 enum Admission {
     /// It may, or it was handed in before.
-    Open,
+    Admitted,
     /// Its id is that of another workspace's job.
-    Taken,
+    IdTaken,
     /// It asks for more than its workspace may ever have running.
     TooLarge,
 }
 
 /// What a wait for a job's record has led to.
-enum Settled {
+enum DurableOutcome {
     /// There is no such job, or not any more.
     Missing,
     /// The job is this far, and that is durable.
--- a/crates/havenladder/src/entry/owner/vm_orders.rs
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -41,7 +41,7 @@
         if self.wait_until(RECORD_TIMEOUT, recorded).await {
             return self.is_certain();
         }
-        self.order_due.set(Some(Instant::now()));
+        self.unrecorded_order_at.set(Some(Instant::now()));
         self.lease_due.notify_one();
         // A renewal that succeeded after the store became slow is enough: each one repeats it.
         let announced = || recorded() || self.orders_announced.get();
@@ -70,7 +70,7 @@
         let relevance = self.node.settings.lease + ANNOUNCEMENT_TIMEOUT;
         inherited
             || self
-                .order_due
+                .unrecorded_order_at
                 .get()
                 .is_some_and(|at| at.elapsed() < relevance)
     }
--- a/crates/havenladder/src/entry/owner/workspaces.rs
+++ b/crates/havenladder/src/entry/owner/workspaces.rs
@@ -10,7 +10,7 @@
     pub fn update_workspaces(&self) {
         let in_force = self.node.in_force.borrow();
         let version = in_force.config().map(|config| config.version);
-        if !self.loaded.get() || self.bounds.get() == version {
+        if !self.loaded.get() || self.bounds_version.get() == version {
             return;
         }
         let workspaces = in_force.keyring().workspaces();
@@ -21,12 +21,12 @@
         cell.set_bounds(bounds);
         cell.set_weights(weights);
         drop(cell);
-        self.bounds.set(version);
+        self.bounds_version.set(version);
     }
 }
 
 /// One line for each workspace that begins or ceases to wait for its bound.
-pub fn tell_bound_waits(node: &Node, waits: Vec<BoundWait>) {
+pub fn log_bound_waits(node: &Node, waits: Vec<BoundWait>) {
     let version = node.in_force.borrow().version();
     for BoundWait {
         workspace,
@@ -36,12 +36,12 @@
     } in waits
     {
         node.metrics.waited_for_bound(waits);
-        let most = bound.most();
+        let limits = bound.most();
         info!(
             workspace,
             waits,
             ?used,
-            ?most,
+            most = ?limits,
             version,
             "wait for a workspace's bound"
         );
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -2,7 +2,7 @@
 
 use super::{
     in_force::{Caller, RawConfig},
-    lease_record::release_for,
+    lease_record::append_release,
     listen::{self, Reply, accept_each},
     node::{Lease, Node},
     outage,
@@ -234,7 +234,7 @@
         (PeerRequest::Outage, _) => outage::report(&node).await,
         (PeerRequest::Release(lease), _) => release_for_owner(&node, *lease).await,
         (PeerRequest::HandOver { cpu }, Some(owner)) => owner.hand_over(cpu),
-        (PeerRequest::Caller(request), Some(owner)) => owner.answer(*request).await,
+        (PeerRequest::Caller(request), Some(owner)) => owner.handle(*request).await,
         (_, None) => PeerResponse::NotOwner,
     };
     let bytes = rmp_serde::to_vec(&response).expect("plain data has a form in MessagePack");
@@ -243,7 +243,7 @@
 
 /// Gives the cell up for an owner that the store turns away, and tells it what the log says now.
 async fn release_for_owner(node: &Node, lease: Lease) -> PeerResponse {
-    match release_for(node, lease).await {
+    match append_release(node, lease).await {
         None => PeerResponse::Unsure,
         lease => PeerResponse::Update(Update {
             lease,
