--- a/crates/havenladder/src/entry/lease_state.rs
+++ b/crates/havenladder/src/entry/lease_state.rs
@@ -12,12 +12,14 @@
     /// The owner's name.
     pub node: String,
     /// Its life.
+    #[serde(rename = "life")]
     pub incarnation: IncarnationId,
     /// Where it takes the calls of other entries.
     pub address: String,
     /// Whether it has given the cell up.
     pub released: bool,
     /// When it has: for how many ms more leases of owners before it may hold.
+    #[serde(rename = "waits")]
     pub inherited_lease_ms: u64,
     /// The owner's part of a core; when it gave the cell up for a stronger entry, that one's.
     #[serde(default)]
@@ -26,7 +28,7 @@
     #[serde(default)]
     pub unrecorded: bool,
     /// Whether the owner may have given orders about VMs that it has not recorded.
-    #[serde(default)]
+    #[serde(default, rename = "orders")]
     pub unrecorded_orders: bool,
 }
 
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -35,8 +35,10 @@
     /// Take this job.
     Submit {
         /// The job.
+        #[serde(rename = "given")]
         submission: Submission,
         /// For how many ms its record may be waited for.
+        #[serde(rename = "within")]
         timeout_ms: u64,
     },
     /// Cancel this job.
@@ -57,6 +59,7 @@
     /// The configuration by which the call was judged: an owner that knows a newer one has it judged anew.
     pub version: Version,
     /// What the caller wants.
+    #[serde(rename = "wish")]
     pub operation: CallerOperation,
 }
 
@@ -140,7 +143,7 @@
     /// The lease and the end of its log, if it is newer.
     pub lease: Option<(Lease, u64)>,
     /// The data centres that are to be emptied.
-    #[serde(default)]
+    #[serde(default, rename = "evacuations")]
     pub hall_drains: Evacuations,
     /// How many ms ago the entry's configuration was the newest for certain.
     pub age: u64,
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -32,6 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
     /// This life of its process.
+    #[serde(rename = "life")]
     pub incarnation: IncarnationId,
     /// Its data centre.
     pub hall: String,
--- a/crates/havenladder/src/entry/replication/mod.rs
+++ b/crates/havenladder/src/entry/replication/mod.rs
@@ -89,6 +89,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Request {
     /// Who asks.
+    #[serde(rename = "seeker")]
     pub follower: Seeker,
     /// The offset from which on it has no records of operators; none if it has none at all.
     pub from: Option<Offset>,
@@ -110,6 +111,7 @@
     /// How long before the answer what it says was the newest for certain.
     pub age: Duration,
     /// How long before the answer the platform, or another data centre, was last heard of.
+    #[serde(rename = "heard")]
     pub contact_age: Duration,
 }
 
