--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -1,4 +1,5 @@
-//! What entries ask of the cell's owner, over HTTP with MessagePack.
+//! Requests between entries, sent over HTTP and encoded with MessagePack. Most of them go to the
+//! owner of the cell.
 
 use super::{
     in_force::{Caller, RawConfig},
@@ -23,83 +24,89 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::warn;
 
-/// The path of a question.
+/// Path of a request to another entry.
 const PATH: &str = "/ask";
 
-/// The longest question: a job's body may have 262,144 bytes.
+/// Maximum size of a request. The body of a job, which a request may carry, has up to 262,144
+/// bytes.
 const MAX_REQUEST_BYTES: usize = 1 << 20;
 
-/// What a caller wants.
+/// Operation that a caller requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CallerOperation {
-    /// Take this job.
+    /// Submits a job.
     Submit {
-        /// The job.
+        /// The submitted job.
         #[serde(rename = "given")]
         submission: Submission,
-        /// For how many ms its record may be waited for.
+        /// Time in ms for which the owner may wait until the record of the job is durable.
         #[serde(rename = "within")]
         timeout_ms: u64,
     },
-    /// Cancel this job.
+    /// Cancels a job.
     Cancel(JobId),
-    /// How far is this job?
+    /// Asks for the phase of a job.
     State(JobId),
-    /// How many jobs of the queue have not begun?
+    /// Asks how many jobs of the queue have not started yet.
     Pending,
 }
 
-/// A caller's wish, as the entry that took the call has judged it.
+/// Request of a caller, after the entry that received it has authenticated the caller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallerRequest {
-    /// Who makes the call. Keys stay at the entry that takes it.
+    /// The caller. Its key stays at the entry that received the request.
     pub caller: Caller,
     /// The queue that was called.
     pub queue: QueueId,
-    /// The configuration by which the call was judged: an owner that knows a newer one has it judged anew.
+    /// Version of the configuration that the caller was authenticated with. An owner that knows a
+    /// newer one has the caller authenticated again.
     pub version: Version,
-    /// What the caller wants.
+    /// The requested operation.
     #[serde(rename = "wish")]
     pub operation: CallerOperation,
 }
 
-/// A question for the owner.
+/// Request of one entry to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Do this for a caller.
+    /// Carries out a caller's request. Only the owner does so.
     #[serde(rename = "For")]
     Caller(Box<CallerRequest>),
-    /// Will you hand the cell over to this entry, which has so much of a core?
+    /// Asks the owner to hand the cell over to the requesting entry.
     HandOver {
-        /// Its part of a core.
+        /// Share of a CPU core that the requesting entry has.
         cpu: MilliCpu,
     },
-    /// Append this record for me, with which I give the cell up: the store does not answer me.
+    /// Asks the receiver to append this record, by which the requesting owner releases the cell,
+    /// because the store does not answer that owner.
     Release(Box<Lease>),
-    /// Which life of the process are you, in which data centre? Any entry answers this at once.
+    /// Asks for the incarnation of the receiver's process and for its data centre. Every entry
+    /// answers at once.
     #[serde(rename = "Life")]
     Incarnation,
-    /// Does the platform's store answer you? Any entry answers this.
+    /// Asks whether the platform's store answers the receiver. Every entry answers this.
     Outage,
-    /// What is newer than this version of the configuration and this end of the lease's log? Any
-    /// entry answers this, for one that the platform turns away.
+    /// Asks for a newer configuration and for newer records of the lease. Every entry answers this,
+    /// so that an entry that is isolated from the store can catch up.
     #[serde(rename = "News")]
     Update {
-        /// The newest version that is known.
+        /// Newest version of the configuration that the requesting entry knows.
         version: Version,
-        /// The end of the lease's log, as far as it is known.
+        /// End of the lease's log, as far as the requesting entry knows it.
         end: u64,
     },
-    /// Where is this entry to have its news from? Only the owner answers this.
+    /// Asks which source the requesting entry shall replicate from. Only the owner answers this.
     #[serde(rename = "Place")]
     Assignment(Seeker),
-    /// What is new? It is answered once there is something.
+    /// Asks for new records. The response is held back until there are some or the maximum hold
+    /// time is over.
     #[serde(rename = "Feed")]
     Replication(replication::Request),
 }
 
 impl CallerRequest {
-    /// Says how much time is left for the answer, where the owner has to know.
+    /// Sets the time that is left for the response, if the owner needs to know it for this
+    /// operation.
     pub fn set_left(&mut self, left: Duration) {
         if let CallerOperation::Submit { timeout_ms, .. } = &mut self.operation {
             *timeout_ms = left.as_millis() as u64;
@@ -126,83 +133,87 @@
             PeerRequest::Caller(request) => request.fmt(f),
             PeerRequest::HandOver { cpu } => write!(f, "hand over to {cpu}"),
             PeerRequest::Release(lease) => write!(f, "release for {}", lease.node),
-            PeerRequest::Incarnation => write!(f, "life"),
+            PeerRequest::Incarnation => write!(f, "incarnation"),
             PeerRequest::Outage => write!(f, "outage"),
-            PeerRequest::Update { version, end } => write!(f, "news since {version} and {end}"),
-            PeerRequest::Assignment(follower) => write!(f, "place for {}", follower.address),
-            PeerRequest::Replication(request) => write!(f, "news for {}", request.follower.address),
+            PeerRequest::Update { version, end } => write!(f, "update since {version} and {end}"),
+            PeerRequest::Assignment(follower) => write!(f, "assignment for {}", follower.address),
+            PeerRequest::Replication(request) => {
+                write!(f, "replication for {}", request.follower.address)
+            }
         }
     }
 }
 
-/// What an entry knows that another may not.
+/// State of an entry that may be newer than that of the entry that asked for it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The configuration, as operators wrote it, if it is newer.
+    /// The configuration as operators wrote it, if it is newer.
     pub config: Option<RawConfig>,
-    /// The lease and the end of its log, if it is newer.
+    /// The lease and the end of its log, if they are newer.
     pub lease: Option<(Lease, u64)>,
-    /// The data centres that are to be emptied.
+    /// The data centres that are to be drained.
     #[serde(default, rename = "evacuations")]
     pub hall_drains: Evacuations,
-    /// How many ms ago the entry's configuration was the newest for certain.
+    /// Time in ms since the entry's configuration was known to be the newest one.
     pub age: u64,
 }
 
-/// An answer of the owner.
+/// Response of an entry to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// The job is kept.
+    /// The job is accepted and its record is durable.
     Accepted,
-    /// The job is cancelled, or was over.
+    /// The job is cancelled, or it had already ended.
     Cancelled,
-    /// The call was judged by an older configuration than this one; nothing was done.
+    /// The caller was authenticated with a configuration that is older than this version. Nothing
+    /// was done.
     Outdated(Version),
-    /// The job is not taken, and nothing of it was sent to the log.
+    /// The request is refused. Nothing of a refused job was sent to the log.
     Refused,
-    /// The job is not taken: it would be done too late. There may be room for it in so many ms.
+    /// The job is rejected because it would be done too late. There may be capacity for it after
+    /// this many ms.
     #[serde(rename = "Hopeless")]
     TooLate(u64),
-    /// The job is not taken: it asks for more than its workspace may ever have running.
+    /// The job is rejected because it needs more than its workspace may ever have running.
     TooLarge,
     /// There is no such job.
     Unknown,
-    /// The job is this far.
+    /// The phase of the job.
     State(Phase),
-    /// So many jobs have not begun.
+    /// The number of jobs that have not started yet.
     Pending(usize),
-    /// The entry that was asked owns nothing; nothing was done.
+    /// The receiver does not own the cell. Nothing was done.
     NotOwner,
-    /// This life of the process answers.
+    /// The incarnation of the receiver, with its data centre and the entries that it knows.
     #[serde(rename = "Life")]
     Incarnation(Presence),
-    /// The cell is handed over.
+    /// The cell is being handed over.
     HandedOver,
-    /// What is newer.
+    /// State that is newer than what the requesting entry knows.
     #[serde(rename = "News")]
     Update(Update),
-    /// This is where news come from.
+    /// The source that the requesting entry shall replicate from.
     #[serde(rename = "Place")]
     Assignment(Source),
-    /// This is for a follower.
+    /// The response to a follower.
     #[serde(rename = "Feed")]
     Replication(replication::Response),
-    /// Whether the store is silent for an entry, and in which data centre that entry is.
+    /// Whether the store answers the receiver, and the data centre of the receiver.
     Outage {
-        /// The entry's data centre.
+        /// The data centre of the receiver.
         hall: String,
-        /// Whether the store does not answer it.
+        /// Whether the store does not answer the receiver.
         silent: bool,
     },
-    /// It may have been done, or may not.
+    /// It is not known whether the request was carried out.
     Unsure,
 }
 
-/// Answers the questions of other entries.
+/// Serves the requests of other entries.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
-    let failed = |error| warn!(%error, "no connection of an entry could be taken");
+    let failed = |error| warn!(%error, "cannot accept a connection of an entry");
     let serve = |stream: TcpStream| {
-        // Without this, answers are only slower.
+        // An error is ignored, since it only makes responses slower.
         let _ = stream.set_nodelay(true);
         let node = Rc::clone(&node);
         listen::serve(stream, move |request| respond(Rc::clone(&node), request))
@@ -210,7 +221,7 @@
     accept_each(listener, failed, serve).await;
 }
 
-/// Answers a question of another entry.
+/// Decodes a request of another entry and responds to it.
 async fn respond(node: Rc<Node>, request: hyper::Request<Incoming>) -> Reply {
     let body = Limited::new(request.into_body(), MAX_REQUEST_BYTES)
         .collect()
@@ -240,11 +251,12 @@
         (PeerRequest::Caller(request), Some(owner)) => owner.handle(*request).await,
         (_, None) => PeerResponse::NotOwner,
     };
-    let bytes = rmp_serde::to_vec(&response).expect("plain data has a form in MessagePack");
+    let bytes = rmp_serde::to_vec(&response).expect("plain data can be encoded as MessagePack");
     Response::new(Full::new(bytes.into()))
 }
 
-/// Gives the cell up for an owner that the store turns away, and tells it what the log says now.
+/// Appends the release of the cell on behalf of an owner that is isolated from the store, and
+/// responds with the newest record.
 async fn release_for_owner(node: &Node, lease: Lease) -> PeerResponse {
     match append_release(node, lease).await {
         None => PeerResponse::Unsure,
@@ -255,7 +267,8 @@
     }
 }
 
-/// What this entry knows beyond a version of the configuration and an end of the lease's log.
+/// Returns what this entry knows beyond a version of the configuration and an end of the lease's
+/// log.
 fn update(node: &Node, version: Version, end: u64) -> Update {
     let lease = node
         .lease
@@ -270,18 +283,19 @@
     }
 }
 
-/// Asks an entry at an address.
+/// Sends a request to the entry at an address and returns its response.
 ///
 /// # Errors
 ///
-/// Tells whether the question may have been taken.
+/// Fails if there is no usable response. The error tells whether the request may have been
+/// received.
 pub async fn call(
     node: &Node,
     address: &str,
     request: &PeerRequest,
     deadline: Instant,
 ) -> Result<PeerResponse, CallError> {
-    let body = rmp_serde::to_vec(request).expect("plain data has a form in MessagePack");
+    let body = rmp_serde::to_vec(request).expect("plain data can be encoded as MessagePack");
     let call = Call {
         connection: Connection::Kept,
         address,
@@ -291,9 +305,9 @@
         body: Some(body.into()),
         deadline,
     };
-    let answer = node.client.call(call).await?;
-    rmp_serde::from_slice(&answer.body).map_err(|error| {
-        warn!(%error, address, "an entry's answer cannot be read");
+    let response = node.client.call(call).await?;
+    rmp_serde::from_slice(&response.body).map_err(|error| {
+        warn!(%error, address, "cannot decode the response of an entry");
         CallError::Unanswered
     })
 }
