--- a/crates/havenladder/src/entry/listen.rs
+++ b/crates/havenladder/src/entry/listen.rs
@@ -1,4 +1,4 @@
-//! Takes connections and serves them, one task for each.
+//! Accepts connections and serves each of them in a task of its own.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -10,14 +10,15 @@
     task, time,
 };
 
-/// Time until a connection is taken after one could not be: as a rule, descriptors have run out.
+/// Delay after a connection could not be accepted, usually because the process has run out of file
+/// descriptors.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What an entry answers over HTTP.
+/// HTTP response of an entry.
 pub type Reply = Response<Full<Bytes>>;
 
-/// Takes connections for ever and has each served by a task of its own; `failed` is told of those
-/// that could not be taken.
+/// Accepts connections forever and serves each in a task of its own. `failed` is called with the
+/// error of a connection that could not be accepted.
 pub async fn accept_each<F: Future<Output = ()> + 'static>(
     listener: TcpListener,
     failed: impl Fn(io::Error),
@@ -36,14 +37,14 @@
     }
 }
 
-/// Answers the requests of a connection until the other side ends it. Whoever breaks off asks again
-/// by itself.
+/// Answers the requests of a connection until the peer closes it. An error is ignored, since a peer
+/// that breaks off connects again by itself.
 pub async fn serve<F: Future<Output = Reply>>(
     stream: TcpStream,
-    answer: impl Fn(Request<Incoming>) -> F,
+    respond: impl Fn(Request<Incoming>) -> F,
 ) {
     let service = service_fn(|request| {
-        let reply = answer(request);
+        let reply = respond(request);
         async move { Ok::<_, Infallible>(reply.await) }
     });
     let _ = http1::Builder::new()
--- a/crates/havenladder/src/entry/mod.rs
+++ b/crates/havenladder/src/entry/mod.rs
@@ -1,8 +1,8 @@
-//! An entry on the users' machines: takes jobs from callers and, where it owns the cell, decides
-//! about them.
+//! An entry, which runs on one of the users' machines: it accepts jobs from callers and, while it
+//! owns the cell, schedules them.
 //!
-//! All of it runs on one thread: wake-ups are charged there, and no duty computes for long. What the
-//! duties share is in one [`Node`].
+//! Everything runs on one thread, because wake-ups are charged there and no background task
+//! computes for long. The tasks share their state in one [`Node`].
 
 mod callers;
 mod ends;
@@ -51,14 +51,14 @@
     let settings = match settings::read() {
         Ok(settings) => settings,
         Err(error) => {
-            error!(%error, "settings cannot be used");
+            error!(%error, "cannot use the settings");
             return ExitCode::from(3);
         }
     };
     let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            error!(%error, "no runtime");
+            error!(%error, "cannot start the async runtime");
             return ExitCode::FAILURE;
         }
     };
@@ -72,11 +72,11 @@
     }
 }
 
-/// Starts the duties and waits for the stop.
+/// Starts the background tasks and waits until the entry is told to stop.
 ///
 /// # Errors
 ///
-/// Fails when a port that the entry cannot do without is not free.
+/// Fails if the port for callers, for readiness checks or for other entries cannot be bound.
 async fn serve(node: Rc<Node>) -> io::Result<()> {
     let settings = &node.settings;
     let callers = TcpListener::bind(&settings.callers).await?;
@@ -100,7 +100,7 @@
         Ok(listener) => {
             tokio::task::spawn_local(metrics::listen(Rc::clone(&node.metrics), listener));
         }
-        Err(error) => warn!(%error, port = metrics::PORT, "metrics are not told"),
+        Err(error) => warn!(%error, port = metrics::PORT, "metrics are not served"),
     }
     stop::wait(&node).await;
     info!(node = settings.node, "entry stops");
--- a/crates/havenladder/src/entry/stop.rs
+++ b/crates/havenladder/src/entry/stop.rs
@@ -1,4 +1,4 @@
-//! Stops the process without breaking off what it is answering.
+//! Stops the process once the requests in progress have been answered.
 
 use super::node::Node;
 use std::{rc::Rc, time::Duration};
@@ -8,29 +8,31 @@
 };
 use tracing::{error, info};
 
-/// How long callers may still connect after the entry has said that it is not ready: the balancer
-/// asks every second and needs two misses.
+/// Time for which callers may still connect after the entry has reported that it is not ready. The
+/// balancer asks every second and needs two failures.
 const CONNECT_GRACE: Duration = Duration::from_millis(2_500);
 
-/// What is left of the time to stop when the process ends whatever it still does.
+/// Part of the time to stop that is reserved for the end of the process, whatever it is still
+/// doing.
 const EXIT_RESERVE: Duration = Duration::from_millis(500);
 
-/// Time between two looks at what is still being answered.
+/// Interval between two checks of the requests in progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until the process has been told to stop and has answered what it had taken.
+/// Waits until the process has been told to stop and the requests in progress have been answered or
+/// the time for it is over.
 pub async fn wait(node: &Rc<Node>) {
     let (Ok(mut term), Ok(mut hup)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::hangup()),
     ) else {
-        error!("signals cannot be heard");
+        error!("cannot install the signal handlers");
         return;
     };
     loop {
         tokio::select! {
             _ = term.recv() => break,
-            _ = hup.recv() => info!("settings file has changed; nothing in it is used after the start"),
+            _ = hup.recv() => info!("settings file has changed; it is only read at the start"),
         }
     }
     info!(in_flight = node.in_flight.get(), "told to stop");
