--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -1,5 +1,5 @@
-//! What operators have put in force: the configuration, as decoded and as written, its keys, waves of upkeep, and data
-//! centres to be emptied.
+//! The settings and orders of operators that are in force: the configuration, as decoded and as
+//! written, its keys, the waves of maintenance, and the data centres to be drained.
 
 use adapter::{
     operator::{self, CONFIG_KEY, Config, EVACUATE_KEY, Queue, Version, WAVE_KEY, Wave},
@@ -17,7 +17,8 @@
 use tracing::{info, warn};
 use workspaces::{Authorization, Keyring};
 
-/// A configuration as operators wrote it. Its `Debug` form does not show it, since it holds keys.
+/// Configuration as operators wrote it. Its `Debug` form hides the content, since that includes
+/// keys.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RawConfig(#[serde(with = "serde_bytes")] pub Vec<u8>);
 
@@ -27,29 +28,30 @@
     }
 }
 
-/// Who makes a call.
+/// Originator of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Caller {
-    /// Whoever it is: the queue is open to all.
+    /// An anonymous caller of a queue that is open to all.
     Anyone,
-    /// A workspace, by one of its keys.
+    /// A workspace, identified by one of its keys.
     #[serde(rename = "Of")]
     Workspace(WorkspaceId),
 }
 
-/// Why a call is not let in.
+/// Reason why a caller is not authorized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unauthorized {
-    /// It shows no key.
+    /// The call carries no key.
     Missing,
-    /// What it shows is no key.
+    /// The value that the call carries is not a well-formed key.
     Malformed,
-    /// No workspace has the key, or several have it.
+    /// No workspace has the key, or more than one has it.
     Unknown,
 }
 
 impl Unauthorized {
-    /// What its caller, the log and the metrics are told.
+    /// Returns the reason as it appears in the response to the caller, in the log and in the
+    /// metrics.
     pub fn reason(self) -> &'static str {
         match self {
             Unauthorized::Missing => "no key",
@@ -59,7 +61,7 @@
     }
 }
 
-/// What is in force.
+/// Settings and orders of operators that are in force.
 #[derive(Default)]
 pub struct InForce {
     config: Option<Rc<Config>>,
@@ -68,12 +70,12 @@
     keyring: Keyring,
     waves: BTreeMap<u64, Wave>,
     hall_drains: Evacuations,
-    /// The data centres of the deployment; none if they are not known.
+    /// Data centres of the deployment. Empty if they are not known.
     halls: BTreeSet<HallId>,
 }
 
 impl InForce {
-    /// Nothing in force yet, on a deployment with these data centres.
+    /// Creates an empty state for a deployment with these data centres.
     pub fn new(halls: BTreeSet<HallId>) -> Self {
         InForce {
             halls,
@@ -81,38 +83,39 @@
         }
     }
 
-    /// The newest configuration.
+    /// Returns the newest configuration.
     pub fn config(&self) -> Option<Rc<Config>> {
         self.config.clone()
     }
 
-    /// Its version; 0 without one.
+    /// Returns the version of the newest configuration, or 0 if there is none.
     pub fn version(&self) -> Version {
         self.config.as_ref().map_or(0, |config| config.version)
     }
 
-    /// The newest configuration as it was written, if it is newer than a version.
+    /// Returns the newest configuration as it was written, if it is newer than `version`.
     pub fn raw_config_after(&self, version: Version) -> Option<RawConfig> {
         let raw_config = self.raw_config.as_ref();
         let newer = raw_config.filter(|_| self.version() > version);
         newer.map(|raw_config| RawConfig(raw_config.to_vec()))
     }
 
-    /// The waves that operators asked for, by number.
+    /// Returns the waves that operators have requested, ordered by number.
     pub fn waves(&self) -> impl Iterator<Item = &Wave> {
         self.waves.values()
     }
 
-    /// The workspaces and their keys.
+    /// Returns the workspaces and their keys.
     pub fn keyring(&self) -> &Keyring {
         &self.keyring
     }
 
-    /// Who makes a call to a queue, by the key that it shows. On a deployment without workspaces every queue is open.
+    /// Authenticates the caller of a queue by its key. On a deployment without workspaces every
+    /// queue is open to all.
     ///
     /// # Errors
     ///
-    /// Tells why the call is not let in.
+    /// Returns the reason why the caller is not authorized.
     pub fn authenticate(
         &self,
         queue: &Queue,
@@ -131,26 +134,27 @@
         }
     }
 
-    /// The data centres that are to be emptied.
+    /// Returns the data centres that are to be drained.
     pub fn hall_drains(&self) -> &Evacuations {
         &self.hall_drains
     }
 
-    /// Takes in the newest record of each key of the operators' topic, which ended at `end`.
+    /// Replaces the state by the newest record of each key of the operators' topic, which ended at
+    /// `end`.
     pub fn restart(&mut self, newest: Vec<Keyed>, end: Offset) {
         let orders = newest.iter().filter_map(|record| self.read_order(record));
         let halls = orders.filter_map(|order| match order {
             HallOrder::Empty(hall) => Some(hall),
             HallOrder::TakeBack(_) => None,
         });
-        // What has no record has been taken back.
+        // A drain order without a record has been withdrawn.
         self.adopt_hall_drains(Evacuations::new(halls.collect(), end));
         newest
             .into_iter()
             .for_each(|record| self.apply_record(record));
     }
 
-    /// Takes in the record at an offset of the operators' topic.
+    /// Applies the record at an offset of the operators' topic.
     pub fn apply(&mut self, record: Keyed, offset: Offset) {
         let order = self.read_order(&record);
         if self.hall_drains.take(order, offset) {
@@ -159,7 +163,7 @@
         self.apply_record(record);
     }
 
-    /// Takes in what another entry knows.
+    /// Adopts a configuration and drain orders that another entry knows.
     pub fn adopt(&mut self, config: Option<RawConfig>, hall_drains: Evacuations) {
         if let Some(config) = config {
             info!("another entry has a newer configuration");
@@ -168,21 +172,21 @@
         self.adopt_hall_drains(hall_drains);
     }
 
-    /// Takes over which data centres are to be emptied, unless something newer is known.
+    /// Adopts a set of data centres to be drained, unless a newer one is known.
     fn adopt_hall_drains(&mut self, hall_drains: Evacuations) {
         if self.hall_drains.adopt(hall_drains) {
             self.log_hall_drains();
         }
     }
 
-    /// One line for each change of what is to be emptied.
+    /// Logs the data centres that are to be drained, after each change.
     fn log_hall_drains(&self) {
         let halls = self.hall_drains.halls();
-        info!(?halls, "data centres to be emptied");
+        info!(?halls, "data centres to be drained");
     }
 
-    /// The order about a data centre of the deployment that a record holds; one that makes no sense is logged and changes
-    /// nothing.
+    /// Returns the order about a data centre that a record holds. An order that cannot be read, or
+    /// that names a data centre outside the deployment, is logged and has no effect.
     fn read_order(&self, record: &Keyed) -> Option<HallOrder> {
         let key = &record.key;
         let hall = key.strip_prefix(EVACUATE_KEY)?;
@@ -190,19 +194,19 @@
             return Some(HallOrder::TakeBack(hall.to_owned()));
         };
         if hall.is_empty() || !(self.halls.is_empty() || self.halls.contains(hall)) {
-            warn!(key, halls = ?self.halls, "an order to empty a data centre that does not exist");
+            warn!(key, halls = ?self.halls, "ignored an order to drain an unknown data centre");
             return None;
         }
         match operator::read_evacuation(value) {
             Ok(()) => Some(HallOrder::Empty(hall.to_owned())),
             Err(error) => {
-                warn!(%error, key, "an order to empty a data centre cannot be read");
+                warn!(%error, key, "cannot decode an order to drain a data centre");
                 None
             }
         }
     }
 
-    /// Puts a configuration or a wave in force.
+    /// Applies a record that holds a configuration or a wave.
     fn apply_record(&mut self, record: Keyed) {
         let Some(value) = record.value else { return };
         if record.key == CONFIG_KEY {
@@ -212,9 +216,10 @@
         }
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Applies a configuration, unless it is not newer than the current one.
     fn apply_config(&mut self, value: Bytes) {
-        // Other entries and looks bring what is in force already, and a large one takes long to read on a weak entry.
+        // Other entries and refreshes often deliver the current configuration again, and decoding a
+        // large one takes long on a weak entry.
         let is_old = |version| self.config.is_some() && version <= self.version();
         if operator::read_version(&value).is_some_and(is_old) {
             return;
@@ -222,7 +227,7 @@
         let config = match operator::read_config(&value, &mut self.rows) {
             Ok(config) => config,
             Err(error) => {
-                return warn!(%error, "a configuration cannot be read; the old one stays");
+                return warn!(%error, "cannot decode a configuration; the current one stays in force");
             }
         };
         let old = self.version();
@@ -242,15 +247,15 @@
         self.raw_config = Some(value);
     }
 
-    /// Takes in a wave; it does not change once it is asked for.
+    /// Adds a wave. A wave does not change once it has been requested.
     fn add_wave(&mut self, key: &str, value: &Bytes) {
         match operator::read_wave(value) {
             Ok(wave) => {
                 let (number, vms, most) = (wave.number, wave.vms.len(), wave.most);
-                info!(wave = number, vms, most, "wave asked for");
+                info!(wave = number, vms, most, "wave requested");
                 self.waves.entry(number).or_insert(wave);
             }
-            Err(error) => warn!(%error, key, "a wave cannot be read"),
+            Err(error) => warn!(%error, key, "cannot decode a wave"),
         }
     }
 }
