--- a/crates/havenladder/src/entry/outage.rs
+++ b/crates/havenladder/src/entry/outage.rs
@@ -1,8 +1,9 @@
-//! Whether the store is away for all, or this entry is cut off from it.
+//! Tells a store outage for all entries from an isolation of this entry.
 //!
-//! An owner whose appends stall asks entries that it knows whether the store answers them. Only where one
-//! in another data centre says that it does not, and none says that it does, nobody can have taken over. Where it answers
-//! a third of them or more, and not this entry, the owner gives the cell up through one of them.
+//! An owner whose appends stall asks the entries that it knows whether the store answers them. If
+//! one in another data centre reports that it does not, and none reports that it does, then no
+//! other entry can have taken over. If the store answers at least a third of them but not this
+//! entry, the owner releases the cell through one of those entries.
 
 use super::{
     node::Node,
@@ -16,19 +17,19 @@
 use tokio::{task, time};
 use tracing::info;
 
-/// How long the store may take to answer a question that needs no waiting: 60 times what it takes.
+/// Timeout of a request to the store that needs no waiting: 60 times its usual duration.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long an entry may take to tell, with its own question to the store.
+/// Timeout of a report by another entry, including that entry's own probe of the store.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// For how long it is relied on that the store is away.
+/// Maximum age of a confirmation that the store is unavailable for all.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(900);
 
-/// Time between two rounds of questions.
+/// Interval between two rounds of checks.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Tells another entry whether the store answers this one.
+/// Reports to another entry whether the store answers this one.
 pub async fn report(node: &Node) -> PeerResponse {
     let probe = node.store.probe();
     let answered = time::timeout(PROBE_TIMEOUT, probe).await.unwrap_or(false);
@@ -38,20 +39,22 @@
     }
 }
 
-/// How many questions of an owner the store must leave without an answer, each on a connection of its own, to count as
-/// turning it away: where a third of all answers is lost, one time in 27 that is by chance.
+/// Number of probes, each on a new connection, that the store must leave unanswered before the
+/// owner counts as isolated. If a third of all responses is lost, three probes fail by chance one
+/// time in 27.
 const PROBE_COUNT: usize = 3;
 
-/// Within which time another entry must tell that the store answers it, its own question to the store included, to show that
-/// this entry is turned away: a store that is slow for all may answer one of them just in time, and gives each 60 times what it
-/// takes as a rule.
+/// Time within which another entry must report that the store answers it, including its own probe,
+/// to count as evidence that this entry is isolated. A store that is slow for all may answer one of
+/// them just before its timeout, which is 60 times the usual duration.
 const PROMPT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long an owner must have had the cell before it gives it up for this: its workers are met by then, and the cell does
-/// not go round while the store is in trouble for all.
+/// Time for which an owner must have owned the cell before it releases it because of an isolation.
+/// By then it has contacted its workers, and the cell does not move from entry to entry while the
+/// store is unavailable for all.
 const MIN_OWNERSHIP_AGE: Duration = fleet::SETTLED;
 
-/// What the last round of questions showed.
+/// Result of the last round of checks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outage {
     last_check: Option<Instant>,
@@ -59,7 +62,7 @@
 }
 
 impl Outage {
-    /// Whether the store is away for all, as far as is known.
+    /// Returns whether the store is known to be unavailable for all entries.
     pub fn is_confirmed(self) -> bool {
         self.confirmed
             .is_some_and(|at| at.elapsed() < MAX_CONFIRMATION_AGE)
@@ -71,7 +74,7 @@
     }
 }
 
-/// Begins a round of questions, unless one was begun a moment ago.
+/// Starts a round of checks, unless one was started less than [`RETRY_INTERVAL`] ago.
 pub fn start_check(owner: &Rc<Owner>) {
     let last = owner.outage.get();
     if !last.is_due() {
@@ -89,7 +92,8 @@
     let began = Instant::now();
     let own_probes = task::spawn_local(probe_store(Rc::clone(&owner.node)));
     let deadline = began + REPORT_TIMEOUT;
-    // Those that read say most: an owner may know few others, all turned away together with it.
+    // Readers are asked as well, since an owner may know only few other entries, which may all be
+    // isolated together with it.
     let mut peers = owner.node.known_entries();
     peers.extend(owner.node.replication.known_readers());
     peers.sort();
@@ -100,8 +104,8 @@
         .map(|peer| {
             let node = Rc::clone(&owner.node);
             task::spawn_local(async move {
-                let answer = peer::call(&node, &peer, &PeerRequest::Outage, deadline).await;
-                (peer, answer, began.elapsed())
+                let response = peer::call(&node, &peer, &PeerRequest::Outage, deadline).await;
+                (peer, response, began.elapsed())
             })
         })
         .collect();
@@ -109,7 +113,7 @@
     let mut prompt_reports = Vec::new();
     let mut relays = Vec::new();
     for request in requests {
-        // An entry that does not answer tells nothing.
+        // An entry that does not respond gives no evidence.
         if let Ok((peer, Ok(PeerResponse::Outage { hall, silent }), took)) = request.await {
             let answered = !silent && took <= PROMPT_TIMEOUT;
             prompt_reports.push(Hearing {
@@ -121,7 +125,7 @@
         }
     }
     let is_settled = owner.began.elapsed() >= MIN_OWNERSHIP_AGE;
-    // The store may have answered by now.
+    // The store may have answered in the meantime.
     let is_stalled = || owner.is_alive() && owner.is_stalled(began.elapsed());
     if is_settled
         && is_turned_away(&prompt_reports)
@@ -131,7 +135,7 @@
         info!(
             epoch = owner.epoch,
             reaching = relays.len(),
-            "the store answers others, not this entry"
+            "the store answers other entries but not this one"
         );
         *owner.relays.borrow_mut() = relays;
         owner.lease_due.notify_one();
@@ -140,7 +144,10 @@
     if is_away(&owner.node.settings.hall, &reports, peer_count) {
         let last = owner.outage.get();
         if !last.is_confirmed() {
-            info!(epoch = owner.epoch, "the store is away for others, too");
+            info!(
+                epoch = owner.epoch,
+                "the store is unavailable for other entries too"
+            );
         }
         owner.outage.set(Outage {
             confirmed: Some(Instant::now()),
@@ -149,7 +156,8 @@
     }
 }
 
-/// Whether the store answers this entry, asked on new connections: kept ones may have fallen silent.
+/// Probes the store on new connections, since kept ones may have fallen silent, and returns whether
+/// it answers this entry.
 async fn probe_store(node: Rc<Node>) -> bool {
     let probes: Vec<_> = (0..PROBE_COUNT)
         .map(|_| {
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -1,7 +1,8 @@
-//! What this entry reaches, and whether it says that it is ready.
+//! Checks what this entry reaches, which decides whether it reports that it is ready.
 //!
-//! Costs nothing while renewals of the owner's lease come in. Where they do not, or the owner does not
-//! answer, the owner and entries of other data centres are asked until one of them answers.
+//! The checks cost nothing while renewals of the owner's lease arrive. If they do not, or if the
+//! owner does not answer, the owner and entries of other data centres are polled until one of them
+//! answers.
 
 use super::{
     node::{IncarnationId, Node},
@@ -13,34 +14,34 @@
 use tokio::{task, time};
 use tracing::info;
 
-/// How long an entry may take to say that it is there; it takes some ms.
+/// Timeout of a poll of another entry, which usually answers within some ms.
 const INCARNATION_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time between two rounds of questions.
+/// Interval between two rounds of polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many entries of other data centres are remembered: enough that some of them live.
+/// Number of entries of other data centres that are remembered, so that some of them are running.
 const MAX_DIRECTORY_ENTRIES: usize = 6;
 
-/// Where an entry takes the calls of others, as IP and port.
+/// Address on which an entry serves other entries, as IP and port.
 type Address = String;
 
-/// The entries of other data centres that this one has heard of, each with its data centre.
+/// Known entries of other data centres, each with its data centre.
 pub type Directory = BTreeMap<Address, String>;
 
-/// What an entry says of itself.
+/// Description that an entry gives of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
-    /// This life of its process.
+    /// Incarnation of the entry's process.
     #[serde(rename = "life")]
     pub incarnation: IncarnationId,
-    /// Its data centre.
+    /// Data centre of the entry.
     pub hall: String,
     /// Other entries that it knows, each with its data centre.
     pub known: Directory,
 }
 
-/// What this entry says of itself.
+/// Returns the description of this entry.
 pub fn presence(node: &Node) -> Presence {
     Presence {
         incarnation: node.incarnation,
@@ -49,9 +50,9 @@
     }
 }
 
-/// Finds out what this entry reaches, whenever that is in doubt.
+/// Checks what this entry reaches, whenever that is uncertain.
 pub async fn run(node: Rc<Node>) {
-    // Who there is to be asked is learnt while all is well.
+    // The first round learns the addresses of other entries while everything works.
     poll_entries(&node).await;
     loop {
         wait_until_check_due(&node).await;
@@ -61,7 +62,7 @@
     }
 }
 
-/// Waits until nothing has been heard from outside for a while, or the owner did not answer.
+/// Waits until nothing outside has answered for a while, or the owner did not answer.
 async fn wait_until_check_due(node: &Node) {
     if node.cut_off.get() {
         return;
@@ -73,7 +74,7 @@
     }
 }
 
-/// Asks the owner, the seeds and some entries of other data centres at the same time whether they are there.
+/// Polls the owner, the seeds and the known entries of other data centres at the same time.
 async fn poll_entries(node: &Rc<Node>) {
     let owner = owner_address(node);
     let deadline = Instant::now() + INCARNATION_TIMEOUT;
@@ -83,26 +84,28 @@
         .map(|address| {
             let node = Rc::clone(node);
             task::spawn_local(async move {
-                let answer = peer::call(&node, &address, &PeerRequest::Incarnation, deadline).await;
-                (address, answer)
+                let response =
+                    peer::call(&node, &address, &PeerRequest::Incarnation, deadline).await;
+                (address, response)
             })
         })
         .collect();
     let began = Instant::now();
     let mut missing = Vec::new();
     for request in requests {
-        let Ok((address, answer)) = request.await else {
+        let Ok((address, response)) = request.await else {
             continue;
         };
-        if answer.is_err() {
+        if response.is_err() {
             missing.push(address.clone());
         }
         let is_owner = owner.as_ref() == Some(&address);
-        match answer {
+        match response {
             Ok(PeerResponse::Incarnation(presence)) => {
                 record_presence(node, address, presence, is_owner)
             }
-            // A port that refuses shows that the owner's process has ended.
+            // A port that refuses the connection shows that the owner's process has ended, not that
+            // it is out of reach.
             Err(error) if is_owner && !error.is_refused() => {
                 node.update_reach(|reach| reach.note_silence(Instant::now()));
             }
@@ -112,8 +115,8 @@
     remove_missing(node, &missing, began);
 }
 
-/// Forgets the entries that did not answer where others of other data centres did: they may be gone for good,
-/// and make room for those that the others know.
+/// Removes the entries that did not answer while one of another data centre did. They may be gone
+/// for good, and make room for those that the others know.
 fn remove_missing(node: &Node, missing: &[Address], began: Instant) {
     if node.reach.get().was_peer_heard(began) {
         let mut directory = node.directory.borrow_mut();
@@ -121,7 +124,7 @@
     }
 }
 
-/// Where the owner takes calls, if it is another entry.
+/// Returns the address of the owner, if it is another entry.
 fn owner_address(node: &Node) -> Option<Address> {
     let lease = node.lease.borrow();
     let other = lease
@@ -130,7 +133,7 @@
     other.map(|lease| lease.address.clone())
 }
 
-/// Takes note of an entry that answered.
+/// Records that an entry has answered, and the entries that it knows.
 fn record_presence(node: &Node, address: Address, presence: Presence, is_owner: bool) {
     if is_owner {
         node.update_reach(|reach| reach.note_answer(Instant::now()));
@@ -148,7 +151,8 @@
     }
 }
 
-/// Draws from what was heard whether the entry is cut off, and whether the owner may be replaced sooner.
+/// Determines from the answers whether this entry is cut off, and whether the owner may be replaced
+/// earlier.
 fn evaluate(node: &Node) {
     let now = Instant::now();
     if node.reach.get().is_owner_silent(now) {
