--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -1,4 +1,4 @@
-//! What the duties of an entry share.
+//! State that the background tasks of an entry share.
 
 pub use super::lease_state::{IncarnationId, Lease};
 
@@ -19,72 +19,72 @@
 use tokio::sync::Notify;
 use workspaces::Freshness;
 
-/// What the duties of an entry share.
+/// State that the background tasks of an entry share.
 pub struct Node {
-    /// What the platform's file says.
+    /// Settings from the platform's file.
     pub settings: Settings,
-    /// This life of the process.
+    /// Incarnation of this process.
     pub incarnation: IncarnationId,
-    /// When the process began.
+    /// Time at which the process started.
     pub began: Instant,
-    /// What the entry counts.
+    /// Metrics of the entry.
     pub metrics: Rc<Metrics>,
-    /// Calls to anybody.
+    /// HTTP client for all outgoing calls.
     pub client: Client,
     /// The platform's store.
     pub store: Store,
-    /// How long the store takes to answer.
+    /// Response times of the store.
     pub store_times: Cell<AnswerTime>,
-    /// The workers.
+    /// Client of the workers.
     pub workers: Workers,
-    /// The platform's VMs.
+    /// Client of the platform's VM service.
     pub cloud: Cloud,
-    /// How long the list of VMs takes to read.
+    /// Response times of the VM list.
     pub list_times: Cell<AnswerTime>,
-    /// The service that tells which workers may run a step.
+    /// Client of the service that tells which workers may run a step, if there is one.
     pub advice: Option<Advice>,
-    /// What operators have put in force.
+    /// Settings and orders of operators that are in force.
     pub in_force: RefCell<InForce>,
-    /// How sure this entry may be that nothing newer is.
+    /// How recently this entry's configuration was known to be the newest one.
     pub freshness: Cell<Freshness>,
-    /// Where news come from, and who is told.
+    /// State of replication: the source of this entry and its followers.
     pub replication: Replication,
-    /// Told when a look for something newer has ended.
+    /// Notified when a refresh of the configuration has ended.
     pub refreshed: Notify,
-    /// Who owns the cell.
+    /// Newest known record of the lease.
     pub lease: RefCell<Option<Lease>>,
-    /// The end of the lease's log, as far as it is known.
+    /// End of the lease's log, as far as it is known.
     pub lease_end: Cell<u64>,
-    /// Told when the owner changes, or this entry is ready to own.
+    /// Notified when the owner changes, or when this entry is ready to own the cell.
     pub lease_changed: Notify,
-    /// The owner whose port refused the last connection.
+    /// Owner whose port refused the last connection.
     pub suspected_owner: Cell<Option<IncarnationId>>,
-    /// The owner whose port refused a connection, twice in a row.
+    /// Owner whose port refused two connections in a row, so that its process has ended.
     pub ended_owner: Cell<Option<IncarnationId>>,
-    /// Told when the lease may be claimed sooner than was planned.
+    /// Notified when the lease may be claimed earlier than planned.
     pub claim_due: Notify,
-    /// What this entry owns.
+    /// State of the owner, while this entry owns the cell.
     pub owner: RefCell<Option<Rc<Owner>>>,
     /// Whether the process has been told to stop.
     pub stopping: Cell<bool>,
-    /// Told when the process is to stop.
+    /// Notified when the process is told to stop.
     pub stop: Notify,
-    /// What this entry reaches.
+    /// Which other parties this entry reaches.
     pub reach: Cell<Reach>,
-    /// Told when what this entry reaches is to be found out.
+    /// Notified when it is to be checked at once what this entry reaches.
     pub reach_due: Notify,
-    /// Whether this entry cannot serve callers because it is cut off.
+    /// Whether this entry is cut off and therefore cannot serve callers.
     pub cut_off: Cell<bool>,
-    /// Told when that has changed.
+    /// Notified when [`Node::cut_off`] has changed.
     pub reach_changed: Notify,
-    /// The entries of other data centres that this one has heard of.
+    /// Known entries of other data centres.
     pub directory: RefCell<Directory>,
-    /// How many requests of callers are being answered.
+    /// Number of callers' requests in progress.
     pub in_flight: Cell<usize>,
 }
 
 impl Node {
-    /// What an entry knows when it starts.
+    /// Creates the state of an entry that has just started.
     pub fn new(settings: Settings) -> Rc<Self> {
         let client = Client::default();
         let patience = settings.patience;
@@ -126,12 +126,13 @@
         })
     }
 
-    /// Where this entry takes the calls of others.
+    /// Returns the address on which this entry serves other entries.
     pub fn peer_address(&self) -> String {
         format!("{}:{}", self.settings.ip, self.settings.inner_port)
     }
 
-    /// Where other entries can be asked: the owner's address first, then the seeds'.
+    /// Returns the addresses of other entries that can be asked: the owner's first, then those of
+    /// the seeds.
     pub fn peers(&self) -> Vec<String> {
         let port = self.settings.inner_port;
         let lease = self.lease.borrow();
@@ -144,7 +145,8 @@
             .collect()
     }
 
-    /// All other entries that can be asked: [`Node::peers`] and those of other data centres, each once.
+    /// Returns the addresses of all known entries: [`Node::peers`] and those of other data centres,
+    /// without duplicates.
     pub fn known_entries(&self) -> Vec<String> {
         let mut addresses = self.peers();
         addresses.extend(self.directory.borrow().keys().cloned());
@@ -153,7 +155,7 @@
         addresses
     }
 
-    /// The owner, if this entry is it.
+    /// Returns the owner's state, if this entry owns the cell and may still decide.
     pub fn as_owner(&self) -> Option<Rc<Owner>> {
         self.owner
             .borrow()
@@ -162,19 +164,19 @@
             .cloned()
     }
 
-    /// Changes what is known of what this entry reaches.
+    /// Updates the record of what this entry reaches.
     pub fn update_reach(&self, update: impl FnOnce(&mut Reach)) {
         let mut reach = self.reach.get();
         update(&mut reach);
         self.reach.set(reach);
     }
 
-    /// The newest configuration.
+    /// Returns the newest configuration.
     pub fn config(&self) -> Option<Rc<Config>> {
         self.in_force.borrow().config()
     }
 
-    /// Changes what is known of how new this entry's configuration is.
+    /// Updates the record of how fresh this entry's configuration is.
     pub fn update_freshness(&self, update: impl FnOnce(&mut Freshness)) {
         let mut freshness = self.freshness.get();
         update(&mut freshness);
@@ -182,7 +184,7 @@
     }
 }
 
-/// The time of day, in ms since 1970.
+/// Returns the time of day in ms since 1970.
 pub fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
