--- a/crates/havenladder/src/entry/lease_record.rs
+++ b/crates/havenladder/src/entry/lease_record.rs
@@ -1,4 +1,5 @@
-//! Records of the lease, as they are appended to the log: of this entry, or for an owner that the store turns away.
+//! Appends records of the lease to its log, for this entry or for an owner that is isolated from
+//! the store.
 
 use super::{
     node::{Lease, Node},
@@ -7,19 +8,21 @@
 use adapter::store::{Appended, Condition, Offset, frame_plain};
 use tracing::info;
 
-/// The topic with the lease's records.
+/// Topic of the lease's records.
 pub const TOPIC: &str = "owner";
 
-/// Appends a record, on the condition that the log ends at `at`; none if the store did not answer.
+/// Appends a record on the condition that the log ends at `end`. Returns `None` if the store did
+/// not answer.
 pub async fn append(node: &Node, end: Offset, lease: &Lease) -> Option<Appended> {
-    let bytes = rmp_serde::to_vec(lease).expect("plain data has a form in MessagePack");
+    let bytes = rmp_serde::to_vec(lease).expect("plain data can be encoded as MessagePack");
     let body = frame_plain([bytes.as_slice()]);
     let call = store_calls::append(node, AppendKind::Lease, TOPIC, Condition::At(end), body);
     call.await.ok()
 }
 
-/// Appends the record with which an owner gives the cell up that the store turns away. The record and the end of the log
-/// behind it; none if it is not the owner's turn to give anything up, or it is not known what came of it.
+/// Appends the record by which an owner that is isolated from the store releases the cell. Returns
+/// the record and the new end of the log, or `None` if that owner does not hold the lease or the
+/// outcome of the append is not known.
 pub async fn append_release(node: &Node, released: Lease) -> Option<(Lease, Offset)> {
     let offset = node.lease_end.get();
     let lease = node.lease.borrow().clone();
@@ -31,7 +34,7 @@
     info!(
         owner = released.node,
         place = offset,
-        "gives the cell up for its owner"
+        "releases the cell on behalf of its owner"
     );
     match append(node, offset, &released).await {
         Some(Appended::Done(end)) => Some((released, end)),
--- a/crates/havenladder/src/entry/lease_state.rs
+++ b/crates/havenladder/src/entry/lease_state.rs
@@ -1,27 +1,28 @@
-//! What a record of the lease says.
+//! Content of a record of the lease.
 
 use fleet::MilliCpu;
 use serde::{Deserialize, Serialize};
 
-/// One life of an entry's process.
+/// Identifier of one incarnation of an entry's process.
 pub type IncarnationId = u64;
 
-/// Who owns the cell, as the log says.
+/// Ownership of the cell, as written to the lease's log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The owner's name.
+    /// Name of the owner.
     pub node: String,
-    /// Its life.
+    /// Incarnation of the owner's process.
     #[serde(rename = "life")]
     pub incarnation: IncarnationId,
-    /// Where it takes the calls of other entries.
+    /// Address on which the owner serves other entries.
     pub address: String,
-    /// Whether it has given the cell up.
+    /// Whether the owner has released the cell.
     pub released: bool,
-    /// When it has: for how many ms more leases of owners before it may hold.
+    /// In a release: time in ms for which leases of earlier owners may still hold.
     #[serde(rename = "waits")]
     pub inherited_lease_ms: u64,
-    /// The owner's part of a core; when it gave the cell up for a stronger entry, that one's.
+    /// Share of a CPU core that the owner has. In a release for a stronger entry, the share of that
+    /// entry.
     #[serde(default)]
     pub cpu: MilliCpu,
     /// Whether the owner may have started runs that it has not recorded.
@@ -33,7 +34,8 @@
 }
 
 impl Lease {
-    /// Whether another record says the same of who owns the cell.
+    /// Returns whether both records name the same incarnation as owner and agree on whether it has
+    /// released the cell.
     pub fn has_same_owner(&self, other: &Lease) -> bool {
         self.incarnation == other.incarnation && self.released == other.released
     }
