--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -1,5 +1,5 @@
-//! What an entry does while it owns the cell: takes over what earlier owners left, then decides, records and acts in turn,
-//! beside the duties that look after workers and VMs.
+//! The work of an entry that owns the cell. It takes over the state of earlier owners, then
+//! decides, records and acts in rounds, while background tasks look after workers and VMs.
 
 use super::{
     fleet,
@@ -18,21 +18,23 @@
 use tokio::{task, time};
 use tracing::info;
 
-/// The least time between two rounds of decisions: each append has a price and each pass over what waits
-/// costs processor time, and what comes up meanwhile shares one. 350 workers wake the owner 2,000 times
-/// a second.
+/// Minimum time between two rounds of decisions. Each append has a price and each pass over the
+/// waiting jobs costs CPU time, so changes that arrive in between share one round. 350 workers wake
+/// the owner 2,000 times a second.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(8);
 
-/// Time between two looks at what only time changes: due rounds and runs that stand still.
+/// Maximum time between two rounds of decisions. Some changes depend on time alone: rounds of jobs
+/// that become due, and runs that have stalled.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two lines about lasting tasks that wait for room.
+/// Interval between two log lines about long-running tasks that wait for capacity.
 const LOG_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// How long a takeover may take before the store counts as troubled: it takes 50 ms as a rule.
+/// Duration from which on a takeover counts as a sign of a store outage. It usually takes 50 ms.
 const SLOW_TAKEOVER_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// Begins to own the cell, by a record that others may have read since `since`.
+/// Starts to own the cell. `since` is the earliest time at which other entries may have read the
+/// record of this claim.
 pub fn start(node: &Rc<Node>, epoch: u64, before: Predecessor, since: Instant) -> Rc<Owner> {
     let owner = Rc::new(Owner::new(node, epoch, before, since, orders::send_all));
     node.metrics.owned("gained");
@@ -42,7 +44,7 @@
     owner
 }
 
-/// Takes the cell over, then works until the owner ends.
+/// Takes over the cell, then works until the owner ends.
 async fn run(owner: Rc<Owner>) {
     let started_at = Instant::now();
     if !load(&owner).await {
@@ -56,23 +58,24 @@
     task::spawn_local(vm_orders::watch_earlier_owners(Rc::clone(&owner)));
     task::spawn_local(log_waiting_tasks(Rc::clone(&owner)));
     run_rounds(&owner).await;
-    owner.end("the loop ends");
+    owner.end("the owner's loop has ended");
 }
 
-/// Holds back what waited until all workers are met, if the earlier owner may have started some of it
-/// without a record: a takeover that took long counts as trouble of the store as well.
+/// Raises the takeover barrier if the earlier owner may have started runs without a record, so that
+/// waiting tasks are held back until all workers have been contacted. A slow takeover counts as a
+/// store outage too.
 fn raise_takeover_barrier(owner: &Owner, took: Duration) {
     let trouble = owner.trouble;
     if trouble != Trouble::None || took >= SLOW_TAKEOVER_THRESHOLD {
-        let troubled = trouble != Trouble::Unknown;
+        let had_outage = trouble != Trouble::Unknown;
         owner
             .cell
             .borrow_mut()
-            .close_gate(owner.inherited_leases_until, troubled);
+            .close_gate(owner.inherited_leases_until, had_outage);
     }
 }
 
-/// Decides, records and acts in turn until the owner ends.
+/// Decides, records and acts in rounds until the owner ends.
 async fn run_rounds(owner: &Rc<Owner>) {
     let mut sequence = 1;
     let mut loop_stats = LoopStats::new(Instant::now());
@@ -98,7 +101,7 @@
     }
 }
 
-/// Tells for a lasting task that waits what keeps it from the workers.
+/// Logs, for a long-running task that waits, what keeps it from the workers.
 async fn log_waiting_tasks(owner: Rc<Owner>) {
     while owner.is_alive() {
         time::sleep(LOG_INTERVAL).await;
@@ -106,12 +109,12 @@
         let waiting = cell.waiting_lasting();
         if let Some(task) = waiting.first() {
             let obstacles = cell.obstacles(*task, Instant::now());
-            info!(%task, waiting = waiting.len(), ?obstacles, "lasting task waits for room");
+            info!(%task, waiting = waiting.len(), ?obstacles, "long-running task waits for capacity");
         }
     }
 }
 
-/// Decides what is to be done now, and what has to be recorded for it.
+/// Decides what is to be done now and returns it with the records that it needs.
 fn decide(owner: &Rc<Owner>) -> Batch {
     let now = Instant::now();
     owner.update_workspaces();
@@ -126,7 +129,7 @@
     cell.take_batch()
 }
 
-/// Does what waited for its records, which are durable now.
+/// Carries out the decisions of a batch whose records are durable now.
 fn carry_out(owner: &Rc<Owner>, batch: Batch) {
     owner.cell.borrow_mut().confirm(&batch);
     for (worker, number) in batch.noted {
