--- a/crates/havenladder/src/entry/follow.rs
+++ b/crates/havenladder/src/entry/follow.rs
@@ -1,4 +1,5 @@
-//! Follows what operators publish: the configuration and waves of upkeep.
+//! Follows the topic of operators: the configuration, the waves of maintenance and the orders to
+//! drain data centres.
 
 use super::{
     lease::set_lease,
@@ -18,24 +19,24 @@
 use tracing::info;
 use workspaces::Next;
 
-/// How long a read waits for the next record. A connection that fell silent is noticed soon after
-/// this, and a change must be in force within 2 s.
+/// Time for which a read waits for the next record. A connection that fell silent is detected soon
+/// after this, and a change must be in force within 2 s.
 const READ_HOLD: Duration = Duration::from_millis(800);
 
-/// How long a peer may take to tell what is new.
+/// Timeout of a request for newer state to another entry.
 const PEER_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time until the store is asked again after it did not answer once.
+/// Delay before the store is called again after its first failure to answer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The same after several times: a change must be in force within 2 s.
+/// Maximum delay after repeated failures. A change must be in force within 2 s.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(750);
 
-/// How long a call waits for a look at what is newest: an answer takes some ms, a fifth of a second at 50 times the
-/// usual.
+/// Time for which a call waits for a refresh. A response usually takes some ms, and 0.2 s if the
+/// store is 50 times slower than usual.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Follows the topic for ever, while no other entry tells what is new.
+/// Follows the topic forever, except while this entry replicates from another one.
 pub async fn run(node: Rc<Node>) {
     if !node.settings.is_seed && !node.settings.seeds.is_empty() {
         node.replication.wait_for_first_update().await;
@@ -57,7 +58,7 @@
     }
 }
 
-/// Reads the newest records; false without an answer.
+/// Reads the newest records. Returns false if the store did not answer.
 async fn read_newest(node: &Node) -> bool {
     let sent = Instant::now();
     let Ok(Some(newest)) = store_calls::newest(node, TOPIC).await else {
@@ -69,14 +70,15 @@
     true
 }
 
-/// Takes in the newest record of each key of the topic, which ended at `end`.
+/// Applies the newest record of each key of the topic, which ended at `end`.
 pub fn apply_newest(node: &Node, newest: Vec<Keyed>, end: Offset) {
     node.replication.recent.borrow_mut().restart(&newest, end);
     node.in_force.borrow_mut().restart(newest, end);
     node.replication.updated.notify_waiters();
 }
 
-/// Reads what stands from an offset on, waiting for it if there is nothing; false without an answer.
+/// Reads the records from an offset on, waiting for the next one if there is none. Returns false if
+/// the store did not answer.
 async fn read_from(node: &Node, from: Offset) -> bool {
     let sent = Instant::now();
     match store_calls::read(node, TOPIC, from, READ_HOLD).await {
@@ -87,7 +89,7 @@
         Ok(Read::Gone(first)) => {
             info!(
                 from,
-                first, "records of operators are gone; the newest are read again"
+                first, "records of operators were removed from the log; reading the newest ones"
             );
             node.replication.recent.borrow_mut().clear();
             true
@@ -96,10 +98,11 @@
     }
 }
 
-/// Takes in what a read from an offset on has brought that was sent at `sent` and waited for so long if there was nothing.
+/// Applies the result of a read from an offset on, which was sent at `sent` and waited for up to
+/// `wait` if there were no records.
 fn apply_read(node: &Node, from: Offset, records: &[Bytes], sent: Instant, wait: Duration) {
-    // An answer without records is given when the wait is over; one with records, at any time. This process may have stood
-    // still since.
+    // A response without records is given when the wait is over, and one with records at any time.
+    // It may be older than it seems, since this process may have been paused in the meantime.
     let answered_at = if records.is_empty() {
         sent + wait
     } else {
@@ -111,7 +114,7 @@
     apply_records(node, from, records);
 }
 
-/// Takes in the records of operators from an offset on.
+/// Applies the records of operators from an offset on.
 pub fn apply_records(node: &Node, from: Offset, records: &[Bytes]) {
     let mut in_force = node.in_force.borrow_mut();
     let mut recent = node.replication.recent.borrow_mut();
@@ -126,7 +129,8 @@
     }
 }
 
-/// Asks other entries for what the platform does not tell this one; true if one has answered.
+/// Requests newer state from other entries, one after the other. Returns true once one has
+/// responded.
 async fn poll_peers(node: &Node) -> bool {
     let version = node.in_force.borrow().version();
     let request = PeerRequest::Update {
@@ -145,7 +149,7 @@
     false
 }
 
-/// Takes in what another entry knows, which was asked at `sent`.
+/// Applies the state that another entry sent in response to a request of the time `sent`.
 pub fn apply_update(node: &Node, update: Update, sent: Instant) {
     if let Some((lease, end)) = update.lease {
         set_lease(node, lease, end);
@@ -157,17 +161,18 @@
     node.update_freshness(|freshness| freshness.confirm(sent, confirmed));
 }
 
-/// What a call is about to rely on.
+/// Property of the configuration that a call relies on.
 #[derive(Clone, Copy)]
 pub enum FreshnessRequirement {
-    /// That the configuration is the newest.
+    /// The configuration is the newest one.
     Newest,
-    /// That what it does not know of does not exist, at the moment when the call came.
+    /// The configuration is as new as this time, at which the call arrived. A key that it does not
+    /// contain did not exist then.
     AsOf(Instant),
 }
 
-/// Makes sure of the configuration before a call relies on it, as far as that can be done in a short time. False if the
-/// call is to be refused because that has not been possible for too long.
+/// Waits, for a short time, until the configuration meets a requirement. Returns false if the call
+/// is to be refused because the configuration could not be confirmed for too long.
 pub async fn ensure_fresh(node: &Rc<Node>, requirement: FreshnessRequirement) -> bool {
     let until = Instant::now() + REFRESH_TIMEOUT;
     loop {
@@ -198,7 +203,7 @@
     }
 }
 
-/// Begins a look, unless one is under way or was a moment ago.
+/// Starts a refresh, unless one is in progress or was started a moment ago.
 pub fn refresh_soon(node: &Rc<Node>) {
     let now = Instant::now();
     if node.freshness.get().next_unknown(now, now) == Next::Look {
@@ -206,7 +211,7 @@
     }
 }
 
-/// Begins a look for what is newer than what this entry knows; all calls that wait share it.
+/// Starts a refresh of the state of operators. All calls that wait share it.
 fn start_refresh(node: &Rc<Node>) {
     node.update_freshness(|freshness| freshness.begin_look(Instant::now()));
     let node = Rc::clone(node);
@@ -217,7 +222,8 @@
     });
 }
 
-/// Asks the store, then other entries, for what is newer; true if one has answered.
+/// Requests newer records from the store, then newer state from other entries. Returns true if one
+/// of them has answered.
 async fn refresh(node: &Node) -> bool {
     let sent = Instant::now();
     let known = node.replication.recent.borrow().end();
