--- a/crates/havenladder/src/entry/replication/mod.rs
+++ b/crates/havenladder/src/entry/replication/mod.rs
@@ -1,9 +1,11 @@
-//! News of operators and of the owner's lease, passed on from entry to entry.
+//! Replication of the operators' records and of the owner's lease from entry to entry.
 //!
-//! Without it each entry would read both topics of the platform for itself, 4 calls a second. An entry that follows another
-//! asks it again and again, and is answered as soon as there is news; one whose source is silent or knows too little reads
-//! for itself until it has another place. Who reads and who follows is decided in [`fleet::Readers`] and
-//! [`fleet::Followers`]; `following` asks and `feeding` answers.
+//! Without it each entry would read both topics from the platform's store, which takes 4 calls a
+//! second. An entry that follows another one sends it requests continuously, and each is answered
+//! as soon as there is an update. An entry whose source does not answer or knows too little reads
+//! from the store until it is assigned another source. [`fleet::Readers`] and [`fleet::Followers`]
+//! decide who reads from the store and who follows. `replication_client` sends the requests and
+//! `replication_server` answers them.
 
 mod recent;
 
@@ -19,34 +21,35 @@
 use tokio::sync::Notify;
 use tracing::info;
 
-/// How long an answer without news is held back: the owner renews its lease more often.
+/// Maximum time for which a response without an update is held back. The owner renews its lease
+/// more often than that.
 pub const MAX_HOLD: Duration = Duration::from_millis(500);
 
-/// How long an entry that begins waits for what a seed tells until it reads for itself.
+/// Time for which an entry that has just started waits for a seed before it reads from the store.
 const SEED_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What an entry knows of the feed.
+/// State of replication on this entry.
 #[derive(Default)]
 pub struct Replication {
-    /// The entry that this one follows; none while it reads for itself.
+    /// Entry that this one follows. `None` while it reads from the store.
     source: RefCell<Option<Address>>,
-    /// Told whenever something new is known, and when the source is lost.
+    /// Notified whenever there is an update, and when the source has changed or is lost.
     pub updated: Notify,
-    /// The last records of operators.
+    /// Most recent records of operators.
     pub recent: RefCell<Recent>,
-    /// Who reads, while this entry owns the cell.
+    /// Entries that read from the store. Maintained while this entry owns the cell.
     pub readers: RefCell<Readers>,
-    /// Who follows this entry.
+    /// Entries that follow this one.
     pub followers: RefCell<Followers>,
 }
 
 impl Replication {
-    /// Whether this entry follows another.
+    /// Returns whether this entry follows another one.
     pub fn follows(&self) -> bool {
         self.source.borrow().is_some()
     }
 
-    /// Waits until this entry reads for itself.
+    /// Waits until this entry follows no other one and reads from the store.
     pub async fn wait_until_unfollowing(&self) {
         loop {
             let update = self.updated.notified();
@@ -57,8 +60,8 @@
         }
     }
 
-    /// Waits until an entry that has just begun has been told something, or is to read for itself: all entries may begin
-    /// together, and what each of them needs to know has many bytes.
+    /// Waits until an entry that has just started has received its first update, or the time for it
+    /// is over. All entries may start together, and what each of them needs to know is large.
     pub async fn wait_for_first_update(&self) {
         let until = Instant::now() + SEED_TIMEOUT;
         while self.recent.borrow().end().is_none() {
@@ -69,61 +72,63 @@
         }
     }
 
-    /// Where the entries take calls that have said of late that they read; only an owner knows any.
+    /// Returns the addresses of the entries that recently reported to read from the store. Only an
+    /// owner knows any.
     pub fn known_readers(&self) -> Vec<Address> {
         self.readers.borrow().addresses(Instant::now())
     }
 
-    /// Notes which entry this one follows.
+    /// Sets the entry that this one follows.
     pub fn set_source(&self, source: Option<&Address>) {
         if self.source.borrow().as_ref() == source {
             return;
         }
-        info!(source, "news come from another source");
+        info!(source, "replication source has changed");
         *self.source.borrow_mut() = source.cloned();
         self.updated.notify_waiters();
     }
 }
 
-/// A follower's question.
+/// Request of a follower.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Request {
-    /// Who asks.
+    /// Description of the follower.
     #[serde(rename = "seeker")]
     pub follower: Seeker,
-    /// The offset from which on it has no records of operators; none if it has none at all.
+    /// Offset up to which the follower has the records of operators. `None` if it has none.
     pub from: Option<Offset>,
-    /// The end of the lease's log, as far as it knows.
+    /// End of the lease's log, as far as the follower knows it.
     pub end: Offset,
 }
 
-/// What a follower is told.
+/// Update for a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The records of operators that it does not have.
+    /// Records of operators that the follower does not have.
     pub records: Vec<ByteBuf>,
-    /// The end of the topic of which these are the newest records of each key; none if they go on from what it has.
+    /// End of the topic, if `records` are the newest record of each key. `None` if they continue
+    /// what the follower has.
     pub newest: Option<Offset>,
-    /// The lease and the end of its log, if it is newer.
+    /// The lease and the end of its log, if they are newer.
     pub lease: Option<(Lease, Offset)>,
-    /// For how long the answer was held back.
+    /// Time for which the response was held back.
     pub held: Duration,
-    /// How long before the answer what it says was the newest for certain.
+    /// Time, before the response, since which the records were known to be the newest ones.
     pub age: Duration,
-    /// How long before the answer the platform, or another data centre, was last heard of.
+    /// Time, before the response, since the platform or another data centre last answered.
     #[serde(rename = "heard")]
     pub contact_age: Duration,
 }
 
-/// What a follower is answered.
+/// Response to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// This is new.
+    /// There is an update.
     #[serde(rename = "News")]
     Update(Update),
-    /// This entry is to be followed instead.
+    /// The follower shall follow this entry instead.
     #[serde(rename = "At")]
     Redirect(Address),
-    /// The entry that was asked knows too little itself.
+    /// The receiver knows too little itself.
     Nothing,
 }
--- a/crates/havenladder/src/entry/replication/recent.rs
+++ b/crates/havenladder/src/entry/replication/recent.rs
@@ -1,4 +1,4 @@
-//! The records of operators that an entry has taken in, for those that follow it.
+//! The records of operators that an entry has applied, kept for its followers.
 
 use adapter::store::{Keyed, Offset, join_keyed, split_keyed};
 use bytes::Bytes;
@@ -8,49 +8,51 @@
     time::Duration,
 };
 
-/// How many bytes of records in their order are kept: some configurations. A follower that lags by more gets the newest
-/// record of each key.
+/// Maximum size of the consecutive records that are kept, which is some configurations. A follower
+/// that lags further behind gets the newest record of each key.
 const MAX_BYTES: usize = 512 << 10;
 
-/// What a follower lacks.
+/// Records that a follower is missing.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Missing {
-    /// These records, in their order.
+    /// The consecutive records after those that it has.
     Records(Vec<Bytes>),
-    /// All it knows may be old: these are the newest records of each key.
+    /// The newest record of each key, since all that it knows may be outdated.
     Newest(Vec<Bytes>),
 }
 
-/// Records of one topic: the last ones without gaps, and the newest of each key.
+/// Records of one topic: the most recent ones without gaps, and the newest one of each key.
 #[derive(Debug, Default)]
 pub struct Recent {
-    /// The offset behind the last record that was taken in; none where it is not known.
+    /// Offset after the last applied record. `None` if it is not known.
     end: Option<Offset>,
     records: VecDeque<Bytes>,
     bytes: usize,
     newest: BTreeMap<String, Bytes>,
-    /// Until when there was no other record for certain. What peers tell beside the records does not count.
+    /// Time at which there was certainly no further record. What peers report without the records
+    /// does not count.
     confirmed: Option<Instant>,
 }
 
 impl Recent {
-    /// The offset behind the last record that was taken in; none where it is not known.
+    /// Returns the offset after the last applied record, or `None` if it is not known.
     pub fn end(&self) -> Option<Offset> {
         self.end
     }
 
-    /// There was no other record until a moment.
+    /// Records that there was no further record at a time.
     pub fn confirm(&mut self, at: Instant) {
         self.confirmed = self.confirmed.max(Some(at));
     }
 
-    /// How long ago there was no other record for certain; none where that was never so.
+    /// Returns how long ago there was certainly no further record, or `None` if that was never
+    /// certain.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let confirmed = self.confirmed.filter(|_| self.end.is_some())?;
         Some(now.saturating_duration_since(confirmed))
     }
 
-    /// Begins anew with the newest record of each key of a topic that ended at `end`.
+    /// Starts over with the newest record of each key of a topic that ended at `end`.
     pub fn restart(&mut self, newest: &[Keyed], end: Offset) {
         let newest = newest.iter();
         *self = Recent {
@@ -62,17 +64,17 @@
         };
     }
 
-    /// Nothing is known any more.
+    /// Discards all records.
     pub fn clear(&mut self) {
         *self = Recent::default();
     }
 
-    /// Takes in the record at an offset, unless it is known.
+    /// Appends the record at an offset, unless it is known already.
     pub fn append(&mut self, offset: Offset, record: &Bytes) {
         match self.end {
             Some(end) if offset < end => return,
             Some(end) if offset == end => {}
-            // Records in between are missing: the newest are to be read again.
+            // The records in between are missing, so that the newest ones have to be read again.
             Some(_) => return self.clear(),
             None => return,
         }
@@ -92,8 +94,8 @@
         }
     }
 
-    /// What a follower lacks that knows all records before an offset, or none; none where this entry knows nothing itself,
-    /// or less.
+    /// Returns what a follower is missing that has all records before `from`, or none at all.
+    /// Returns `None` if this entry knows nothing itself, or less than the follower.
     pub fn missing_since(&self, from: Option<Offset>) -> Option<Missing> {
         let end = self.end?;
         let missing = end.checked_sub(from.unwrap_or_default())? as usize;
--- a/crates/havenladder/src/entry/replication_client.rs
+++ b/crates/havenladder/src/entry/replication_client.rs
@@ -1,4 +1,4 @@
-//! Follows another entry, or finds one that can be followed.
+//! Replicates from another entry, and finds a source if there is none.
 
 use super::{
     follow,
@@ -13,23 +13,25 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time;
 
-/// How long a source may take beyond that.
+/// Time that a source may take beyond [`MAX_HOLD`].
 const RESPONSE_SLACK: Duration = Duration::from_millis(400);
 
-/// How often an entry without a source asks for a place, and a reader says that it is there. The first time is drawn
-/// below it, so that entries that start together do not ask together.
+/// Interval at which an entry without a source asks for an assignment and a reader reports that it
+/// is running. The first interval is random and shorter, so that entries that start together do not
+/// ask together.
 const ASSIGNMENT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How long the owner may take to give a place.
+/// Timeout of a request for an assignment to the owner.
 const ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How old what an entry knows counts as that knows nothing.
+/// Age that is reported for the state of an entry that knows nothing yet.
 const UNKNOWN_AGE: Duration = Duration::from_secs(3_600);
 
-/// How often an entry is sent on from one to another before it gives up: the depth of a tree of many thousands.
+/// Number of redirects after which an entry abandons a search for a source. This is the depth of a
+/// tree of many thousands of entries.
 const MAX_HOPS: usize = 16;
 
-/// What this entry says of itself.
+/// Returns the description of this entry as a follower.
 fn follower(node: &Node) -> Seeker {
     let age = node.replication.recent.borrow().age(Instant::now());
     Seeker {
@@ -40,7 +42,8 @@
     }
 }
 
-/// Finds a source whenever there is none, and follows it: a seed at first.
+/// Finds a source whenever there is none, and replicates from it. The first source is a random
+/// seed.
 pub async fn run(node: Rc<Node>) {
     let seeds = &node.settings.seeds;
     if !node.settings.is_seed && !seeds.is_empty() {
@@ -59,7 +62,8 @@
     }
 }
 
-/// Asks the owner where this entry is to have its news from; none where that cannot be known now.
+/// Requests an assignment from the owner. Returns `None` if this entry is the owner, is stopping,
+/// or gets no assignment.
 async fn request_assignment(node: &Node) -> Option<Source> {
     if node.as_owner().is_some() || node.stopping.get() {
         return None;
@@ -80,7 +84,7 @@
     }
 }
 
-/// Follows an entry, or those to which it is sent on, for as long as that has news.
+/// Replicates from an entry, following its redirects, until it has no more updates.
 async fn follow_from(node: &Node, mut source: Address) {
     let mut hops = 0;
     while node.as_owner().is_none() && !node.stopping.get() {
@@ -110,11 +114,13 @@
     }
 }
 
-/// Takes in news that were asked for at `sent`; false if their source knows too little to be followed.
+/// Applies an update that was requested at `sent`. Returns false if the state of the source is too
+/// old to replicate from.
 fn apply_update(node: &Node, from: Option<Offset>, update: Update, sent: Instant) -> bool {
-    // The answer was given when it had been held back, or later: this process may have stood still since.
-    let given = (sent + update.held).min(Instant::now());
-    let (confirmed, contacted) = (given - update.age, given - update.contact_age);
+    // The response was given after its hold time or later, since this process may have been paused
+    // in the meantime.
+    let answered_at = (sent + update.held).min(Instant::now());
+    let (confirmed, contacted) = (answered_at - update.age, answered_at - update.contact_age);
     let records = update.records.into_iter();
     let records: Vec<_> = records.map(|record| record.into_vec().into()).collect();
     node.update_freshness(|freshness| freshness.confirm(confirmed, confirmed));
--- a/crates/havenladder/src/entry/replication_server.rs
+++ b/crates/havenladder/src/entry/replication_server.rs
@@ -1,4 +1,4 @@
-//! Gives entries their places, and tells followers what is new.
+//! Assigns sources to entries, and sends updates to followers.
 
 use super::{
     node::Node,
@@ -9,13 +9,14 @@
 use serde_bytes::ByteBuf;
 use std::time::Duration;
 
-/// Tells an entry where it is to have its news from; only an owner does.
+/// Assigns a source to an entry. Only the owner does so.
 pub fn assign(node: &Node, follower: Seeker) -> Source {
     let mut readers = node.replication.readers.borrow_mut();
     readers.place(follower, rand::random::<u32>() as usize, Instant::now())
 }
 
-/// Answers a follower once there is news for it, or sends it on.
+/// Responds to a follower once there is an update for it or the maximum hold time is over, or
+/// redirects it to another entry.
 pub async fn respond(node: &Node, request: Request) -> Response {
     let began = Instant::now();
     let admission = {
@@ -41,16 +42,16 @@
     response(node, &request, began.elapsed())
 }
 
-/// Whether this entry knows what a follower does not.
+/// Returns whether this entry knows something that the follower does not.
 fn is_behind(node: &Node, request: &Request) -> bool {
     let Some(end) = node.replication.recent.borrow().end() else {
-        // This entry may just have begun, and know more at once.
+        // This entry may just have started, and will know more at once.
         return false;
     };
     request.from.is_none_or(|from| end > from) || node.lease_end.get() > request.end
 }
 
-/// What a follower is told that was kept waiting for so long.
+/// Returns the response to a follower whose request was held back for `held`.
 fn response(node: &Node, request: &Request, held: Duration) -> Response {
     let now = Instant::now();
     let recent = node.replication.recent.borrow();
