--- a/crates/havenladder/src/entry/resend.rs
+++ b/crates/havenladder/src/entry/resend.rs
@@ -1,9 +1,9 @@
-//! Calls that may be repeated, sent again while they have no answer.
+//! Resends idempotent calls that have not been answered.
 //!
-//! An answer may be lost though the call was carried out, and nothing is then said any more on that connection:
-//! waiting for the whole time-out of the call took a lost answer for an outage. So the call is sent again on a
-//! connection of its own, after the time that answers take as a rule; the earlier one is waited for beside it, as
-//! it may only be slow.
+//! A response may be lost although the call was carried out, and nothing more arrives on that
+//! connection. Waiting for the whole timeout of the call would mistake a lost response for an
+//! outage. So the call is sent again on a new connection once the usual response time is over. The
+//! earlier attempt continues, since it may only be slow.
 
 use adapter::http::{CallError, Connection};
 use clock::{Instant, timer};
@@ -15,32 +15,34 @@
 };
 use tokio::task::JoinSet;
 
-/// How late a wait ends where this process has nothing else to do: timers have steps of a ms and a busy thread some
-/// more.
+/// Maximum delay of a wake-up while this process is not busy. Timers have a resolution of 1 ms, and
+/// a busy thread adds some more.
 const MAX_WAKE_DELAY: Duration = Duration::from_millis(10);
 
-/// How long an answer is waited for.
+/// Limits on the wait for a response.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// For how long the service may hold its answer back, beyond what answers take.
+    /// Time for which the service may hold its response back, in addition to the usual response
+    /// time.
     pub hold: Duration,
-    /// For how much longer the call is sent again; who needs the answer then decides anew what to do.
+    /// Time, beyond `hold`, for which the call is resent. After that the caller decides what to do.
     pub limit: Duration,
 }
 
-/// What came of a call.
+/// Result of a call that was sent one or more times.
 #[derive(Debug)]
 pub struct Answered<T> {
-    /// The first answer, or why there is none.
+    /// The first response, or the reason why there is none.
     pub outcome: Result<T, CallError>,
-    /// How often it was sent.
+    /// Number of times that the call was sent.
     pub calls: u32,
 }
 
-/// A call that is under way has ended: with what, and how long it took.
+/// Outcome of one attempt, and its duration.
 type TimedOutcome<T> = (Result<T, CallError>, Duration);
 
-/// Sends a call that may be repeated until it is answered.
+/// Sends an idempotent call until it is answered, all attempts have failed, or the limits are
+/// reached.
 pub async fn until_answered<T, F>(
     times: &Cell<AnswerTime>,
     timeouts: Timeouts,
@@ -60,13 +62,13 @@
     let mut until_resend = hold + wait;
     loop {
         let finished = {
-            let answer = pin!(first_answer(&mut in_flight, &mut failure));
-            unless_overdue(answer, until_resend).await
+            let response = pin!(first_response(&mut in_flight, &mut failure));
+            unless_overdue(response, until_resend).await
         };
         match finished {
-            Some(Some((answer, took))) => {
+            Some(Some((response, took))) => {
                 record_time(times, hold, took);
-                let outcome = Ok(answer);
+                let outcome = Ok(response);
                 return Answered { outcome, calls };
             }
             Some(None) => {
@@ -81,24 +83,24 @@
                 calls += 1;
                 in_flight.spawn_local(timed(send(Connection::Fresh)));
                 wait = next_wait(wait);
-                // Who waits may have others to ask, and is told in time.
+                // The wait ends at the deadline, so that the caller still has time to ask others.
                 until_resend = wait.min(deadline.saturating_duration_since(Instant::now()));
             }
         }
     }
 }
 
-/// Waits for an answer until it is overdue; none if it is. A wait that ends late shows that this process is late
-/// itself: the answer may be there, and not read yet. It is waited for as long again, so that an owner that stood still
-/// does not ask everybody twice.
+/// Waits for a response and returns `None` if it is overdue. A wait that ends late shows that this
+/// process is late itself, so that the response may have arrived without having been read. The wait
+/// is then extended by the delay, so that an owner that was paused does not call everybody twice.
 pub async fn unless_overdue<T>(
-    mut answer: Pin<&mut impl Future<Output = T>>,
+    mut response: Pin<&mut impl Future<Output = T>>,
     wait: Duration,
 ) -> Option<T> {
     let mut due = Instant::now() + wait;
     loop {
-        if let Ok(answer) = timer::timeout_at(due, answer.as_mut()).await {
-            return Some(answer);
+        if let Ok(response) = timer::timeout_at(due, response.as_mut()).await {
+            return Some(response);
         }
         let late = due.elapsed();
         if late < MAX_WAKE_DELAY {
@@ -108,14 +110,15 @@
     }
 }
 
-/// Times a call.
+/// Measures the duration of a call.
 async fn timed<T>(call: impl Future<Output = Result<T, CallError>>) -> TimedOutcome<T> {
     let began = Instant::now();
     let outcome = call.await;
     (outcome, began.elapsed())
 }
 
-/// Learns from an answer; one that came before its time had something to tell, and could have come any time.
+/// Updates the response times from a response. One that came before its hold time was over could
+/// have come at any time, and is left out.
 fn record_time(times: &Cell<AnswerTime>, hold: Duration, took: Duration) {
     if let Some(took) = took.checked_sub(hold) {
         let mut response_time = times.get();
@@ -124,17 +127,18 @@
     }
 }
 
-/// Waits for the first of the calls under way that is answered; none once all have failed. `failure` is then why:
-/// "no answer" where one of them, also one that failed before, may have been carried out.
-async fn first_answer<T: 'static>(
+/// Waits for the first successful attempt, and returns `None` once all have failed. `failure` is
+/// then the reason: [`CallError::Unanswered`] if any attempt, including earlier ones, may have been
+/// carried out.
+async fn first_response<T: 'static>(
     in_flight: &mut JoinSet<TimedOutcome<T>>,
     failure: &mut CallError,
 ) -> Option<(T, Duration)> {
     while let Some(finished) = in_flight.join_next().await {
         match finished {
-            Ok((Ok(answer), took)) => return Some((answer, took)),
+            Ok((Ok(response), took)) => return Some((response, took)),
             Ok((Err(error), _)) if error.is_unsent() && failure.is_unsent() => *failure = error,
-            // A call that panicked may have been made.
+            // A call that panicked may have been sent.
             Ok((Err(_), _)) | Err(_) => *failure = CallError::Unanswered,
         }
     }
--- a/crates/havenladder/src/entry/store_calls.rs
+++ b/crates/havenladder/src/entry/store_calls.rs
@@ -1,7 +1,9 @@
-//! Calls to the platform's store, sent again while they have no answer; appends are counted by what they are about.
+//! Calls to the platform's store. They are resent until they are answered, and appends are counted
+//! by kind.
 //!
-//! The store takes an append once, however often it is sent: one with a producer's number answers a repetition as
-//! it did the first call, and one on condition of the log's end finds the end moved.
+//! The store applies an append once, however often it is sent. A repeated append with a producer's
+//! number gets the response of the first one, and a repeated append that is conditional on the end
+//! of the log finds that the end has moved.
 
 use super::{
     node::Node,
@@ -16,33 +18,33 @@
 use std::time::Duration;
 use tracing::info;
 
-/// From how long on an append is logged: ten times what it takes as a rule.
+/// Duration from which on an append is logged: ten times the usual one.
 const LOG_THRESHOLD: Duration = Duration::from_millis(150);
 
-/// How long an append, and a part of the newest records, is sent again: three answers of a store that is 89 times
-/// slower than usual.
+/// Limits for an append and for a part of the newest records. The time suffices for three responses
+/// of a store that is 89 times slower than usual.
 const APPEND_TIMEOUTS: Timeouts = Timeouts {
     hold: Duration::ZERO,
     limit: Duration::from_millis(1_500),
 };
 
-/// How long a read is sent again beyond the time that it waits: an entry that the store turns away must ask others
-/// early enough for a change to be in force within 2 s.
+/// Time, beyond the wait for records, for which a read is resent. An entry that is isolated from
+/// the store must turn to others early enough for a change to be in force within 2 s.
 const READ_RESEND_LIMIT: Duration = Duration::from_millis(700);
 
-/// What an append is about.
+/// Kind of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendKind {
     /// Records of jobs.
     Jobs,
-    /// The lease.
+    /// A record of the lease.
     Lease,
-    /// How far a wave is.
+    /// The progress of a wave.
     Wave,
 }
 
 impl AppendKind {
-    /// Its name in logs and metrics.
+    /// Returns the name of the kind in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             AppendKind::Jobs => "jobs",
@@ -52,11 +54,12 @@
     }
 }
 
-/// Appends records, all or none.
+/// Appends either all records or none.
 ///
 /// # Errors
 ///
-/// After a call without an answer the records may be there, or come later.
+/// Fails if the store does not answer or cannot be reached. After a call without a response, the
+/// records may be in the log or may arrive there later.
 pub async fn append(
     node: &Node,
     kind: AppendKind,
@@ -75,11 +78,11 @@
     answered.outcome
 }
 
-/// Reads records, waiting for the first one if there is none yet. A call that is sent again does not wait.
+/// Reads records, waiting for the first one if there is none yet. A resent call does not wait.
 ///
 /// # Errors
 ///
-/// Fails when the store does not answer.
+/// Fails if the store does not answer.
 pub async fn read(
     node: &Node,
     topic: &'static str,
@@ -100,23 +103,23 @@
     answered.outcome
 }
 
-/// Reads what stands from an offset on, once and without waiting: a large record takes long on a weak entry's link, and each
-/// call that is sent again would bring it once more and hold the others up.
+/// Reads the records from an offset on, once and without waiting. A large record takes long on a
+/// weak entry's link, and each resent call would transfer it again and delay the others.
 ///
 /// # Errors
 ///
-/// Fails when the store does not answer.
+/// Fails if the store does not answer.
 pub async fn read_once(node: &Node, topic: &'static str, from: Offset) -> Result<Read, CallError> {
     node.metrics.read(topic);
     let store = node.store.over(Connection::Kept);
     store.read(topic, from, Duration::ZERO).await
 }
 
-/// Reads the newest record of each key. None if the store turned a call away.
+/// Reads the newest record of each key. Returns `None` if the store refused a call.
 ///
 /// # Errors
 ///
-/// Fails when the store does not answer.
+/// Fails if the store does not answer.
 pub async fn newest(node: &Node, topic: &'static str) -> Result<Option<Newest>, CallError> {
     let mut newest = Newest::default();
     loop {
@@ -137,7 +140,7 @@
     }
 }
 
-/// Counts an append, and logs one that was sent more than once, took long or has no answer.
+/// Counts an append, and logs it if it was resent, was slow or has no response.
 fn record_append(node: &Node, kind: AppendKind, answered: &Answered<Appended>, took: Duration) {
     let Answered { outcome, calls } = answered;
     let resends = u64::from(calls - 1);
@@ -149,7 +152,7 @@
     }
 }
 
-/// The name of an outcome in the metrics.
+/// Returns the name of an outcome in the metrics.
 fn outcome_name(outcome: &Result<Appended, CallError>) -> &'static str {
     match outcome {
         Ok(Appended::Done(_)) => "done",
