--- a/crates/havenladder/src/entry/suspension.rs
+++ b/crates/havenladder/src/entry/suspension.rs
@@ -1,7 +1,8 @@
-//! Notices that the machine was suspended.
+//! Detects that the machine was suspended.
 //!
-//! Ages and deadlines count the time of a suspension, so that an owner which wakes knows before its next order that its
-//! lease may be lost. What is left are waits: the runtime's timers stood still meanwhile.
+//! Ages and deadlines include the time of a suspension, so that an owner that wakes up knows before
+//! its next order that it may have lost its lease. Only waits have to be ended here, since the
+//! runtime's timers stood still in the meantime.
 
 use super::node::Node;
 use clock::timer;
@@ -9,18 +10,20 @@
 use tokio::time;
 use tracing::info;
 
-/// The variable that names the file by which tests put the clock of an entry forward, in ms.
+/// Environment variable with the path of the file by which tests advance the clock of an entry, in
+/// ms.
 const CLOCK_FILE_VARIABLE: &str = "HAVENLADDER_CLOCK_FILE";
 
-/// Time between two looks for a suspension while a caller waits. Most are answered before the first, and an answer
-/// that is later by this is in nobody's way after seconds.
+/// Interval between two checks for a suspension while a caller waits. Most callers are answered
+/// before the first check, and after a suspension of seconds such a delay does not matter.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two looks at that file.
+/// Interval between two reads of the clock file.
 const CLOCK_FILE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Looks whether the machine was suspended, and ends the waits whose time has passed. Each entry reads the lease or
-/// renews it several times a second; so often it is called, at no cost but two reads of a clock.
+/// Checks whether the machine was suspended, and ends the waits whose time is over. Each entry
+/// calls this several times a second, whenever it reads or renews the lease. It costs two reads of
+/// a clock.
 pub fn check(node: &Node) {
     if let Some(span) = timer::notice_suspension() {
         node.metrics.suspended();
@@ -28,8 +31,8 @@
     }
 }
 
-/// Looks for a suspension as long as somebody waits: nothing else may wake the entry before the caller's time is over
-/// by the steady clock.
+/// Checks for a suspension for as long as a caller waits. Nothing else may wake the entry before
+/// the caller's time is over on the steady clock.
 pub async fn check_periodically(node: &Node) -> Infallible {
     loop {
         time::sleep(CHECK_INTERVAL).await;
@@ -37,14 +40,15 @@
     }
 }
 
-/// Has the clock put forward by what a file tells, where the environment names one: a test cannot suspend its machine.
+/// Advances the clock as a file says, if the environment names one. A test cannot suspend its
+/// machine.
 pub fn follow_test_clock() {
     let Some(path) = env::var_os(CLOCK_FILE_VARIABLE).map(PathBuf::from) else {
         return;
     };
     thread::spawn(move || {
         loop {
-            // A file that is being written says nothing yet.
+            // A file that is being written cannot be parsed yet, and is read again later.
             let text = fs::read_to_string(&path).unwrap_or_default();
             if let Ok(ms) = text.trim().parse() {
                 clock::advance_to(Duration::from_millis(ms));
