--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -1,4 +1,5 @@
-//! The owner of the cell: what it knows, what it answers, and how decisions are made durable.
+//! The owner of the cell: its state, its responses to requests, and how its decisions become
+//! durable.
 
 pub mod append;
 mod hall_drains;
@@ -27,57 +28,61 @@
 use tokio::sync::{Notify, Semaphore};
 use tracing::info;
 
-/// How long a worker keeps its runs without a word from the owner. Long enough for the next question to a
-/// worker with runs (0.5 s), for a new owner to be found (2 s), to take over (0.5 s) and to reach the worker;
-/// a worker that is lost keeps its tasks waiting for as long. 4.5 s and 3.0 s serve worse (docs/DECISIONS.md).
+/// Time for which a worker keeps its runs without a call from the owner. It suffices for the next
+/// poll of a worker with runs (0.5 s), for the election of a new owner (2 s), for its takeover (0.5
+/// s) and for its first call to the worker. The tasks of a lost worker have to wait for the same
+/// time. 4.5 s and 3.0 s gave worse results (docs/DECISIONS.md).
 pub const WORKER_LEASE_DURATION: Duration = Duration::from_millis(3_600);
 
-/// How long an owner that cannot renew goes on extending leases: while the store is down for all,
-/// nobody else can take over. A new owner waits it out where it does not reach a worker.
+/// Maximum age of the last renewal with which an owner still extends leases. While the store is
+/// down for all, no other entry can take over. A new owner waits until this time is over for a
+/// worker that it does not reach.
 pub const MAX_RENEWAL_AGE: Duration = Duration::from_millis(6_000);
 
-/// By what factor a lease may outlast its length: a worker's clock may run 2 % slow.
+/// Factor by which a lease may outlast its duration, since a worker's clock may run 2 % slow.
 const MAX_CLOCK_SLOWDOWN: f64 = 1.03;
 
-/// By how much more it may: the worker's clock was read up to a second before the lease was given, in
-/// which it may have gone 20 ms astray.
+/// Time by which a lease may outlast that. The worker's clock was read up to a second before the
+/// lease was granted, and may have drifted by 20 ms since.
 const MAX_CLOCK_ERROR: Duration = Duration::from_millis(50);
 
-/// How many starts are under way to one worker at a time. A step of eight tasks that one worker gets would
-/// otherwise open eight connections, of which each takes 12 KB: 7,000 of them made 80 MB on 1,100 workers. A
-/// start takes some ms, so that eight of them wait for less than 20; and where a worker falls silent, only these
-/// wait for its lease.
+/// Maximum number of concurrent starts on one worker. A step of eight tasks on one worker would
+/// otherwise open eight connections of 12 KB each: 7,000 of them took 80 MB with 1,100 workers. A
+/// start takes some ms, so that eight of them wait for less than 20 ms. If a worker falls silent,
+/// only these starts wait for its lease to expire.
 const MAX_CONCURRENT_STARTS: usize = 3;
 
-/// How long a lease of this length may hold at the most, after it was given.
+/// Returns the maximum time for which a lease of this duration may hold after it was granted.
 pub fn max_lease_duration(lease: Duration) -> Duration {
     lease.mul_f64(MAX_CLOCK_SLOWDOWN) + MAX_CLOCK_ERROR
 }
 
-/// A number that calls to a worker carry; it does nothing for one that is lower than the highest that it has seen.
+/// Fencing token of calls to a worker. A worker ignores a call whose token is lower than the
+/// highest one that it has seen.
 pub type FencingToken = u64;
 
-/// How many bits of a fence count the lives of a worker under one owner. With 33 more for the owner's epoch it is a whole
-/// number in any form of JSON, and a worker would have to start a million times under one owner to use them up.
+/// Number of bits of a fencing token that count the incarnations of a worker under one owner.
+/// Together with 33 bits for the owner's epoch, the token is an exact integer in any form of JSON.
+/// A worker would have to start a million times under one owner to use them up.
 const INCARNATION_BITS: u32 = 20;
 
-/// What the owner knows of the way to a life of a worker.
+/// Contact of the owner with an incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct Contact {
-    /// The worker's clock when it last answered.
+    /// The worker's clock, and the time at which it was read.
     pub clock: Option<(ClockMs, Instant)>,
-    /// Until when its lease may hold at the latest.
+    /// Latest time until which the worker's lease may hold.
     pub lease_until: Instant,
-    /// When its newest answer to a question came: which life takes a call shows only afterwards.
+    /// Time of the last response to a poll. Which incarnation takes a call only shows afterwards.
     pub last_answer: Option<Instant>,
-    /// Up to which number its ends are durable.
+    /// Number up to which the ends of runs that the worker reported are durable.
     pub acknowledged: u64,
-    /// The turns of starts that are sent to it.
+    /// Permits for concurrent starts on the worker.
     pub start_permits: Arc<Semaphore>,
 }
 
 impl Contact {
-    /// The way to a worker of which nothing is known but until when its lease may hold.
+    /// Creates the contact with a worker of which only the end of its lease is known.
     pub fn new(lease_until: Instant) -> Self {
         Contact {
             clock: None,
@@ -89,98 +94,102 @@
     }
 }
 
-/// How an owner sends orders to workers: by what stands above it.
+/// Function by which an owner sends orders to workers. It is passed in, since it is defined in a
+/// module that depends on this one.
 pub type SendOrders = fn(&Rc<Owner>, Vec<Order>);
 
-/// How long an owner may believe in its last renewal where two owners must not act in turn. Shorter
-/// than [`fleet::EXPIRY`] by what clocks and answers may be late.
+/// Maximum age of the last renewal with which an owner is certain enough for orders that two owners
+/// must not give in turn. It is shorter than [`fleet::EXPIRY`] by the possible delay of clocks and
+/// responses.
 pub const CERTAIN_RENEWAL_AGE: Duration = Duration::from_millis(1_100);
 
-/// What is known of the owner before.
+/// State of the previous owner, as far as it is known.
 #[derive(Clone, Copy, Debug)]
 pub struct Predecessor {
-    /// When its last record was read; none if there was no owner before, or it gave the cell up.
+    /// Time at which its last record was read. `None` if there was no previous owner, or it has
+    /// released the cell.
     pub renewed: Option<Instant>,
-    /// How long leases of owners before it may hold.
+    /// Time for which leases of owners before it may still hold.
     pub waits: Duration,
-    /// Whether the store was in trouble of late.
+    /// Whether there was a store outage recently.
     pub trouble: Trouble,
     /// Whether it may have given orders about VMs that it has not recorded.
     pub orders: bool,
 }
 
-/// The owner of the cell.
+/// State of the owner of the cell.
 pub struct Owner {
     /// Shared state of the entry.
     pub node: Rc<Node>,
-    /// The number that fences the owner's appends and orders.
+    /// Epoch, which fences the owner's appends and orders.
     pub epoch: u64,
-    /// When it came to own the cell.
+    /// Time at which this entry became the owner.
     pub began: Instant,
-    /// The jobs and workers.
+    /// Jobs and workers.
     pub cell: RefCell<JobCell>,
-    /// The ways to the lives of workers.
+    /// Contacts with the incarnations of workers.
     pub contacts: RefCell<HashMap<WorkerId, Contact>>,
-    /// When the renewal that last succeeded was sent.
+    /// Time at which the last successful renewal was sent.
     pub last_renewal: Cell<Instant>,
-    /// The entries that name no worker to use and have been logged, by id.
+    /// Listed entries that name no usable worker and have been logged, by id.
     pub foreign: RefCell<HashSet<WorkerName>>,
-    /// The lives at whose address another worker has answered, with the address.
+    /// Incarnations at whose address another worker has answered, with that address.
     pub replaced: RefCell<HashMap<WorkerId, String>>,
-    /// Until when an earlier owner's leases may hold.
+    /// Time until which leases of earlier owners may hold.
     pub inherited_leases_until: Instant,
-    /// Whether the store was in trouble when this owner began.
+    /// Whether there was a store outage when this owner started.
     pub trouble: Trouble,
-    /// When an order about VMs was last to be given without a record.
+    /// Last time at which an order about VMs was to be given without a record.
     unrecorded_order_at: Cell<Option<Instant>>,
-    /// Whether the last renewal told of such orders.
+    /// Whether the last renewal announced unrecorded orders about VMs.
     orders_announced: Cell<bool>,
-    /// From when on this owner may give orders about VMs that the earlier one gave orders about: it did
-    /// so as long as it trusted its lease, and two holders must not act in turn.
+    /// Time from which on this owner may give orders about VMs that the earlier owner may have
+    /// given orders about. That owner did so for as long as its lease was certain, and two owners
+    /// must not give such orders in turn.
     pub inherited_orders_until: Instant,
-    /// The earlier owners that are known to have ended.
+    /// Earlier owners whose process is known to have ended.
     pub ended_owners: RefCell<HashSet<IncarnationId>>,
-    /// How many orders about VMs may be given now.
+    /// Rate limit of orders about VMs.
     pub vm_rate: RefCell<RateLimit>,
-    /// The end of the log of what operators are told, as far as it is known. Each record is appended on condition of
-    /// it, so that one that comes late cannot stand behind a newer one.
+    /// End of the log of wave statuses, as far as it is known. Each record is appended on the
+    /// condition that the log ends there, so that a late record cannot follow a newer one.
     pub status_end: Cell<u64>,
-    /// What other entries say of the store.
+    /// Result of the last check for a store outage.
     pub outage: Cell<Outage>,
-    /// When the renewal was sent that last told that runs may be started without a record.
+    /// Time at which the last renewal was sent that announced runs without a record.
     unrecorded_announced_at: Cell<Option<Instant>>,
-    /// When runs were last started without a record.
+    /// Last time at which runs were started without a record.
     unrecorded_start_at: Cell<Option<Instant>>,
-    /// Since when a renewal of the lease is under way.
+    /// Time since which a renewal of the lease is in progress.
     pub renewing: Cell<Option<Instant>>,
-    /// Since when an append is under way.
+    /// Time since which an append is in progress.
     appending: Cell<Option<Instant>>,
-    /// The version of the configuration whose bounds are in force in the cell; none before there is one.
+    /// Version of the configuration whose bounds the cell applies. `None` before the first one.
     bounds_version: Cell<Option<Version>>,
-    /// As of which offset of the operators' topic the cell knows which data centres are to be emptied.
+    /// Offset of the operators' topic as of which the cell knows the data centres to be drained.
     hall_drains_as_of: Cell<Offset>,
-    /// What sends orders to workers.
+    /// Function that sends orders to workers.
     send: SendOrders,
-    /// Whether it may still decide.
+    /// Whether the owner may still decide.
     alive: Cell<bool>,
-    /// Whether what earlier owners recorded has been taken in.
+    /// Whether the records of earlier owners have been loaded.
     pub loaded: Cell<bool>,
-    /// The part of a core of a stronger entry that has asked for the cell.
+    /// CPU share of a stronger entry that has requested the cell.
     pub successor: Cell<Option<MilliCpu>>,
-    /// Entries that the store answers while it does not answer this one; none as a rule.
+    /// Entries that the store answers while it does not answer this one. Usually empty.
     pub relays: RefCell<Vec<String>>,
-    /// Told when there are some.
+    /// Notified when relays have been found.
     pub relays_known: Notify,
-    /// Told when the lease is to be looked at before its next renewal is due.
+    /// Notified when the lease is to be checked before its next renewal is due.
     pub lease_due: Notify,
-    /// Told when something has changed in the cell.
+    /// Notified when something has changed in the cell.
     pub wake: Notify,
-    /// Told after each append, and when the owner ends.
+    /// Notified after the load, after each append, renewal or withdrawal, and when the owner ends.
     pub settled: Notify,
 }
 
 impl Owner {
-    /// An owner that knows nothing yet but its predecessor.
+    /// Creates an owner that knows only its predecessor.
     pub fn new(
         node: &Rc<Node>,
         epoch: u64,
@@ -235,41 +244,42 @@
         }
     }
 
-    /// Whether it may still decide.
+    /// Returns whether the owner may still decide.
     pub fn is_alive(&self) -> bool {
         self.alive.get()
     }
 
-    /// The fence of calls to a worker. It is higher than that of each earlier owner, and than that of each call that was
-    /// meant for a life of the worker before the one that answers now: such a call may still be under way, and would
-    /// start again what has been done or is started elsewhere.
+    /// Returns the fencing token for calls to a worker. It is higher than the token of each earlier
+    /// owner, and than that of each call to an earlier incarnation of the worker. Such a call may
+    /// still be in progress, and would restart what has been done or is started elsewhere.
     pub fn fencing_token(&self, worker: &str) -> FencingToken {
         let changes = self.cell.borrow().changes_of(worker);
         (self.epoch << INCARNATION_BITS) + changes.min((1 << INCARNATION_BITS) - 1)
     }
 
-    /// Whether a call with this fence was refused since this owner has raised it, and no other has.
-    pub fn has_raised_token(&self, worker: &str, fence: FencingToken) -> bool {
-        fence < self.fencing_token(worker)
+    /// Returns whether a call with this token was refused because this owner, and no other one, has
+    /// raised the token since.
+    pub fn has_raised_token(&self, worker: &str, token: FencingToken) -> bool {
+        token < self.fencing_token(worker)
     }
 
-    /// Whether it may extend leases and start what is durable.
+    /// Returns whether the owner may extend leases and start durable tasks.
     pub fn may_hold(&self) -> bool {
         self.is_alive() && self.last_renewal.get().elapsed() < MAX_RENEWAL_AGE
     }
 
-    /// Whether it is certain that nobody else owns the cell.
+    /// Returns whether it is certain that no other entry owns the cell.
     pub fn is_certain(&self) -> bool {
         self.is_alive() && self.last_renewal.get().elapsed() < CERTAIN_RENEWAL_AGE
     }
 
-    /// For how long leases of earlier owners may still hold.
+    /// Returns the time for which leases of earlier owners may still hold.
     pub fn inherited_leases_remaining(&self) -> Duration {
         self.inherited_leases_until
             .saturating_duration_since(Instant::now())
     }
 
-    /// Ends it: it decides and orders nothing any more.
+    /// Ends the owner, after which it neither decides nor gives orders.
     pub fn end(&self, why: &str) {
         if self.alive.replace(false) {
             self.node.metrics.owned("lost");
@@ -279,32 +289,34 @@
         }
     }
 
-    /// A renewal that was sent at `sent` is durable.
+    /// Records that a renewal, which was sent at `sent`, is durable.
     pub fn record_renewal(&self, sent: Instant, lease: &Lease) {
         self.last_renewal.set(sent);
         if lease.unrecorded {
             self.unrecorded_announced_at.set(Some(sent));
         }
         self.orders_announced.set(lease.unrecorded_orders);
-        // Orders about VMs may have waited for this.
+        // Orders about VMs may have waited for the renewal.
         self.settled.notify_waiters();
     }
 
-    /// Whether runs may have been started without a record, or may be soon: the next owner is to know.
+    /// Returns whether runs may have been started without a record, or may be soon, so that the
+    /// next owner has to know.
     pub fn may_have_unrecorded_runs(&self) -> bool {
         self.has_unrecorded_runs() || self.is_append_pending_for(SLOW_APPEND_THRESHOLD)
     }
 
-    /// Whether runs may have been started without a record by now.
+    /// Returns whether runs may already have been started without a record.
     pub fn has_unrecorded_runs(&self) -> bool {
         let recent = self.unrecorded_start_at.get();
-        // What an earlier owner started so may still run until its leases have run out.
+        // Unrecorded runs of an earlier owner may continue until its leases have expired.
         let inherited =
             self.trouble != Trouble::None && Instant::now() < self.inherited_leases_until;
         inherited || recent.is_some_and(|at| at.elapsed() < TROUBLE)
     }
 
-    /// Something has changed in the cell: what follows is to be decided and done.
+    /// Notifies the owner that something has changed in the cell and sends the orders that need no
+    /// record.
     pub fn wake(self: &Rc<Self>) {
         self.send_urgent();
         self.wake.notify_one();
@@ -316,12 +328,12 @@
         self.send(urgent);
     }
 
-    /// Sends orders to workers, without waiting for their answers.
+    /// Sends orders to workers without waiting for their responses.
     pub fn send(self: &Rc<Self>, orders: Vec<Order>) {
         (self.send)(self, orders);
     }
 
-    /// What is known of an append that is under way.
+    /// Returns the state of an append that is in progress.
     fn stall(&self) -> Stall {
         Stall {
             since: self.appending.get(),
@@ -331,14 +343,14 @@
         }
     }
 
-    /// Whether a renewal or another append is under way that has taken at least this long.
+    /// Returns whether a renewal or another append has been in progress for at least this time.
     pub fn is_stalled(&self, min_duration: Duration) -> bool {
         let renewing = self.renewing.get();
         renewing.is_some_and(|since| since.elapsed() >= min_duration)
             || self.is_append_pending_for(min_duration)
     }
 
-    /// Whether an append is under way that has taken at least this long.
+    /// Returns whether an append has been in progress for at least this time.
     fn is_append_pending_for(&self, min_duration: Duration) -> bool {
         self.appending
             .get()
@@ -346,7 +358,8 @@
     }
 }
 
-/// The limits of a cell's decisions that the platform tells, with the others as they are.
+/// Returns the limits for the decisions of a cell: those that the platform sets, and the defaults
+/// for the others.
 fn limits(settings: &Settings) -> Limits {
     Limits {
         stop: settings.stop,
