--- a/crates/havenladder/src/entry/owner/requests.rs
+++ b/crates/havenladder/src/entry/owner/requests.rs
@@ -1,4 +1,4 @@
-//! Answers what callers ask, once it is durable.
+//! Carries out the requests of callers and responds once the result is durable.
 
 use super::Owner;
 use crate::entry::{
@@ -13,11 +13,12 @@
 use tokio::time;
 use tracing::info;
 
-/// How long an append may take before new jobs are refused at once: the store is away.
+/// Duration of an append after which new jobs are refused at once, because the store is
+/// unavailable.
 const STORE_OUTAGE_THRESHOLD: Duration = Duration::from_millis(500);
 
 impl Owner {
-    /// Does what a caller wants.
+    /// Carries out a request of a caller.
     pub async fn handle(self: &Rc<Self>, request: CallerRequest) -> PeerResponse {
         while !self.loaded.get() {
             if !self.is_alive() {
@@ -51,9 +52,10 @@
         }
     }
 
-    /// The version of the configuration, where the one by which a request was judged is older: keys may have been taken away
-    /// since. The configuration itself does not go along: one with 1,200 routes has 260 KB, a fifth of a second on the weakest
-    /// entries' links, for each call that is under way as it changes.
+    /// Returns the version of the configuration if the request was authenticated with an older one,
+    /// since keys may have been revoked in the meantime. The response does not carry the
+    /// configuration itself: one with 1,200 routes has 260 KB, which takes 0.2 s on the weakest
+    /// entries' links, for each call that is in progress while it changes.
     fn newer_config_version(&self, request: &CallerRequest) -> Option<Version> {
         let version = self.node.in_force.borrow().version();
         if version < request.version {
@@ -62,8 +64,9 @@
         (version > request.version).then_some(version)
     }
 
-    /// Whether a caller may learn of a job: only its workspace may, or whoever calls the queue that it was handed in to,
-    /// where that is open to all by now. To others it does not exist.
+    /// Returns whether a caller may learn of a job. Only the job's workspace may, or a caller of
+    /// the queue that the job was submitted to, if that queue is open to all by now. To all others
+    /// the job does not exist.
     fn may_see(&self, caller: &Caller, queue: &str, id: JobId) -> bool {
         let cell = self.cell.borrow();
         let Some(job) = cell.jobs.get(&id) else {
@@ -76,8 +79,9 @@
         }
     }
 
-    /// Hands the cell over to an entry that is much stronger, unless there is trouble: the lease's duty
-    /// releases it.
+    /// Starts to hand the cell over to an entry that is much stronger, unless this owner is still
+    /// loading, is not certain of its lease or waits for the store. The lease's background task
+    /// then releases the cell.
     pub fn hand_over(&self, cpu: MilliCpu) -> PeerResponse {
         let is_stable = self.loaded.get()
             && self.is_certain()
@@ -90,8 +94,9 @@
         PeerResponse::HandedOver
     }
 
-    /// Takes a job in; one that it has is not refused, also while the store is away. One whose record is not
-    /// durable within a time is given back, if nothing of it was sent.
+    /// Accepts a job. A job that is already known is not refused, even while the store is
+    /// unavailable. A job whose record is not durable in time is withdrawn, if nothing of it has
+    /// been sent.
     async fn submit(self: &Rc<Self>, submission: Submission, within: Duration) -> PeerResponse {
         let id = submission.id;
         let job = format!("{id:016x}");
@@ -102,7 +107,7 @@
                 info!(
                     job,
                     workspace = submission.workspace,
-                    "refused: it can never run under its workspace's bound"
+                    "rejected: the job can never run under its workspace's bound"
                 );
                 return PeerResponse::TooLarge;
             }
@@ -113,7 +118,7 @@
                 job,
                 ms,
                 workspace = submission.workspace,
-                "refused: it would be done too late"
+                "rejected: the job would be done too late"
             );
             return PeerResponse::TooLate(ms);
         }
@@ -130,20 +135,21 @@
                 info!(job, new = accepted == Accepted::New, "accepted");
                 PeerResponse::Accepted
             }
-            // Another request for the same job gave it back.
+            // Another request for the same job has withdrawn it.
             Ok(DurableOutcome::Missing) => PeerResponse::Refused,
             Ok(DurableOutcome::Ended) | Err(_) => self.withdraw(id),
         }
     }
 
-    /// Whether a job may be taken in for its workspace.
+    /// Returns whether a job may be accepted for its workspace.
     fn admit(&self, submission: &Submission) -> Admission {
         self.update_workspaces();
         let cell = self.cell.borrow();
         if let Some(job) = cell.jobs.get(&submission.id) {
             return match job.given.workspace == submission.workspace {
                 true => Admission::Admitted,
-                // It is another workspace's: nothing may tell that it is there.
+                // The job is that of another workspace, and the response must not reveal that it
+                // exists.
                 false => Admission::IdTaken,
             };
         }
@@ -154,7 +160,8 @@
         }
     }
 
-    /// In how many ms there may be room for a job, where it would be done too late if it was taken in now.
+    /// Returns in how many ms there may be capacity for a job, if it would be done too late when
+    /// accepted now.
     fn forecast(&self, submission: &Submission) -> Option<u64> {
         let cell = self.cell.borrow();
         if cell.jobs.contains_key(&submission.id) {
@@ -166,16 +173,16 @@
         }
     }
 
-    /// Gives a job back of which nothing was sent; what becomes of any other is not known.
+    /// Withdraws a job of which nothing was sent. The outcome of any other job is not known.
     fn withdraw(&self, id: JobId) -> PeerResponse {
         if !self.cell.borrow_mut().withdraw(id) {
             return PeerResponse::Unsure;
         }
         let job = format!("{id:016x}");
-        info!(job, "given back: nothing of it was sent to the log");
-        // Others may wait for the same job.
+        info!(job, "withdrawn: nothing of the job was sent to the log");
+        // Other requests may wait for the same job.
         self.settled.notify_waiters();
-        // The next owner may still take it in time.
+        // The next owner may still accept the job in time.
         if self.is_alive() {
             PeerResponse::Refused
         } else {
@@ -198,7 +205,7 @@
         }
     }
 
-    /// Tells how far a job is, as far as that is durable.
+    /// Returns the phase of a job once it is durable.
     async fn state(&self, id: JobId) -> PeerResponse {
         let shown = self.cell.borrow().jobs.get(&id).map(|job| job.shown);
         match shown {
@@ -212,8 +219,8 @@
         }
     }
 
-    /// Says that there is no such job, where this owner can know: one whose renewal is too old may have been
-    /// replaced, and the next owner may have taken the job.
+    /// Responds that there is no such job, if this owner can be certain. An owner whose last
+    /// renewal is too old may have been replaced, and the next owner may have accepted the job.
     fn not_found(&self) -> PeerResponse {
         if self.is_certain() {
             PeerResponse::Unknown
@@ -222,7 +229,7 @@
         }
     }
 
-    /// Waits until what is known of a job is durable, or never will be.
+    /// Waits until the phase of a job is durable, or can no longer become so.
     async fn wait_durable(&self, id: JobId) -> DurableOutcome {
         loop {
             let settled = self.settled.notified();
@@ -236,34 +243,35 @@
         }
     }
 
-    /// What can be told of a job now; none while its record is under way.
+    /// Returns the current outcome for a job, or `None` while its record is being appended.
     fn durable_outcome(&self, id: JobId) -> Option<DurableOutcome> {
         let cell = self.cell.borrow();
         let Some(job) = cell.jobs.get(&id) else {
             return Some(DurableOutcome::Missing);
         };
-        // Over or not is what a caller was told or waits for; the rest may be behind.
+        // A caller is told or waits for whether the job has ended. Other changes of the phase may
+        // not be durable yet.
         let shown = job.shown?;
         (shown.is_over() == job.phase.is_over()).then_some(DurableOutcome::Durable(shown))
     }
 }
 
-/// Whether a job may be taken in for its workspace.
+/// Whether a job may be accepted for its workspace.
 enum Admission {
-    /// It may, or it was handed in before.
+    /// The job may be accepted, or it was submitted before.
     Admitted,
-    /// Its id is that of another workspace's job.
+    /// The id belongs to a job of another workspace.
     IdTaken,
-    /// It asks for more than its workspace may ever have running.
+    /// The job needs more than its workspace may ever have running.
     TooLarge,
 }
 
-/// What a wait for a job's record has led to.
+/// Outcome of a wait for a job's record.
 enum DurableOutcome {
-    /// There is no such job, or not any more.
+    /// The job does not exist, or no longer does.
     Missing,
-    /// The job is this far, and that is durable.
+    /// The job is in this phase, which is durable.
     Durable(Phase),
-    /// The owner has ended before.
+    /// The owner ended before the record was durable.
     Ended,
 }
