--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -1,4 +1,4 @@
-//! Makes records durable, and goes on meanwhile with what needs none.
+//! Makes records durable, and continues in the meantime with work that needs none.
 
 use super::Owner;
 use crate::entry::{
@@ -13,23 +13,23 @@
 use tokio::time;
 use tracing::warn;
 
-/// The topic with the jobs of the cell.
+/// Topic of the jobs of the cell.
 pub(super) const TOPIC: &str = "keyed.jobs";
 
-/// The name under which owners append to it; their epochs shut out earlier owners.
+/// Producer name under which owners append to the topic. Their epochs fence earlier owners off.
 const PRODUCER: &str = "owner";
 
-/// How long an append may take before work goes on without it: ten times what it takes as a rule.
+/// Duration of an append after which work continues without it: ten times the usual one.
 pub(super) const SLOW_APPEND_THRESHOLD: Duration = Duration::from_millis(150);
 
-/// Time between two looks at what can be done while an append is under way.
+/// Interval between two checks for work that is possible while an append is in progress.
 const STALL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time until an append that did not succeed is tried again.
+/// Delay before a failed append is retried.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Makes records durable, however often it takes; false if a newer owner shut this one out. What can
-/// be done without them is done meanwhile.
+/// Makes records durable, retrying as often as needed. Returns false if a newer owner has fenced
+/// this one off. Work that needs no records is done in the meantime.
 pub async fn append(
     owner: &Rc<Owner>,
     entries: &[Entry],
@@ -44,7 +44,7 @@
     durable
 }
 
-/// Calls the store until it takes the records or refuses them for good.
+/// Calls the store until it accepts the records or refuses them for good.
 async fn try_append(
     owner: &Rc<Owner>,
     entries: &[Entry],
@@ -84,7 +84,7 @@
     false
 }
 
-/// Waits for something and, where an append takes long, goes on with jobs that the log holds.
+/// Waits for a call. While an append is slow, work continues with jobs that are already in the log.
 async fn work_while_waiting<T>(
     owner: &Rc<Owner>,
     call: impl Future<Output = T>,
@@ -104,15 +104,16 @@
                 owner.unrecorded_start_at.set(Some(Instant::now()));
                 start_unrecorded(owner, starts);
             } else {
-                // A renewal tells the next owner first.
+                // The next owner has to know first, so that a renewal of the lease announces
+                // unrecorded runs.
                 owner.lease_due.notify_one();
             }
         }
     }
 }
 
-/// Starts what is due of jobs that the log holds, though the starts themselves are not recorded: a
-/// new owner meets all workers before it starts what waited.
+/// Starts due tasks of jobs that are in the log, although the starts themselves are not recorded. A
+/// new owner contacts all workers before it starts any task that waited.
 fn start_unrecorded(owner: &Rc<Owner>, starts: &mut Vec<Order>) {
     let now = Instant::now();
     owner.update_workspaces();
--- a/crates/havenladder/src/entry/owner/hall_drains.rs
+++ b/crates/havenladder/src/entry/owner/hall_drains.rs
@@ -1,4 +1,5 @@
-//! Puts in force in the cell which data centres are to be emptied, and has what may go on elsewhere leave them.
+//! Applies the drain orders for data centres to the cell, and stops runs there that can continue
+//! elsewhere.
 
 use super::Owner;
 use clock::Instant;
@@ -6,7 +7,8 @@
 use tracing::info;
 
 impl Owner {
-    /// Puts the newest orders in force, unless they are. False while nothing is known of them: nothing may begin yet.
+    /// Applies the newest drain orders to the cell, unless they already are. Returns false while no
+    /// orders are known, in which case nothing may be started yet.
     pub fn update_hall_drains(&self) -> bool {
         let in_force = self.node.in_force.borrow();
         let hall_drains = in_force.hall_drains();
@@ -18,7 +20,8 @@
         as_of > 0
     }
 
-    /// Has runs leave the data centres that are to be emptied, as far as that is possible now.
+    /// Stops runs in the data centres that are to be drained, as far as they can continue elsewhere
+    /// now.
     pub fn drain_halls(self: &Rc<Self>) {
         if !self.may_hold() {
             return;
@@ -29,7 +32,7 @@
             self.node.metrics.left_halls(stopped);
             info!(
                 stopped,
-                left, "runs leave data centres that are to be emptied"
+                left, "stopped runs in data centres that are to be drained"
             );
             self.wake();
         }
--- a/crates/havenladder/src/entry/owner/load.rs
+++ b/crates/havenladder/src/entry/owner/load.rs
@@ -1,4 +1,4 @@
-//! Takes in what earlier owners recorded.
+//! Loads what earlier owners recorded.
 
 use super::{
     Owner,
@@ -11,14 +11,15 @@
 use tokio::time;
 use tracing::{info, warn};
 
-/// How many jobs are named whose records do not fit each other: all of them would be a line each.
+/// Maximum number of jobs with inconsistent records that are logged, since each takes a line.
 const MAX_LOGGED_JOBS: usize = 100;
 
-/// Shuts out earlier owners and takes in what they recorded; false if this owner was shut out.
+/// Fences earlier owners off and loads what they recorded. Returns false if this owner was fenced
+/// off itself.
 pub async fn load(owner: &Rc<Owner>) -> bool {
     let began = Instant::now();
     if !append(owner, &[], 0, &mut Vec::new()).await {
-        owner.end("a newer owner was there first");
+        owner.end("a newer owner was first");
         return false;
     }
     loop {
@@ -33,7 +34,7 @@
                 odd.into_iter().take(MAX_LOGGED_JOBS).for_each(|job| {
                     warn!(
                         job = format!("{job:016x}"),
-                        "the records of a job do not fit each other; it is left out"
+                        "skipped a job with inconsistent records"
                     );
                 });
                 let jobs = owner.cell.borrow().jobs.len();
@@ -50,13 +51,13 @@
     }
 }
 
-/// Reads a record; one that cannot be read is logged and left out.
+/// Decodes a record. One that cannot be decoded is logged and skipped.
 fn decode(record: &Keyed) -> Option<jobs::Decoded> {
     let value = record.value.as_ref()?;
     match jobs::decode_entry(&record.key, value) {
         Ok(decoded) => Some(decoded),
         Err(error) => {
-            warn!(%error, key = record.key, "a record of the cell cannot be read");
+            warn!(%error, key = record.key, "cannot decode a record of the cell");
             None
         }
     }
--- a/crates/havenladder/src/entry/owner/loop_stats.rs
+++ b/crates/havenladder/src/entry/owner/loop_stats.rs
@@ -1,30 +1,31 @@
-//! How full the owner is: how late its rounds of decisions come, and how long they take.
+//! Load of the owner: how late its rounds of decisions start, and how long they take.
 //!
-//! An owner that has more to do than its part of a core allows is late everywhere at once: with questions,
-//! renewals, moves and starts. How late it wakes from a short sleep shows that before anything breaks.
+//! An owner that has more to do than its share of a CPU core allows is late everywhere at once:
+//! with polls, renewals, moves and starts. The delay of its wake-up from a short sleep shows that
+//! before anything fails.
 
 use super::Owner;
 use clock::Instant;
 use std::time::Duration;
 use tracing::info;
 
-/// Time between two lines about the rounds: one a second tells in which second an owner was full.
+/// Interval between two log lines. One line a second shows in which second an owner was overloaded.
 const LOG_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The rounds since the last line.
+/// Statistics of the rounds since the last log line.
 pub struct LoopStats {
-    /// When the next line is due.
+    /// Time at which the next line is due.
     due: Instant,
-    /// How many rounds there were.
+    /// Number of rounds.
     rounds: u32,
-    /// The longest that a round's decisions took.
+    /// Maximum duration of a round's decisions.
     max_duration: Duration,
-    /// By how much the owner woke too late from a sleep between rounds, at the most.
+    /// Maximum delay of a wake-up from the sleep between two rounds.
     max_delay: Duration,
 }
 
 impl LoopStats {
-    /// Begins to count.
+    /// Starts new statistics.
     pub fn new(now: Instant) -> Self {
         LoopStats {
             due: now + LOG_INTERVAL,
@@ -34,14 +35,15 @@
         }
     }
 
-    /// Notes how long the decisions of a round took.
+    /// Records how long the decisions of a round took.
     pub fn record_round(&mut self, owner: &Owner, took: Duration) {
         owner.node.metrics.decided(took);
         self.rounds += 1;
         self.max_duration = self.max_duration.max(took);
     }
 
-    /// Notes by how much the owner woke too late from the sleep after a round, and logs what a second showed.
+    /// Records by how much the wake-up from the sleep after a round was late, and logs the
+    /// statistics once they are due.
     pub fn record_sleep(&mut self, owner: &Owner, late: Duration) {
         owner.node.metrics.woke_late(late);
         self.max_delay = self.max_delay.max(late);
--- a/crates/havenladder/src/entry/owner/vm_orders.rs
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -1,5 +1,5 @@
-//! Whether the owner may give orders about a VM now: recorded first, and not in turn with the owner
-//! before it.
+//! Decides whether the owner may give orders about a VM now. Orders are recorded first, and must
+//! not alternate with those of the previous owner.
 
 use super::Owner;
 use crate::entry::peer::{self, PeerRequest, PeerResponse};
@@ -9,22 +9,22 @@
 use tokio::{task, time};
 use tracing::info;
 
-/// How long the record of the VMs is waited for before a renewal of the lease tells of the orders in its
-/// place: ten times what it takes as a rule.
+/// Time for which the record of the VMs is awaited before a renewal of the lease announces the
+/// orders instead: ten times the usual duration of an append.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a renewal that tells of them may take: one that is under way, and the next, 360 ms each at 89
-/// times the usual.
+/// Time for which such a renewal is awaited. It covers one that is in progress and the next one, of
+/// 360 ms each if the store is 89 times slower than usual.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long an earlier owner may take to answer which life of it runs; it takes some ms.
+/// Timeout of a poll of an earlier owner's incarnation, which usually takes some ms.
 const INCARNATION_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time until it is asked again: its process may be starting.
+/// Delay before the poll is retried, since the process may be starting.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Owner {
-    /// Waits until orders about VMs may be given; false if they may not.
+    /// Waits until orders about these VMs may be given. Returns false if they may not.
     pub async fn claim_vms(self: &Rc<Self>, vms: &[&str]) -> bool {
         if !self.is_certain() {
             return false;
@@ -43,12 +43,14 @@
         }
         self.unrecorded_order_at.set(Some(Instant::now()));
         self.lease_due.notify_one();
-        // A renewal that succeeded after the store became slow is enough: each one repeats it.
+        // A renewal that succeeded after the store became slow is enough, since each renewal
+        // repeats the announcement.
         let announced = || recorded() || self.orders_announced.get();
         self.wait_until(ANNOUNCEMENT_TIMEOUT, announced).await && self.is_certain()
     }
 
-    /// Waits until something holds; false if it does not in time, or this owner cannot be certain any more.
+    /// Waits until a condition is met. Returns false if it is not met in time, or if this owner is
+    /// no longer certain of its lease.
     async fn wait_until(&self, within: Duration, is_met: impl Fn() -> bool) -> bool {
         let until = Instant::now() + within;
         loop {
@@ -62,8 +64,8 @@
         }
     }
 
-    /// Whether orders about VMs that are not recorded may have been given, or may be soon: the next owner is
-    /// to know as long as they matter.
+    /// Returns whether unrecorded orders about VMs may have been given, or may be soon. The next
+    /// owner has to know for as long as they are relevant.
     pub fn may_have_unrecorded_orders(&self) -> bool {
         let inherited =
             Instant::now() < self.inherited_orders_until && self.cell.borrow().doubts_all_vms();
@@ -75,14 +77,14 @@
                 .is_some_and(|at| at.elapsed() < relevance)
     }
 
-    /// Whether an earlier owner may have given an order about a VM that is still under way, also if its
-    /// process has ended since: bounds and budgets count such a VM as one that goes.
+    /// Returns whether an order of an earlier owner about a VM may still be in progress, even if
+    /// that owner's process has ended. Bounds and budgets count such a VM as one that is leaving.
     pub fn has_unconfirmed_order(&self, vm: &str) -> bool {
         Instant::now() < self.inherited_orders_until && self.cell.borrow().may_be_ordered(vm)
     }
 
-    /// Whether a VM is to be left alone because an earlier owner that may still run may have just given
-    /// an order about it.
+    /// Returns whether a VM has to be skipped because an earlier owner that may still run may have
+    /// just given an order about it.
     pub fn must_skip(&self, vm: &str) -> bool {
         let are_relevant = Instant::now() < self.inherited_orders_until;
         are_relevant
@@ -92,7 +94,7 @@
                 .must_spare(vm, &self.ended_owners.borrow())
     }
 
-    /// In whose name this owner gives orders.
+    /// Returns the identity under which this owner gives orders.
     fn holder(&self) -> Holder {
         Holder {
             life: self.node.incarnation,
@@ -101,7 +103,7 @@
     }
 }
 
-/// Finds out which of the earlier owners have ended, as long as their orders matter.
+/// Finds out which of the earlier owners have ended, for as long as their orders are relevant.
 pub async fn watch_earlier_owners(owner: Rc<Owner>) {
     for holder in owner.cell.borrow().earlier_holders() {
         task::spawn_local(watch_earlier_owner(Rc::clone(&owner), holder));
@@ -110,7 +112,8 @@
     owner.cell.borrow_mut().forget_holders();
 }
 
-/// Asks at an earlier owner's address which life answers there: another one has taken its place.
+/// Polls an earlier owner's address until an incarnation answers. If that is another one, the
+/// earlier owner has ended.
 async fn watch_earlier_owner(owner: Rc<Owner>, holder: Holder) {
     while owner.is_alive() && Instant::now() < owner.inherited_orders_until {
         if let Some(incarnation) = poll_incarnation(&owner, &holder).await {
@@ -128,7 +131,8 @@
     }
 }
 
-/// Which life answers at an earlier owner's address; none if nobody does.
+/// Returns the incarnation that answers at an earlier owner's address, or `None` if there is no
+/// answer.
 async fn poll_incarnation(owner: &Owner, holder: &Holder) -> Option<u64> {
     let node = &owner.node;
     if holder.address == node.peer_address() {
@@ -143,7 +147,8 @@
     .await
     {
         Ok(PeerResponse::Incarnation(presence)) => Some(presence.incarnation),
-        // It may be starting, or out of reach: its orders count until they do not matter any more.
+        // The process may be starting or unreachable, so that its orders count until they are no
+        // longer relevant.
         Ok(_) | Err(_) => None,
     }
 }
--- a/crates/havenladder/src/entry/owner/workspaces.rs
+++ b/crates/havenladder/src/entry/owner/workspaces.rs
@@ -1,4 +1,5 @@
-//! Puts what a configuration says of workspaces in force in the cell, and tells which of them wait for their bounds.
+//! Applies the configuration of workspaces to the cell, and logs which of them wait for their
+//! bounds.
 
 use super::Owner;
 use crate::entry::node::Node;
@@ -6,7 +7,8 @@
 use tracing::info;
 
 impl Owner {
-    /// Puts the bounds and weights of the newest configuration's workspaces in force, unless they are.
+    /// Applies the bounds and weights of workspaces in the newest configuration, unless they
+    /// already are.
     pub fn update_workspaces(&self) {
         let in_force = self.node.in_force.borrow();
         let version = in_force.config().map(|config| config.version);
@@ -25,7 +27,7 @@
     }
 }
 
-/// One line for each workspace that begins or ceases to wait for its bound.
+/// Logs each workspace that starts or stops waiting for its bound.
 pub fn log_bound_waits(node: &Node, waits: Vec<BoundWait>) {
     let version = node.in_force.borrow().version();
     for BoundWait {
@@ -43,7 +45,7 @@
             ?used,
             most = ?limits,
             version,
-            "wait for a workspace's bound"
+            "workspace starts or stops waiting for its bound"
         );
     }
 }
