--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -1,5 +1,6 @@
-//! Reads a call: which queue it names, who makes it, and what is wanted. It is judged by the newest configuration that can
-//! be had: where the owner, or another entry, knows a newer one, it is judged anew.
+//! Reads a call: its queue, its caller and the requested operation. The caller is authenticated
+//! with the newest configuration that is available, and again if the owner or another entry knows a
+//! newer one.
 
 use super::{
     owner_request::{OwnerReply, request_owner},
@@ -30,38 +31,38 @@
 use tracing::info;
 use workspaces::{Authorization, read_authorization};
 
-/// The longest body of a job; the platform's pages name 262,144 bytes.
+/// Maximum size of a job's body. The platform's documentation specifies 262,144 bytes.
 const MAX_BODY_BYTES: usize = 262_144;
 
-/// How long a caller waits if it does not say.
+/// Time for which a caller waits if it does not specify any.
 const DEFAULT_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// What a call says, before its body is read.
+/// Content of a request before its body is read.
 struct RequestHead {
     method: Method,
     host: String,
     path: String,
     authorization: Authorization,
-    /// When it came.
+    /// Time at which the request arrived.
     received_at: Instant,
-    /// Until when its caller waits.
+    /// Time until which the caller waits.
     deadline: Instant,
 }
 
-/// A call that is let in.
+/// Request of an authenticated caller.
 struct Admitted {
     queue: Queue,
     caller: Caller,
     version: Version,
-    /// What the path names behind the queue's prefix: a job's id, or nothing.
+    /// Remainder of the path after the queue's prefix: a job's id, or nothing.
     rest: String,
 }
 
-/// What becomes of a call before the owner is asked.
+/// Result of authentication, before the owner is asked.
 enum Authentication {
-    /// It is let in.
+    /// The call is admitted.
     Admitted(Admitted),
-    /// It is not, and this is why.
+    /// The call is rejected with this response.
     Rejected(Reply),
 }
 
@@ -84,13 +85,14 @@
     }
 }
 
-/// A header's text; empty if there is none.
+/// Returns the text of a header, or an empty one if there is none.
 fn text<'h>(headers: &'h HeaderMap, name: &str) -> &'h str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or("")
 }
 
-/// Until when the caller waits, by its header; one that asks for too long is not believed.
+/// Returns the time until which the caller waits, according to its header. The time is limited to
+/// 20 times the default.
 fn deadline(headers: &HeaderMap, now: Instant) -> Instant {
     let ms = text(headers, HEADER_DEADLINE)
         .parse()
@@ -98,7 +100,7 @@
     now + ms.min(DEFAULT_TIMEOUT * 20)
 }
 
-/// Answers a request, by its queue, caller, method and job.
+/// Handles a request according to its queue, caller, method and job.
 pub(super) async fn handle(node: &Rc<Node>, request: Request<Incoming>) -> Reply {
     let head = RequestHead::read(&request);
     if !ensure_fresh(node, FreshnessRequirement::Newest).await {
@@ -130,7 +132,8 @@
         };
         match authenticate(node, &head).await {
             Authentication::Admitted(again) => admitted = again,
-            // That it has not run would not be true for certain.
+            // The operation may have been carried out, so that the response must not say that it
+            // was not.
             Authentication::Rejected(_) if may_have_run => {
                 return reply(StatusCode::GATEWAY_TIMEOUT, "");
             }
@@ -139,13 +142,13 @@
     }
 }
 
-/// Finds a call's queue and who makes it.
+/// Finds the queue of a call and authenticates its caller.
 async fn authenticate(node: &Rc<Node>, head: &RequestHead) -> Authentication {
     let unauthorized = match authenticate_now(node, head) {
         Ok(authentication) => return authentication,
         Err(unauthorized) => unauthorized,
     };
-    // This entry may only be behind: a key may be as new as the call.
+    // This entry may only be behind, since a key may be as new as the call.
     if unauthorized == Unauthorized::Unknown {
         ensure_fresh(node, FreshnessRequirement::AsOf(head.received_at)).await;
         if let Ok(authentication) = authenticate_now(node, head) {
@@ -155,11 +158,11 @@
     Authentication::Rejected(reject_unauthorized(node, head, unauthorized))
 }
 
-/// The same by what this entry knows now.
+/// Authenticates a call with the configuration that this entry knows now.
 ///
 /// # Errors
 ///
-/// Tells why the call is not let in, where that is for its key.
+/// Returns the reason if the caller is not authorized because of its key.
 fn authenticate_now(node: &Node, head: &RequestHead) -> Result<Authentication, Unauthorized> {
     let in_force = node.in_force.borrow();
     let Some(config) = in_force.config() else {
@@ -180,12 +183,13 @@
     }))
 }
 
-/// The answer to a call that is not let in for its key. Nothing of it has run.
+/// Creates the response to a caller that is not authorized. Nothing of the call has been carried
+/// out.
 fn reject_unauthorized(node: &Node, head: &RequestHead, unauthorized: Unauthorized) -> Reply {
     let reason = unauthorized.reason();
     let version = node.in_force.borrow().version();
     node.metrics.barred(reason);
-    info!(method = %head.method, path = head.path, reason, version, "not let in");
+    info!(method = %head.method, path = head.path, reason, version, "caller is not authorized");
     let body = serde_json::json!({ "error": reason }).to_string();
     let mut reply = reply(StatusCode::UNAUTHORIZED, body);
     let scheme = HeaderValue::from_static(SCHEME);
@@ -193,7 +197,7 @@
     reply
 }
 
-/// What a call asks for, by its method, path and body.
+/// Operation that a call requests, according to its method, path and body.
 enum Operation {
     Submit(JobId, JobSpec),
     Cancel(JobId),
@@ -202,7 +206,8 @@
 }
 
 impl Operation {
-    /// The same as it is put to the owner; a job that is handed in takes what its queue says now.
+    /// Converts the operation to a request for the owner. A submitted job takes the current
+    /// settings of its queue.
     fn for_owner(&self, admitted: &Admitted) -> CallerOperation {
         match self {
             Operation::Submit(id, spec) => CallerOperation::Submit {
@@ -216,11 +221,12 @@
     }
 }
 
-/// Reads what a call asks for.
+/// Reads the requested operation.
 ///
 /// # Errors
 ///
-/// Fails with the answer for its caller where the path is no job's, there is no such method, or the body is odd.
+/// Fails with the response to the caller if the path is not that of a job, the method is not
+/// supported, or the body is not valid.
 async fn read_operation(
     head: &RequestHead,
     admitted: &Admitted,
@@ -241,34 +247,34 @@
     }
 }
 
-/// Reads what a job is to do.
+/// Reads the specification of a job.
 ///
 /// # Errors
 ///
-/// Fails with the answer for its caller where the body is too long or odd.
+/// Fails with the response to the caller if the body is too large or not valid.
 async fn read_spec(id: JobId, body: Incoming) -> Result<JobSpec, Reply> {
     let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         return Err(reply(StatusCode::PAYLOAD_TOO_LARGE, ""));
     };
     decode_spec(&body.to_bytes()).map_err(|why| {
-        info!(job = format!("{id:016x}"), why, "not taken");
+        info!(job = format!("{id:016x}"), why, "the job is not valid");
         let body = serde_json::json!({ "error": why }).to_string();
         reply(StatusCode::BAD_REQUEST, body)
     })
 }
 
-/// Decodes what a job is to do.
+/// Decodes the specification of a job.
 ///
 /// # Errors
 ///
-/// Says what is wrong with it, for its caller.
+/// Fails with a message for the caller that says what is not valid.
 fn decode_spec(body: &Bytes) -> Result<JobSpec, String> {
     let spec = read_job(body).map_err(|error| error.to_string())?;
     spec.check().map_err(|error| error.to_string())?;
     Ok(spec)
 }
 
-/// A job as it is handed in to a queue.
+/// Creates the submission of a job to a queue.
 fn submission(admitted: &Admitted, id: JobId, spec: JobSpec) -> Submission {
     let queue = &admitted.queue;
     let workspace = match &admitted.caller {
--- a/crates/havenladder/src/entry/callers/mod.rs
+++ b/crates/havenladder/src/entry/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Takes the calls of consumers and of the platform's balancer.
+//! Serves the calls of consumers, and the readiness checks of the platform's balancer.
 
 mod call;
 mod owner_request;
@@ -19,24 +19,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::warn;
 
-/// When a caller that was refused is to come back, in seconds: an owner is found within 3.
+/// Time in s after which a refused caller shall retry. A new owner is found within 3 s.
 const RETRY_AFTER: &str = "1";
 
-/// Takes the connections of consumers.
+/// Serves the connections of consumers.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
-    let failed = |error| warn!(%error, "no connection of a caller could be taken");
+    let failed = |error| warn!(%error, "cannot accept a connection of a caller");
     accept_each(listener, failed, |stream| serve(Rc::clone(&node), stream)).await;
 }
 
-/// Serves a caller; when the process is to stop, the request under way is the last.
+/// Serves the connection of a caller. When the process is told to stop, the request in progress is
+/// the last one.
 async fn serve(node: Rc<Node>, stream: TcpStream) {
-    // Without this, answers are only slower.
+    // An error is ignored, since it only makes responses slower.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| count(Rc::clone(&node), request));
     let builder = http1::Builder::new().timer(TokioTimer::new()).clone();
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     tokio::select! {
-        // A caller that breaks off is met in its request.
+        // A broken connection needs no handling here, since the request of the caller ends with it.
         _ = connection.as_mut() => return,
         () = node.stop.notified() => {}
     }
@@ -56,17 +57,18 @@
     Ok(reply)
 }
 
-/// Answers whether the entry takes callers.
+/// Serves the readiness checks.
 pub async fn listen_ready(node: Rc<Node>, listener: TcpListener) {
-    let answer = |stream| {
+    let serve = |stream| {
         let node = Rc::clone(&node);
         listen::serve(stream, move |_| ready(Rc::clone(&node)))
     };
-    // The balancer asks again every second.
-    accept_each(listener, drop, answer).await;
+    // A failed accept needs no log line, since the balancer asks again every second.
+    accept_each(listener, drop, serve).await;
 }
 
-/// Whether the entry takes callers: it has a configuration, is not cut off and is not to stop.
+/// Responds whether the entry serves callers: it has a configuration, is not cut off and is not
+/// stopping.
 async fn ready(node: Rc<Node>) -> Reply {
     let ready = node.config().is_some() && !node.cut_off.get() && !node.stopping.get();
     let status = if ready {
@@ -77,7 +79,7 @@
     reply(status, "")
 }
 
-/// A reply in JSON; one that asks the caller to come back says when.
+/// Creates a response in JSON. One that is temporarily unavailable says when to retry.
 fn reply(status: StatusCode, body: impl Into<Bytes>) -> Reply {
     let body = body.into();
     let mut response = Response::new(Full::new(body));
--- a/crates/havenladder/src/entry/callers/owner_request.rs
+++ b/crates/havenladder/src/entry/callers/owner_request.rs
@@ -1,4 +1,5 @@
-//! Puts what a caller wants to the owner, wherever it is, and writes the answer.
+//! Forwards a caller's request to the owner, wherever it is, and creates the response to the
+//! caller.
 
 use super::reply;
 use crate::entry::{
@@ -19,39 +20,43 @@
 use tokio::time;
 use tracing::info;
 
-/// Part of the caller's time after which an entry gives a request up that no owner has answered: the rest
-/// is for the way back, and for another try at another entry. Under half, so that one more try fits.
+/// Share of the caller's time after which an entry abandons a request that no owner has answered.
+/// The rest is for the response and for another attempt at another entry. It is less than half, so
+/// that one more attempt fits.
 const WAIT_SHARE: f64 = 0.4;
 
-/// What is kept of that time for the owner's answer to come back: 2 to 10 ms as a rule, several times that
-/// while the owner is busy. An owner that gives a job back later than its entry waits would do so in vain.
+/// Time reserved for the owner's response to arrive. It usually takes 2 to 10 ms, and several times
+/// that while the owner is busy. Without the reserve, an owner could withdraw a job after its entry
+/// has stopped waiting, which would be in vain.
 const RESPONSE_RESERVE: Duration = Duration::from_millis(100);
 
-/// Time until an owner that was not there is looked for again.
+/// Delay before a request is sent again to an owner that was not found.
 const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// The longest time after which a caller is told to come back, in seconds: what waits then is not known now.
+/// Maximum time in s after which a caller is told to retry. What will be waiting later than that is
+/// not known now.
 const MAX_RETRY_AFTER: u64 = 10;
 
-/// How long a configuration that the owner knows may be on its way here before this entry looks for it: a large one takes
-/// 0.2 s on the weakest entries' links.
+/// Time for which a configuration that the owner knows may be in transit before this entry requests
+/// it. A large one takes 0.2 s on the weakest entries' links.
 const CONFIG_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What became of a question to the owner.
+/// Outcome of a request to the owner.
 pub(super) enum OwnerReply {
-    /// The answer for the caller.
+    /// The response to the caller.
     Final(Reply),
-    /// The owner knows a newer configuration, which this entry knows now as well: the call is to be judged anew.
+    /// The owner knows a newer configuration, which this entry has received since. The call has to
+    /// be authenticated again.
     Outdated {
-        /// Whether it may have been done before, by the configuration that was in force then.
+        /// Whether the operation may have been carried out before, under the earlier configuration.
         may_have_run: bool,
     },
 }
 
-/// Puts a question to the owner, wherever it is, until the caller's time gets short; a suspension of the machine
-/// counts.
+/// Sends a request to the owner, wherever it is, until the caller's time runs short. A suspension
+/// of the machine counts towards that time.
 ///
-/// `sent` says whether the same may have been done before.
+/// `may_have_run` tells whether the operation may have been carried out before.
 pub(super) async fn request_owner(
     node: &Rc<Node>,
     request: CallerRequest,
@@ -59,12 +64,12 @@
     deadline: Instant,
 ) -> OwnerReply {
     tokio::select! {
-        answer = request_until(node, request, may_have_run, deadline) => answer,
+        response = request_until(node, request, may_have_run, deadline) => response,
         never = suspension::check_periodically(node) => match never {},
     }
 }
 
-/// The same, as far as waits are ended that a suspension has outlasted.
+/// Does the same, but relies on [`suspension::check`] to end waits that a suspension has outlasted.
 async fn request_until(
     node: &Rc<Node>,
     mut request: CallerRequest,
@@ -78,8 +83,8 @@
         request.set_left(left.saturating_sub(RESPONSE_RESERVE));
         let response = match node.as_owner() {
             Some(owner) => {
-                let answer = timer::timeout_at(abandon_at, owner.handle(request.clone())).await;
-                answer.unwrap_or(PeerResponse::Unsure)
+                let response = timer::timeout_at(abandon_at, owner.handle(request.clone())).await;
+                response.unwrap_or(PeerResponse::Unsure)
             }
             None if node.cut_off.get() => {
                 return OwnerReply::Final(close_connection(&request, may_have_run));
@@ -107,8 +112,8 @@
     }
 }
 
-/// Waits until this entry knows a version of the configuration; false if it does not in time. It is on its way as a rule:
-/// only where it does not come does the entry look for it.
+/// Waits until this entry knows a version of the configuration, and returns false if it does not in
+/// time. The version is usually in transit, so that it is only requested if it does not arrive.
 async fn wait_for_version(node: &Rc<Node>, version: Version, until: Instant) -> bool {
     let refresh_at = Instant::now() + CONFIG_ARRIVAL_TIMEOUT;
     while node.in_force.borrow().version() < version {
@@ -124,7 +129,7 @@
     true
 }
 
-/// Puts a question to the entry that owns the cell.
+/// Sends a request to the entry that owns the cell.
 async fn forward(node: &Rc<Node>, request: &CallerRequest, deadline: Instant) -> PeerResponse {
     let lease = node.lease.borrow().clone();
     let Some(lease) =
@@ -132,13 +137,13 @@
     else {
         return PeerResponse::NotOwner;
     };
-    let ask = PeerRequest::Caller(Box::new(request.clone()));
-    let answer = tokio::select! {
-        answer = peer::call(node, &lease.address, &ask, deadline) => answer,
+    let peer_request = PeerRequest::Caller(Box::new(request.clone()));
+    let response = tokio::select! {
+        response = peer::call(node, &lease.address, &peer_request, deadline) => response,
         () = node.reach_changed.notified() => Err(CallError::Unanswered),
         () = wait_until_replaced(node, lease.incarnation) => Err(CallError::Unanswered),
     };
-    match answer {
+    match response {
         Ok(response) => {
             node.suspected_owner.set(None);
             response
@@ -158,8 +163,8 @@
     }
 }
 
-/// Waits until an owner has been replaced, and for as long again as an answer that is on its way takes: one that stands still
-/// answers nobody, while the next one may do so in time.
+/// Waits until an owner has been replaced, and then for as long as a response in transit may take.
+/// An owner that is paused answers nobody, while the next one may answer in time.
 async fn wait_until_replaced(node: &Node, incarnation: IncarnationId) {
     loop {
         let changed = node.lease_changed.notified();
@@ -172,8 +177,8 @@
     time::sleep(RESPONSE_RESERVE).await;
 }
 
-/// The owner's port refuses connections. Where it does so twice in a row, 40 ms apart, its process has
-/// ended, and nobody needs to wait for its lease to run out.
+/// Suspects an owner whose port refuses connections. If it does so twice in a row, 40 ms apart, its
+/// process has ended, and its lease may be claimed before it expires.
 fn suspect_owner(node: &Node, incarnation: IncarnationId) {
     if node.suspected_owner.replace(Some(incarnation)) == Some(incarnation)
         && node.ended_owner.get() != Some(incarnation)
@@ -184,21 +189,22 @@
     }
 }
 
-/// What follows from the owner's answer.
+/// Next step after a response of the owner.
 enum NextStep {
-    /// This is the answer for the caller.
+    /// Send this response to the caller.
     Reply(Reply),
-    /// The caller is told that the job is not taken, or, where it may be, that this is not known.
+    /// Tell the caller that the request is refused, or that its outcome is not known if it may have
+    /// been carried out.
     Refuse,
-    /// The call is to be judged by this version of the configuration.
+    /// Authenticate the call with this version of the configuration.
     Reauthenticate(Version),
-    /// The owner has to be asked again.
+    /// Send the request to the owner again.
     Retry,
 }
 
-/// What follows from the owner's answer; `sent` says whether the same may have been done before. A reason for which a job is
-/// not taken says that nothing of it runs: that is not certain after an attempt without an answer, which may still be
-/// carried out.
+/// Returns the next step after a response of the owner. `may_have_run` tells whether the operation
+/// may have been carried out before. A reason for rejecting a job implies that nothing of it runs,
+/// which is not certain after an attempt without a response, since that may still be carried out.
 fn next_step(response: &PeerResponse, may_have_run: bool) -> NextStep {
     match response {
         PeerResponse::Accepted | PeerResponse::Cancelled => {
@@ -228,8 +234,9 @@
     }
 }
 
-/// The answer to a job for which there is no room in time: when to come back. Callers that were told at one moment are
-/// spread over as long again, so that they do not all come for the room that one of them can have.
+/// Creates the response to a job for which there is no capacity in time, with the time after which
+/// to retry. That time is spread at random up to twice its value, so that callers that were
+/// rejected together do not all return for the capacity that one of them can have.
 fn reject(ms: u64) -> Reply {
     let spread = rand::random_range(0..=ms);
     let seconds = (ms + spread).div_ceil(1_000).clamp(1, MAX_RETRY_AFTER);
@@ -243,7 +250,8 @@
     reply
 }
 
-/// The answer of an entry that is cut off: the caller is to connect anew, to an entry that is not.
+/// Creates the response of an entry that is cut off. The caller shall connect again, to another
+/// entry.
 fn close_connection(request: &CallerRequest, may_have_run: bool) -> Reply {
     let mut reply = refuse(request, may_have_run);
     let close = header::HeaderValue::from_static("close");
@@ -251,7 +259,8 @@
     reply
 }
 
-/// A job that may have been kept is never said to be refused.
+/// Creates the response to a request that could not be completed. A job that may have been accepted
+/// is never reported as refused.
 fn refuse(request: &CallerRequest, may_have_run: bool) -> Reply {
     info!(ask = %request, sent = may_have_run, "given up");
     let status = if may_have_run {
