--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -1,4 +1,4 @@
-//! The log of the lease's records: reading on, what the newest record says, and appending one.
+//! Reads the log of the lease's records, applies the newest one and appends new ones.
 
 use crate::entry::{
     lease_record::{TOPIC, append},
@@ -14,48 +14,49 @@
 use tokio::time;
 use tracing::{info, warn};
 
-/// Time until the store is asked again after it did not answer.
+/// Delay before the store is called again after it did not answer.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How far this entry has read the lease's records.
+/// State of the lease's log, as far as this entry has read it.
 pub(super) struct Log {
-    /// The end of the log, as far as it was read.
+    /// End of the log, as far as it was read.
     pub(super) end: Offset,
-    /// When this entry may claim, and from whom it should.
+    /// Decides when this entry may claim the lease, and from whom it should request the cell.
     pub(super) election: Tenure,
-    /// Which life of an entry has written the newest record, and whether it gave the cell up with it.
+    /// Incarnation that wrote the newest record, and whether it released the cell with it.
     pub(super) holder: Option<(IncarnationId, bool)>,
-    /// When a renewal of the current owner was last read.
+    /// Time at which a renewal of the current owner was last read.
     pub(super) last_renewal: Option<Instant>,
-    /// When the store last did not answer.
+    /// Time at which the store last did not answer.
     pub(super) last_outage: Option<Instant>,
-    /// What was known of the owner when this entry last claimed.
+    /// State of the owner at the last claim of this entry.
     pub(super) predecessor: Predecessor,
-    /// For which place this entry last sent a record, and since when.
+    /// Offset for which this entry last sent a record, and the time since which it has done so.
     pub(super) first_sent: Option<FirstSent>,
 }
 
 impl Log {
-    /// The earliest moment at which the log can have taken its newest record, if this entry sent it.
+    /// Returns the earliest time at which the log can have accepted its newest record, if this
+    /// entry sent it.
     pub(super) fn earliest_append(&self) -> Option<Instant> {
         let offset = self.end.checked_sub(1)?;
         self.first_sent.and_then(|sent| sent.earliest(offset))
     }
 }
 
-/// What a read of the lease's records found.
+/// Result of a read of the lease's records.
 pub(super) enum ReadOutcome {
-    /// New records.
+    /// There are new records.
     Records,
-    /// None, and the store answered.
+    /// There are no new records, and the store answered.
     Nothing,
-    /// The store was not asked: there is news of another kind.
+    /// The store was not called, since there was an update of another kind.
     NotRead,
     /// The store did not answer.
     Failed,
 }
 
-/// Reads on and takes in what the newest record says.
+/// Reads the next records and applies the newest one.
 pub(super) async fn read(node: &Node, log: &mut Log, wait: Duration) -> ReadOutcome {
     let read = store_calls::read(node, TOPIC, log.end, wait).await;
     if read.is_ok() {
@@ -81,7 +82,7 @@
     }
 }
 
-/// Waits for the next records: those that the entry tells that this one follows, or those that it reads.
+/// Waits for the next records, either from the entry that this one follows or from the store.
 pub(super) async fn next(node: &Node, log: &mut Log, wait: Duration) -> ReadOutcome {
     if wait.is_zero() || !node.replication.follows() {
         return read(node, log, wait).await;
@@ -93,12 +94,12 @@
     match time::timeout(wait, update).await {
         Ok(()) if apply_received(node, log) => ReadOutcome::Records,
         Ok(()) => ReadOutcome::NotRead,
-        // It is time to claim, if the log has nothing newer.
+        // The lease may be claimed now, unless the log has a newer record.
         Err(_) => read(node, log, Duration::ZERO).await,
     }
 }
 
-/// Takes in what another entry has told of the lease; false if that is nothing new.
+/// Applies the lease that another entry has sent. Returns false if it is not newer.
 fn apply_received(node: &Node, log: &mut Log) -> bool {
     let end = node.lease_end.get();
     let lease = node.lease.borrow().clone();
@@ -112,16 +113,16 @@
     true
 }
 
-/// Takes note that the owner has written a record.
+/// Records that the owner has written a record.
 fn record_owner_contact(node: &Node, log: &mut Log, now: Instant) {
     log.last_renewal = Some(now);
     node.update_reach(|reach| reach.note_renewal(now));
-    // Whoever writes here lives, whatever its port did behind a cut.
+    // An owner that writes is alive, whatever its port did during a network partition.
     node.ended_owner.set(None);
     node.suspected_owner.set(None);
 }
 
-/// Takes in new records, of which the last one counts.
+/// Applies new records, of which only the last one counts.
 fn apply_records(node: &Node, log: &mut Log, records: &[Bytes]) {
     let now = Instant::now();
     log.end += records.len() as Offset;
@@ -131,12 +132,12 @@
         .map(|record| rmp_serde::from_slice::<Lease>(record))
     {
         Some(Ok(lease)) => apply_lease(node, log, lease, now),
-        Some(Err(error)) => warn!(%error, "a record of the lease cannot be read"),
+        Some(Err(error)) => warn!(%error, "cannot decode a record of the lease"),
         None => {}
     }
 }
 
-/// Takes in who owns the cell, unless something newer is known.
+/// Sets the owner of the cell, unless a newer record is known.
 pub fn set_lease(node: &Node, lease: Lease, end: Offset) {
     if end < node.lease_end.replace(end.max(node.lease_end.get())) {
         return;
@@ -152,20 +153,20 @@
         life = lease.incarnation,
         end,
         released = lease.released,
-        "owner seen"
+        "ownership has changed"
     );
-    // Whether it answers is not known yet.
+    // It is not known yet whether the new owner answers.
     node.update_reach(fleet::Reach::note_owner);
     node.lease_changed.notify_waiters();
 }
 
-/// Takes in a record of the lease, read or appended at `now`.
+/// Applies a record of the lease, which was read or appended at `now`.
 pub(super) fn apply_lease(node: &Node, log: &mut Log, lease: Lease, now: Instant) {
     update_election(log, &lease, now);
     set_lease(node, lease, log.end);
 }
 
-/// Takes note of who has the lease.
+/// Updates the election with the holder of the lease.
 fn update_election(log: &mut Log, lease: &Lease, now: Instant) {
     log.election.note_record(lease.cpu, now);
     let known = log.holder.replace((lease.incarnation, lease.released));
@@ -174,17 +175,19 @@
     }
 }
 
-/// What came of a record that was to be appended.
+/// Outcome of an append to the lease's log.
 pub(super) enum WriteOutcome {
-    /// It is in the log.
+    /// The record is in the log.
     Done,
-    /// The log has another record of this entry in its place: an earlier call took it, whose answer was lost.
+    /// The log has another record of this entry at the offset, from an earlier call whose response
+    /// was lost.
     AlreadyWritten,
-    /// Another entry has written, or it is not known what came of it.
+    /// Another entry has written a record, or the outcome is not known.
     Unconfirmed,
 }
 
-/// Appends a record to the end of the log as far as it was read, and takes in what the log has there.
+/// Appends a record at the end of the log as far as it was read, and applies what the log contains
+/// there.
 pub(super) async fn write(node: &Node, log: &mut Log, lease: Lease) -> WriteOutcome {
     let offset = log.end;
     log.first_sent = Some(FirstSent::note(log.first_sent, offset, Instant::now()));
@@ -206,7 +209,7 @@
     }
 }
 
-/// Whether the newest record is of this life of the entry.
+/// Returns whether the newest record was written by this incarnation of the entry.
 fn is_own(node: &Node) -> bool {
     let lease = node.lease.borrow();
     lease
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -1,9 +1,10 @@
-//! Who owns the cell: a lease in the log.
+//! Ownership of the cell, which is a lease in the log.
 //!
-//! The owner appends a record every [`RENEW`]; each entry reads them. One that has read none for
-//! [`fleet::EXPIRY`], while the store answered, appends its own on the condition that nobody else has.
-//! The record's offset is the new owner's epoch, which fences its appends and its orders. When to claim
-//! is decided in [`Tenure`]; this module reads, claims, renews and releases.
+//! The owner appends a record every [`RENEWAL_INTERVAL`], and each entry reads the records. An
+//! entry that has read none for [`fleet::EXPIRY`], while the store answered, appends its own on the
+//! condition that no other entry has. The offset of the record is the new owner's epoch, which
+//! fences its appends and its orders. [`Tenure`] decides when to claim the lease. This module
+//! reads, claims, renews and releases it.
 
 mod log;
 mod relay;
@@ -24,26 +25,28 @@
 use tokio::{task, time};
 use tracing::info;
 
-/// How often the owner renews. Three renewals fit into [`fleet::EXPIRY`], so that two may be lost.
+/// Interval between two renewals. Three renewals fit into [`fleet::EXPIRY`], so that two may be
+/// lost.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long a read waits at the most: what it then says of the store must not be older than the owner needs to renew its
-/// lease after the store's return.
+/// Maximum time for which a read waits. What it shows about the store must not be older than the
+/// time that the owner needs to renew its lease after an outage.
 const MAX_READ_HOLD: Duration = Duration::from_millis(1_000);
 
-/// How long a renewal may take until the owner asks others whether the store answers them: ten times what it takes.
+/// Duration of a renewal after which the owner asks other entries whether the store answers them:
+/// ten times the usual one.
 const SLOW_RENEWAL_THRESHOLD: Duration = Duration::from_millis(150);
 
-/// How long a read waits at the least: one that comes back at once would be repeated at once.
+/// Minimum time for which a read waits, since one that returns at once would be repeated at once.
 const MIN_READ_HOLD: Duration = Duration::from_millis(50);
 
-/// Time until the log is read again after a claim that was not confirmed.
+/// Delay before the log is read again after a claim that was not confirmed.
 const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long an owner may take to answer whether it hands the cell over; it takes some ms.
+/// Timeout of a request to hand the cell over, which usually takes some ms.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Follows the lease, claims it where it has lapsed, and renews it while this entry has it.
+/// Follows the lease, claims it once it has expired, and renews it while this entry holds it.
 pub async fn run(node: Rc<Node>) {
     let mut log = Log {
         end: 0,
@@ -59,7 +62,8 @@
         },
         first_sent: None,
     };
-    // The first read needs no wait: where there is no record yet, the first to claim has it.
+    // The first read does not wait. If there is no record yet, the first entry to claim gets the
+    // lease.
     let mut wait = Duration::ZERO;
     loop {
         let outcome = tokio::select! {
@@ -81,7 +85,7 @@
     }
 }
 
-/// Who holds the lease, as this entry sees it.
+/// Returns the holder of the lease, as this entry sees it.
 fn holder(node: &Node, log: &Log) -> Holder {
     match node.lease.borrow().as_ref() {
         None if log.end == 0 => Holder::Nobody,
@@ -92,7 +96,7 @@
         {
             Holder::EarlierLife
         }
-        // Its port refuses connections: its process has ended.
+        // Its port refuses connections, so that its process has ended.
         Some(lease) if node.ended_owner.get() == Some(lease.incarnation) => Holder::Ended,
         Some(_) if node.reach.get().is_owner_silent(Instant::now()) => Holder::Silent,
         Some(_) if node.reach.get().is_owner_heard(Instant::now()) => Holder::Answering,
@@ -100,7 +104,7 @@
     }
 }
 
-/// When this entry may claim the lease; one that is to stop does not.
+/// Returns when this entry may claim the lease. An entry that is stopping does not claim it.
 fn next_claim(node: &Node, log: &mut Log) -> Claim {
     let now = Instant::now();
     if node.stopping.get() {
@@ -110,7 +114,8 @@
     log.election.next(holder, now)
 }
 
-/// How long the next read waits: not at all where only the log has to be asked before a claim.
+/// Returns how long the next read waits. It does not wait if only the log has to be read before a
+/// claim.
 fn next_read_hold(node: &Node, log: &mut Log) -> Duration {
     match next_claim(node, log) {
         Claim::Now => Duration::ZERO,
@@ -121,8 +126,8 @@
     }
 }
 
-/// Asks an owner that is much weaker than this entry to hand the cell over. Whether it does shows in
-/// the log.
+/// Requests the cell from an owner that is much weaker than this entry. The log shows whether that
+/// owner releases it.
 fn request_hand_over(node: &Rc<Node>, log: &Log) {
     let now = Instant::now();
     let lease = node.lease.borrow().clone();
@@ -135,17 +140,17 @@
     };
     let node = Rc::clone(node);
     task::spawn_local(async move {
-        let answer = peer::call(&node, &other.address, &request, now + HAND_OVER_TIMEOUT).await;
+        let response = peer::call(&node, &other.address, &request, now + HAND_OVER_TIMEOUT).await;
         info!(
             owner = other.node,
             cpu = other.cpu,
-            ?answer,
-            "asked a weaker owner to hand over"
+            answer = ?response,
+            "requested the cell from a weaker owner"
         );
     });
 }
 
-/// The record with which this entry claims, renews or releases the lease.
+/// Returns the record by which this entry claims, renews or releases the lease.
 fn record(node: &Node, released: Option<Duration>) -> Lease {
     Lease {
         node: node.settings.node.clone(),
@@ -163,19 +168,19 @@
     }
 }
 
-/// What is known of the owner before the one that claims now.
+/// Returns what is known of the owner before the one that claims now.
 fn predecessor(node: &Node, log: &Log) -> Predecessor {
     let lease = node.lease.borrow();
-    let told = match lease.as_ref() {
+    let announcement = match lease.as_ref() {
         Some(lease) if lease.unrecorded => Told::Unrecorded,
         Some(lease) if lease.released => Told::None,
         Some(_) | None => Told::NoneThen,
     };
-    let trouble = fleet::trouble(told, log.last_outage, node.began, Instant::now());
+    let trouble = fleet::trouble(announcement, log.last_outage, node.began, Instant::now());
     let released = lease.as_ref().filter(|lease| lease.released);
     Predecessor {
-        // An owner that gave the cell up extends no more leases, but the one before it may be cut off
-        // and go on: it has told for how long.
+        // An owner that released the cell extends no more leases. An owner before it may be cut off
+        // and still do so, and the record of the release says for how long.
         renewed: log.last_renewal.filter(|_| released.is_none()),
         waits: Duration::from_millis(released.map_or(0, |lease| lease.inherited_lease_ms)),
         trouble,
@@ -183,10 +188,10 @@
     }
 }
 
-/// Claims the lease, on the condition that nobody else has.
+/// Claims the lease, on the condition that no other entry has.
 async fn claim(node: &Node, log: &mut Log) {
     log.predecessor = predecessor(node, log);
-    // An owner that ends before it has met the workers leaves them to the next one.
+    // If this owner ends before it has contacted the workers, the next one has to do so.
     let lease = Lease {
         unrecorded: log.predecessor.trouble != Trouble::None,
         unrecorded_orders: log.predecessor.orders,
@@ -194,12 +199,12 @@
     };
     match write(node, log, lease).await {
         WriteOutcome::Done | WriteOutcome::AlreadyWritten => {}
-        // Another was first, or the answer was lost: the next read tells.
+        // Another entry was first or the response was lost, which the next read shows.
         WriteOutcome::Unconfirmed => time::sleep(CLAIM_RETRY_INTERVAL).await,
     }
 }
 
-/// Whether the newest record says that this life of the entry owns the cell.
+/// Returns whether this incarnation of the entry owns the cell according to the newest record.
 fn holds_lease(node: &Node) -> bool {
     let lease = node.lease.borrow();
     lease
@@ -207,17 +212,17 @@
         .is_some_and(|lease| lease.incarnation == node.incarnation && !lease.released)
 }
 
-/// What an owner does about its lease next.
+/// Next step of an owner regarding its lease.
 enum Step {
-    /// It renews it.
+    /// Renew the lease.
     Renew,
-    /// It gives the cell up, and why.
+    /// Release the cell, for this reason.
     Release(&'static str),
-    /// It has met a newer owner.
+    /// End, since there is a newer owner.
     Lost,
 }
 
-/// Chooses what an owner does about its lease now.
+/// Returns the next step of an owner regarding its lease.
 fn next_step(node: &Node, owner: &Owner) -> Step {
     if !owner.is_alive() {
         return Step::Lost;
@@ -226,15 +231,15 @@
         return Step::Release("the process stops");
     }
     if !owner.relays.borrow().is_empty() {
-        return Step::Release("the store answers others, not this entry");
+        return Step::Release("the store answers other entries but not this one");
     }
     match owner.successor.get() {
-        Some(_) => Step::Release("a stronger entry asks for the cell"),
+        Some(_) => Step::Release("a stronger entry requested the cell"),
         None => Step::Renew,
     }
 }
 
-/// Waits until an owner is to look at its lease: a renewal is due, or something has come up before.
+/// Waits until the next step is due: at the next renewal, or earlier if the owner is notified.
 async fn wait_until_step_due(node: &Node, owner: &Owner) {
     let wait = if owner.is_alive() {
         RENEWAL_INTERVAL
@@ -248,9 +253,10 @@
     }
 }
 
-/// Owns the cell until the lease is lost or given up.
+/// Owns the cell until the lease is lost or released.
 async fn hold_lease(node: &Rc<Node>, log: &mut Log) {
-    // One that cannot tell since when others may have read its record relies on the next renewal.
+    // If it is not known since when others may have read the record, the owner relies on the next
+    // renewal, and takes the start of the process as the time of the last one.
     let since = log.earliest_append().unwrap_or(node.began);
     let owner = own_cell::start(node, log.end, log.predecessor, since);
     loop {
@@ -259,7 +265,7 @@
         match next_step(node, &owner) {
             Step::Renew => tokio::select! {
                 () = renew(node, log, &owner) => {}
-                // A renewal that the store does not answer takes 1.5 s.
+                // A renewal that the store does not answer takes 1.5 s, so that it is interrupted.
                 () = owner.relays_known.notified() => {}
                 never = check_outage_while_waiting(&owner) => match never {},
             },
@@ -276,7 +282,7 @@
     }
 }
 
-/// Finds out why a renewal takes long.
+/// Checks periodically, while a renewal is slow, whether there is a store outage.
 async fn check_outage_while_waiting(owner: &Rc<Owner>) -> Infallible {
     loop {
         time::sleep(SLOW_RENEWAL_THRESHOLD).await;
@@ -284,10 +290,11 @@
     }
 }
 
-/// Gives the cell up, so that nobody waits for the lease to run out, however often it takes. Where a
-/// stronger entry has asked for it, entries that are much weaker leave it to others for a moment.
+/// Releases the cell, retrying as often as needed, so that no entry has to wait until the lease
+/// expires. After a release for a stronger entry, much weaker entries leave the cell to others for
+/// a moment.
 async fn release(node: &Node, log: &mut Log, owner: &Owner, why: &str) {
-    // What is known of its runs is told as of now: an owner that has ended knows nothing.
+    // The state of its runs is read before the owner ends, since an ended owner has none.
     let released = Lease {
         cpu: owner.successor.get().unwrap_or(node.settings.cpu),
         unrecorded: owner.has_unrecorded_runs(),
@@ -296,8 +303,9 @@
     };
     owner.end(why);
     relay::release_through(node, &owner.relays.take(), &released).await;
-    // Only this record says what the next owner must look for: an owner that began anew in this process would know
-    // nothing of it, and release the cell without.
+    // Only this record tells the next owner what to look for. If this process owned the cell again
+    // without it, the new owner would not know of these runs and would release the cell without
+    // mentioning them.
     while holds_lease(node) {
         if let WriteOutcome::Unconfirmed = write(node, log, released.clone()).await {
             time::sleep(RETRY_INTERVAL).await;
@@ -305,12 +313,12 @@
     }
 }
 
-/// A newer owner was met before its record was read.
+/// Forgets the owner, after the cell was lost to a newer one whose record has not been read yet.
 fn forget_owner(node: &Node) {
     *node.lease.borrow_mut() = None;
 }
 
-/// Renews the lease, once.
+/// Renews the lease once.
 async fn renew(node: &Node, log: &mut Log, owner: &Owner) {
     let sent = Instant::now();
     owner.renewing.set(Some(sent));
