--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -52,7 +52,7 @@
     }
     raise_takeover_barrier(&owner, started_at.elapsed());
     owner.loaded.set(true);
-    owner.settled.notify_waiters();
+    owner.state_changed.notify_waiters();
     task::spawn_local(worker_list::run(Rc::clone(&owner)));
     task::spawn_local(fleet::run(Rc::clone(&owner)));
     task::spawn_local(vm_orders::watch_earlier_owners(Rc::clone(&owner)));
@@ -138,5 +138,5 @@
         }
     }
     owner.send(batch.starts);
-    owner.settled.notify_waiters();
+    owner.state_changed.notify_waiters();
 }
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -185,7 +185,7 @@
     /// Notified when something has changed in the cell.
     pub wake: Notify,
     /// Notified after the load, after each append, renewal or withdrawal, and when the owner ends.
-    pub settled: Notify,
+    pub state_changed: Notify,
 }
 
 impl Owner {
@@ -240,7 +240,7 @@
             unrecorded_announced_at: Cell::new(None),
             unrecorded_start_at: Cell::new(None),
             wake: Notify::new(),
-            settled: Notify::new(),
+            state_changed: Notify::new(),
         }
     }
 
@@ -285,7 +285,7 @@
             self.node.metrics.owned("lost");
             info!(epoch = self.epoch, why, "owns the cell no longer");
             self.wake.notify_one();
-            self.settled.notify_waiters();
+            self.state_changed.notify_waiters();
         }
     }
 
@@ -297,7 +297,7 @@
         }
         self.orders_announced.set(lease.unrecorded_orders);
         // Orders about VMs may have waited for the renewal.
-        self.settled.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     /// Returns whether runs may have been started without a record, or may be soon, so that the
--- a/crates/havenladder/src/entry/owner/requests.rs
+++ b/crates/havenladder/src/entry/owner/requests.rs
@@ -24,7 +24,7 @@
             if !self.is_alive() {
                 return PeerResponse::NotOwner;
             }
-            self.settled.notified().await;
+            self.state_changed.notified().await;
         }
         if let Some(version) = self.newer_config_version(&request) {
             return PeerResponse::Outdated(version);
@@ -181,7 +181,7 @@
         let job = format!("{id:016x}");
         info!(job, "withdrawn: nothing of the job was sent to the log");
         // Other requests may wait for the same job.
-        self.settled.notify_waiters();
+        self.state_changed.notify_waiters();
         // The next owner may still accept the job in time.
         if self.is_alive() {
             PeerResponse::Refused
@@ -232,13 +232,13 @@
     /// Waits until the phase of a job is durable, or can no longer become so.
     async fn wait_durable(&self, id: JobId) -> DurableOutcome {
         loop {
-            let settled = self.settled.notified();
+            let change = self.state_changed.notified();
             if !self.is_alive() {
                 return DurableOutcome::Ended;
             }
             match self.durable_outcome(id) {
                 Some(outcome) => return outcome,
-                None => settled.await,
+                None => change.await,
             }
         }
     }
--- a/crates/havenladder/src/entry/owner/vm_orders.rs
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -54,11 +54,11 @@
     async fn wait_until(&self, within: Duration, is_met: impl Fn() -> bool) -> bool {
         let until = Instant::now() + within;
         loop {
-            let settled = self.settled.notified();
+            let change = self.state_changed.notified();
             if is_met() {
                 return true;
             }
-            if !self.is_certain() || timer::timeout_at(until, settled).await.is_err() {
+            if !self.is_certain() || timer::timeout_at(until, change).await.is_err() {
                 return false;
             }
         }
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -241,7 +241,7 @@
             return;
         }
         // A timeout only means that nothing has become durable for so long.
-        let _ = time::timeout_at(until, owner.settled.notified()).await;
+        let _ = time::timeout_at(until, owner.state_changed.notified()).await;
     }
 }
 
