--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -7,10 +7,10 @@
     reply,
 };
 use crate::entry::{
-    follow::{FreshnessRequirement, ensure_fresh},
     in_force::{Caller, Unauthorized},
     listen::Reply,
     node::{Node, wall_ms},
+    operator_topic::{FreshnessRequirement, ensure_fresh},
     peer::{self, CallerOperation},
 };
 use adapter::{
--- a/crates/havenladder/src/entry/callers/mod.rs
+++ b/crates/havenladder/src/entry/callers/mod.rs
@@ -33,7 +33,7 @@
 async fn serve(node: Rc<Node>, stream: TcpStream) {
     // An error is ignored, since it only makes responses slower.
     let _ = stream.set_nodelay(true);
-    let service = service_fn(|request| count(Rc::clone(&node), request));
+    let service = service_fn(|request| serve_request(Rc::clone(&node), request));
     let builder = http1::Builder::new().timer(TokioTimer::new()).clone();
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     tokio::select! {
@@ -46,7 +46,7 @@
 }
 
 /// Answers a request and counts it.
-async fn count(node: Rc<Node>, request: Request<Incoming>) -> Result<Reply, Infallible> {
+async fn serve_request(node: Rc<Node>, request: Request<Incoming>) -> Result<Reply, Infallible> {
     node.in_flight.set(node.in_flight.get() + 1);
     let began = Instant::now();
     let method = request.method().clone();
--- a/crates/havenladder/src/entry/callers/owner_request.rs
+++ b/crates/havenladder/src/entry/callers/owner_request.rs
@@ -3,9 +3,9 @@
 
 use super::reply;
 use crate::entry::{
-    follow,
     listen::Reply,
     node::{IncarnationId, Node},
+    operator_topic,
     peer::{self, CallerRequest, PeerRequest, PeerResponse},
     suspension,
 };
@@ -122,7 +122,7 @@
             return false;
         }
         if now >= refresh_at {
-            follow::refresh_soon(node);
+            operator_topic::refresh_soon(node);
         }
         time::sleep(RETRY_INTERVAL).await;
     }
--- a/crates/havenladder/src/entry/mod.rs
+++ b/crates/havenladder/src/entry/mod.rs
@@ -7,7 +7,6 @@
 mod callers;
 mod ends;
 mod fleet;
-mod follow;
 mod in_force;
 mod lease;
 mod lease_record;
@@ -18,6 +17,7 @@
 mod metrics;
 mod moves;
 mod node;
+mod operator_topic;
 mod orders;
 mod outage;
 mod own_cell;
@@ -89,7 +89,7 @@
         "entry starts"
     );
     suspension::follow_test_clock();
-    tokio::task::spawn_local(follow::run(Rc::clone(&node)));
+    tokio::task::spawn_local(operator_topic::run(Rc::clone(&node)));
     tokio::task::spawn_local(lease::run(Rc::clone(&node)));
     tokio::task::spawn_local(replication_client::run(Rc::clone(&node)));
     tokio::task::spawn_local(reach::run(Rc::clone(&node)));
--- a/crates/havenladder/src/entry/owner/requests.rs
+++ b/crates/havenladder/src/entry/owner/requests.rs
@@ -2,8 +2,8 @@
 
 use super::Owner;
 use crate::entry::{
-    follow,
     in_force::Caller,
+    operator_topic,
     peer::{CallerOperation, CallerRequest, PeerResponse},
 };
 use adapter::operator::Version;
@@ -59,7 +59,7 @@
     fn newer_config_version(&self, request: &CallerRequest) -> Option<Version> {
         let version = self.node.in_force.borrow().version();
         if version < request.version {
-            follow::refresh_soon(&self.node);
+            operator_topic::refresh_soon(&self.node);
         }
         (version > request.version).then_some(version)
     }
--- a/crates/havenladder/src/entry/replication_client.rs
+++ b/crates/havenladder/src/entry/replication_client.rs
@@ -1,9 +1,9 @@
 //! Replicates from another entry, and finds a source if there is none.
 
 use super::{
-    follow,
     lease::set_lease,
     node::Node,
+    operator_topic,
     peer::{self, PeerRequest, PeerResponse},
     replication::{MAX_HOLD, Request, Response, Update},
 };
@@ -131,9 +131,9 @@
     match update.newest {
         Some(end) => {
             let newest = records.into_iter().filter_map(split_keyed).collect();
-            follow::apply_newest(node, newest, end);
+            operator_topic::apply_newest(node, newest, end);
         }
-        None => follow::apply_records(node, from.unwrap_or_default(), &records),
+        None => operator_topic::apply_records(node, from.unwrap_or_default(), &records),
     }
     node.replication.recent.borrow_mut().confirm(confirmed);
     confirmed.elapsed() <= STALE
