--- a/crates/havenladder/src/entry/callers/mod.rs
+++ b/crates/havenladder/src/entry/callers/mod.rs
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::warn;
 
-/// Time in s after which a refused caller shall retry. A new owner is found within 3 s.
+/// Time in s after which a refused caller should retry. A new owner is found within 3 s.
 const RETRY_AFTER: &str = "1";
 
 /// Serves the connections of consumers.
--- a/crates/havenladder/src/entry/callers/owner_request.rs
+++ b/crates/havenladder/src/entry/callers/owner_request.rs
@@ -87,7 +87,7 @@
                 response.unwrap_or(PeerResponse::Unsure)
             }
             None if node.cut_off.get() => {
-                return OwnerReply::Final(close_connection(&request, may_have_run));
+                return OwnerReply::Final(refuse_and_close(&request, may_have_run));
             }
             None => forward(node, &request, abandon_at).await,
         };
@@ -250,9 +250,9 @@
     reply
 }
 
-/// Creates the response of an entry that is cut off. The caller shall connect again, to another
+/// Creates the response of an entry that is cut off. The caller should connect again, to another
 /// entry.
-fn close_connection(request: &CallerRequest, may_have_run: bool) -> Reply {
+fn refuse_and_close(request: &CallerRequest, may_have_run: bool) -> Reply {
     let mut reply = refuse(request, may_have_run);
     let close = header::HeaderValue::from_static("close");
     reply.headers_mut().insert(header::CONNECTION, close);
--- a/crates/havenladder/src/entry/outage.rs
+++ b/crates/havenladder/src/entry/outage.rs
@@ -1,4 +1,4 @@
-//! Tells a store outage for all entries from an isolation of this entry.
+//! Distinguishes a store outage for all entries from an isolation of this one.
 //!
 //! An owner whose appends stall asks the entries that it knows whether the store answers them. If
 //! one in another data centre reports that it does not, and none reports that it does, then no
--- a/crates/havenladder/src/entry/owner/hall_drains.rs
+++ b/crates/havenladder/src/entry/owner/hall_drains.rs
@@ -7,8 +7,8 @@
 use tracing::info;
 
 impl Owner {
-    /// Applies the newest drain orders to the cell, unless they already are. Returns false while no
-    /// orders are known, in which case nothing may be started yet.
+    /// Applies the newest drain orders to the cell, unless it has them already. Returns false while
+    /// no orders are known, in which case nothing may be started yet.
     pub fn update_hall_drains(&self) -> bool {
         let in_force = self.node.in_force.borrow();
         let hall_drains = in_force.hall_drains();
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -98,12 +98,12 @@
 /// module that depends on this one.
 pub type SendOrders = fn(&Rc<Owner>, Vec<Order>);
 
-/// Maximum age of the last renewal with which an owner is certain enough for orders that two owners
-/// must not give in turn. It is shorter than [`fleet::EXPIRY`] by the possible delay of clocks and
-/// responses.
+/// Maximum age of the last renewal with which an owner is certain that no other entry owns the
+/// cell, as it has to be for orders that two owners must not both give. It is shorter than
+/// [`fleet::EXPIRY`] by the possible delay of clocks and responses.
 pub const CERTAIN_RENEWAL_AGE: Duration = Duration::from_millis(1_100);
 
-/// State of the previous owner, as far as it is known.
+/// State of the previous owner, as far as it is known. The log shows the fields under their names.
 #[derive(Clone, Copy, Debug)]
 pub struct Predecessor {
     /// Time at which its last record was read. `None` if there was no previous owner, or it has
@@ -139,13 +139,13 @@
     pub inherited_leases_until: Instant,
     /// Whether there was a store outage when this owner started.
     pub trouble: Trouble,
-    /// Last time at which an order about VMs was to be given without a record.
+    /// Time at which an order about VMs was last to be given without a record.
     unrecorded_order_at: Cell<Option<Instant>>,
     /// Whether the last renewal announced unrecorded orders about VMs.
     orders_announced: Cell<bool>,
     /// Time from which on this owner may give orders about VMs that the earlier owner may have
     /// given orders about. That owner did so for as long as its lease was certain, and two owners
-    /// must not give such orders in turn.
+    /// must not both give orders about a VM.
     pub inherited_orders_until: Instant,
     /// Earlier owners whose process is known to have ended.
     pub ended_owners: RefCell<HashSet<IncarnationId>>,
--- a/crates/havenladder/src/entry/owner/requests.rs
+++ b/crates/havenladder/src/entry/owner/requests.rs
@@ -65,8 +65,8 @@
     }
 
     /// Returns whether a caller may learn of a job. Only the job's workspace may, or a caller of
-    /// the queue that the job was submitted to, if that queue is open to all by now. To all others
-    /// the job does not exist.
+    /// the queue that the job was submitted to, if that queue is open to all now. To all others the
+    /// job does not exist.
     fn may_see(&self, caller: &Caller, queue: &str, id: JobId) -> bool {
         let cell = self.cell.borrow();
         let Some(job) = cell.jobs.get(&id) else {
--- a/crates/havenladder/src/entry/owner/vm_orders.rs
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -1,5 +1,5 @@
-//! Decides whether the owner may give orders about a VM now. Orders are recorded first, and must
-//! not alternate with those of the previous owner.
+//! Decides whether the owner may give orders about a VM now. The orders are recorded first, and the
+//! previous owner must no longer be able to give orders about the same VM.
 
 use super::Owner;
 use crate::entry::peer::{self, PeerRequest, PeerResponse};
--- a/crates/havenladder/src/entry/owner/workspaces.rs
+++ b/crates/havenladder/src/entry/owner/workspaces.rs
@@ -7,8 +7,8 @@
 use tracing::info;
 
 impl Owner {
-    /// Applies the bounds and weights of workspaces in the newest configuration, unless they
-    /// already are.
+    /// Applies the bounds and weights of workspaces in the newest configuration to the cell, unless
+    /// it has them already.
     pub fn update_workspaces(&self) {
         let in_force = self.node.in_force.borrow();
         let version = in_force.config().map(|config| config.version);
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -95,7 +95,7 @@
         /// End of the lease's log, as far as the requesting entry knows it.
         end: u64,
     },
-    /// Asks which source the requesting entry shall replicate from. Only the owner answers this.
+    /// Asks which source the requesting entry should replicate from. Only the owner answers this.
     #[serde(rename = "Place")]
     Assignment(Seeker),
     /// Asks for new records. The response is held back until there are some or the maximum hold
@@ -192,7 +192,7 @@
     /// State that is newer than what the requesting entry knows.
     #[serde(rename = "News")]
     Update(Update),
-    /// The source that the requesting entry shall replicate from.
+    /// The source that the requesting entry should replicate from.
     #[serde(rename = "Place")]
     Assignment(Source),
     /// The response to a follower.
--- a/crates/havenladder/src/entry/replication/mod.rs
+++ b/crates/havenladder/src/entry/replication/mod.rs
@@ -126,7 +126,7 @@
     /// There is an update.
     #[serde(rename = "News")]
     Update(Update),
-    /// The follower shall follow this entry instead.
+    /// The follower should follow this entry instead.
     #[serde(rename = "At")]
     Redirect(Address),
     /// The receiver knows too little itself.
