--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -1,16 +1,17 @@
-//! Reads a call: which queue it names, who makes it, and what is wanted. It is judged by the newest configuration that can
-//! be had: where the owner, or another entry, knows a newer one, it is judged anew.
+//! Reads a call: its queue, its caller and the requested operation. The caller is authenticated
+//! with the newest configuration that is available, and again if the owner or another entry knows a
+//! newer one.
 
 use super::{
-    ask::{Answer, ask},
+    owner_request::{OwnerReply, request_owner},
     reply,
 };
 use crate::entry::{
-    follow::{Reliance, make_sure},
-    in_force::{Barred, Caller},
-    inner::{self, Wish},
+    in_force::{Caller, Unauthorized},
     listen::Reply,
     node::{Node, wall_ms},
+    operator_topic::{FreshnessRequirement, ensure_fresh},
+    peer::{self, CallerOperation},
 };
 use adapter::{
     callers::{HEADER_DEADLINE, read_id, read_job},
@@ -30,141 +31,151 @@
 use tracing::info;
 use workspaces::{Authorization, read_authorization};
 
-/// The longest body of a job; the platform's pages name 262,144 bytes.
-const LONGEST: usize = 262_144;
+/// Maximum size of a job's body. The platform's documentation specifies 262,144 bytes.
+const MAX_BODY_BYTES: usize = 262_144;
 
-/// How long a caller waits if it does not say.
-const DEADLINE: Duration = Duration::from_millis(3_000);
+/// Time for which a caller waits if it does not specify any.
+const DEFAULT_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// What a call says, before its body is read.
-struct Head {
+/// Content of a request before its body is read.
+struct RequestHead {
     method: Method,
     host: String,
     path: String,
-    shown: Authorization,
-    /// When it came.
-    came: Instant,
-    /// Until when its caller waits.
+    authorization: Authorization,
+    /// Time at which the request arrived.
+    received_at: Instant,
+    /// Time until which the caller waits.
     deadline: Instant,
 }
 
-/// A call that is let in.
+/// Request of an authenticated caller.
 struct Admitted {
     queue: Queue,
     caller: Caller,
     version: Version,
-    /// What the path names behind the queue's prefix: a job's id, or nothing.
+    /// Remainder of the path after the queue's prefix: a job's id, or nothing.
     rest: String,
 }
 
-/// What becomes of a call before the owner is asked.
-enum Judged {
-    /// It is let in.
-    In(Admitted),
-    /// It is not, and this is why.
-    Out(Reply),
+/// Result of authentication, before the owner is asked.
+enum Authentication {
+    /// The call is admitted.
+    Admitted(Admitted),
+    /// The call is rejected with this response.
+    Rejected(Reply),
 }
 
-impl Head {
+impl RequestHead {
     fn read(request: &Request<Incoming>) -> Self {
-        let came = Instant::now();
+        let received_at = Instant::now();
         let headers = request.headers();
-        let shown = headers.get_all(header::AUTHORIZATION).into_iter();
-        Head {
+        let authorization = headers.get_all(header::AUTHORIZATION).into_iter();
+        RequestHead {
             method: request.method().clone(),
             host: text(headers, "host").to_owned(),
             path: request.uri().path().to_owned(),
-            shown: read_authorization(SCHEME, shown.map(|value| value.to_str().ok())),
-            came,
-            deadline: deadline(headers, came),
+            authorization: read_authorization(
+                SCHEME,
+                authorization.map(|value| value.to_str().ok()),
+            ),
+            received_at,
+            deadline: deadline(headers, received_at),
         }
     }
 }
 
-/// A header's text; empty if there is none.
+/// Returns the text of a header, or an empty one if there is none.
 fn text<'h>(headers: &'h HeaderMap, name: &str) -> &'h str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or("")
 }
 
-/// Until when the caller waits, by its header; one that asks for too long is not believed.
+/// Returns the time until which the caller waits, according to its header. The time is limited to
+/// 20 times the default.
 fn deadline(headers: &HeaderMap, now: Instant) -> Instant {
     let ms = text(headers, HEADER_DEADLINE)
         .parse()
-        .map_or(DEADLINE, Duration::from_millis);
-    now + ms.min(DEADLINE * 20)
+        .map_or(DEFAULT_TIMEOUT, Duration::from_millis);
+    now + ms.min(DEFAULT_TIMEOUT * 20)
 }
 
-/// Answers a request, by its queue, caller, method and job.
+/// Handles a request according to its queue, caller, method and job.
 pub(super) async fn handle(node: &Rc<Node>, request: Request<Incoming>) -> Reply {
-    let head = Head::read(&request);
-    if !make_sure(node, Reliance::Newest).await {
+    let head = RequestHead::read(&request);
+    if !ensure_fresh(node, FreshnessRequirement::Newest).await {
         info!(
             path = head.path,
             "refused: the configuration may be too old"
         );
         return reply(StatusCode::SERVICE_UNAVAILABLE, "");
     }
-    let mut admitted = match judge(node, &head).await {
-        Judged::In(admitted) => admitted,
-        Judged::Out(reply) => return reply,
+    let mut admitted = match authenticate(node, &head).await {
+        Authentication::Admitted(admitted) => admitted,
+        Authentication::Rejected(reply) => return reply,
     };
-    let wanted = match read_wanted(&head, &admitted, request.into_body()).await {
-        Ok(wanted) => wanted,
+    let operation = match read_operation(&head, &admitted, request.into_body()).await {
+        Ok(operation) => operation,
         Err(reply) => return reply,
     };
-    let mut unsure = false;
+    let mut may_have_run = false;
     loop {
-        let request = inner::Request {
+        let request = peer::CallerRequest {
             caller: admitted.caller.clone(),
             queue: admitted.queue.name.clone(),
             version: admitted.version,
-            wish: wanted.put(&admitted),
+            operation: operation.for_owner(&admitted),
         };
-        unsure = match ask(node, request, unsure, head.deadline).await {
-            Answer::Final(reply) => return reply,
-            Answer::Outdated { sent } => sent,
+        may_have_run = match request_owner(node, request, may_have_run, head.deadline).await {
+            OwnerReply::Final(reply) => return reply,
+            OwnerReply::Outdated { may_have_run } => may_have_run,
         };
-        match judge(node, &head).await {
-            Judged::In(anew) => admitted = anew,
-            // That it has not run would not be true for certain.
-            Judged::Out(_) if unsure => return reply(StatusCode::GATEWAY_TIMEOUT, ""),
-            Judged::Out(reply) => return reply,
+        match authenticate(node, &head).await {
+            Authentication::Admitted(again) => admitted = again,
+            // The operation may have been carried out, so that the response must not say that it
+            // was not.
+            Authentication::Rejected(_) if may_have_run => {
+                return reply(StatusCode::GATEWAY_TIMEOUT, "");
+            }
+            Authentication::Rejected(reply) => return reply,
         }
     }
 }
 
-/// Finds a call's queue and who makes it.
-async fn judge(node: &Rc<Node>, head: &Head) -> Judged {
-    let barred = match judge_now(node, head) {
-        Ok(judged) => return judged,
-        Err(barred) => barred,
+/// Finds the queue of a call and authenticates its caller.
+async fn authenticate(node: &Rc<Node>, head: &RequestHead) -> Authentication {
+    let unauthorized = match authenticate_now(node, head) {
+        Ok(authentication) => return authentication,
+        Err(unauthorized) => unauthorized,
     };
-    // This entry may only be behind: a key may be as new as the call.
-    if barred == Barred::Unknown {
-        make_sure(node, Reliance::Unknown(head.came)).await;
-        if let Ok(judged) = judge_now(node, head) {
-            return judged;
+    // This entry may only be behind, since a key may be as new as the call.
+    if unauthorized == Unauthorized::Unknown {
+        ensure_fresh(node, FreshnessRequirement::AsOf(head.received_at)).await;
+        if let Ok(authentication) = authenticate_now(node, head) {
+            return authentication;
         }
     }
-    Judged::Out(bar(node, head, barred))
+    Authentication::Rejected(reject_unauthorized(node, head, unauthorized))
 }
 
-/// The same by what this entry knows now.
+/// Authenticates a call with the configuration that this entry knows now.
 ///
 /// # Errors
 ///
-/// Tells why the call is not let in, where that is for its key.
-fn judge_now(node: &Node, head: &Head) -> Result<Judged, Barred> {
+/// Returns the reason if the caller is not authorized because of its key.
+fn authenticate_now(node: &Node, head: &RequestHead) -> Result<Authentication, Unauthorized> {
     let in_force = node.in_force.borrow();
     let Some(config) = in_force.config() else {
-        return Ok(Judged::Out(reply(StatusCode::SERVICE_UNAVAILABLE, "")));
+        return Ok(Authentication::Rejected(reply(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "",
+        )));
     };
     let Some(queue) = config.queue(&head.host, &head.path) else {
-        return Ok(Judged::Out(reply(StatusCode::NOT_FOUND, "")));
+        return Ok(Authentication::Rejected(reply(StatusCode::NOT_FOUND, "")));
     };
-    let caller = in_force.judge(queue, &head.shown)?;
-    Ok(Judged::In(Admitted {
+    let caller = in_force.authenticate(queue, &head.authorization)?;
+    Ok(Authentication::Admitted(Admitted {
         queue: queue.clone(),
         caller,
         version: config.version,
@@ -172,12 +183,13 @@
     }))
 }
 
-/// The answer to a call that is not let in for its key. Nothing of it has run.
-fn bar(node: &Node, head: &Head, barred: Barred) -> Reply {
-    let reason = barred.reason();
+/// Creates the response to a caller that is not authorized. Nothing of the call has been carried
+/// out.
+fn reject_unauthorized(node: &Node, head: &RequestHead, unauthorized: Unauthorized) -> Reply {
+    let reason = unauthorized.reason();
     let version = node.in_force.borrow().version();
     node.metrics.barred(reason);
-    info!(method = %head.method, path = head.path, reason, version, "not let in");
+    info!(method = %head.method, path = head.path, reason, version, "caller is not authorized");
     let body = serde_json::json!({ "error": reason }).to_string();
     let mut reply = reply(StatusCode::UNAUTHORIZED, body);
     let scheme = HeaderValue::from_static(SCHEME);
@@ -185,83 +197,89 @@
     reply
 }
 
-/// What a call asks for, by its method, path and body.
-enum Wanted {
+/// Operation that a call requests, according to its method, path and body.
+enum Operation {
     Submit(JobId, JobSpec),
     Cancel(JobId),
     State(JobId),
     Pending,
 }
 
-impl Wanted {
-    /// The same as it is put to the owner; a job that is handed in takes what its queue says now.
-    fn put(&self, admitted: &Admitted) -> Wish {
+impl Operation {
+    /// Converts the operation to a request for the owner. A submitted job takes the current
+    /// settings of its queue.
+    fn for_owner(&self, admitted: &Admitted) -> CallerOperation {
         match self {
-            Wanted::Submit(id, spec) => Wish::Submit {
-                given: submission(admitted, *id, spec.clone()),
-                within: 0,
+            Operation::Submit(id, spec) => CallerOperation::Submit {
+                submission: submission(admitted, *id, spec.clone()),
+                timeout_ms: 0,
             },
-            Wanted::Cancel(id) => Wish::Cancel(*id),
-            Wanted::State(id) => Wish::State(*id),
-            Wanted::Pending => Wish::Pending,
+            Operation::Cancel(id) => CallerOperation::Cancel(*id),
+            Operation::State(id) => CallerOperation::State(*id),
+            Operation::Pending => CallerOperation::Pending,
         }
     }
 }
 
-/// Reads what a call asks for.
+/// Reads the requested operation.
 ///
 /// # Errors
 ///
-/// Fails with the answer for its caller where the path is no job's, there is no such method, or the body is odd.
-async fn read_wanted(head: &Head, admitted: &Admitted, body: Incoming) -> Result<Wanted, Reply> {
+/// Fails with the response to the caller if the path is not that of a job, the method is not
+/// supported, or the body is not valid.
+async fn read_operation(
+    head: &RequestHead,
+    admitted: &Admitted,
+    body: Incoming,
+) -> Result<Operation, Reply> {
     if head.method == Method::GET && admitted.rest.is_empty() {
-        return Ok(Wanted::Pending);
+        return Ok(Operation::Pending);
     }
     let Some(id) = read_id(&admitted.rest) else {
         let body = "{\"error\":\"a job's id is 16 hex digits\"}";
         return Err(reply(StatusCode::BAD_REQUEST, body));
     };
     match head.method {
-        Method::GET => Ok(Wanted::State(id)),
-        Method::DELETE => Ok(Wanted::Cancel(id)),
-        Method::POST => Ok(Wanted::Submit(id, read_spec(id, body).await?)),
+        Method::GET => Ok(Operation::State(id)),
+        Method::DELETE => Ok(Operation::Cancel(id)),
+        Method::POST => Ok(Operation::Submit(id, read_spec(id, body).await?)),
         _ => Err(reply(StatusCode::METHOD_NOT_ALLOWED, "")),
     }
 }
 
-/// Reads what a job is to do.
+/// Reads the specification of a job.
 ///
 /// # Errors
 ///
-/// Fails with the answer for its caller where the body is too long or odd.
+/// Fails with the response to the caller if the body is too large or not valid.
 async fn read_spec(id: JobId, body: Incoming) -> Result<JobSpec, Reply> {
-    let Ok(body) = Limited::new(body, LONGEST).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         return Err(reply(StatusCode::PAYLOAD_TOO_LARGE, ""));
     };
     decode_spec(&body.to_bytes()).map_err(|why| {
-        info!(job = format!("{id:016x}"), why, "not taken");
+        info!(job = format!("{id:016x}"), why, "the job is not valid");
         let body = serde_json::json!({ "error": why }).to_string();
         reply(StatusCode::BAD_REQUEST, body)
     })
 }
 
-/// Decodes what a job is to do.
+/// Decodes the specification of a job.
 ///
 /// # Errors
 ///
-/// Says what is wrong with it, for its caller.
+/// Fails with a message for the caller that says what is not valid.
 fn decode_spec(body: &Bytes) -> Result<JobSpec, String> {
     let spec = read_job(body).map_err(|error| error.to_string())?;
     spec.check().map_err(|error| error.to_string())?;
     Ok(spec)
 }
 
-/// A job as it is handed in to a queue.
+/// Creates the submission of a job to a queue.
 fn submission(admitted: &Admitted, id: JobId, spec: JobSpec) -> Submission {
     let queue = &admitted.queue;
     let workspace = match &admitted.caller {
         Caller::Anyone => None,
-        Caller::Of(workspace) => Some(workspace.clone()),
+        Caller::Workspace(workspace) => Some(workspace.clone()),
     };
     Submission {
         id,
--- /dev/null
+++ b/crates/havenladder/src/entry/callers/owner_request.rs
@@ -0,0 +1,272 @@
+//! Forwards a caller's request to the owner, wherever it is, and creates the response to the
+//! caller.
+
+use super::reply;
+use crate::entry::{
+    listen::Reply,
+    node::{IncarnationId, Node},
+    operator_topic,
+    peer::{self, CallerRequest, PeerRequest, PeerResponse},
+    suspension,
+};
+use adapter::{
+    callers::{write_pending, write_state},
+    http::CallError,
+    operator::Version,
+};
+use clock::{Instant, timer};
+use hyper::{StatusCode, header};
+use std::{rc::Rc, time::Duration};
+use tokio::time;
+use tracing::info;
+
+/// Share of the caller's time after which an entry abandons a request that no owner has answered.
+/// The rest is for the response and for another attempt at another entry. It is less than half, so
+/// that one more attempt fits.
+const WAIT_SHARE: f64 = 0.4;
+
+/// Time reserved for the owner's response to arrive. It usually takes 2 to 10 ms, and several times
+/// that while the owner is busy. Without the reserve, an owner could withdraw a job after its entry
+/// has stopped waiting, which would be in vain.
+const RESPONSE_RESERVE: Duration = Duration::from_millis(100);
+
+/// Delay before a request is sent again to an owner that was not found.
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
+
+/// Maximum time in s after which a caller is told to retry. What will be waiting later than that is
+/// not known now.
+const MAX_RETRY_AFTER: u64 = 10;
+
+/// Time for which a configuration that the owner knows may be in transit before this entry requests
+/// it. A large one takes 0.2 s on the weakest entries' links.
+const CONFIG_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Outcome of a request to the owner.
+pub(super) enum OwnerReply {
+    /// The response to the caller.
+    Final(Reply),
+    /// The owner knows a newer configuration, which this entry has received since. The call has to
+    /// be authenticated again.
+    Outdated {
+        /// Whether the operation may have been carried out before, under the earlier configuration.
+        may_have_run: bool,
+    },
+}
+
+/// Sends a request to the owner, wherever it is, until the caller's time runs short. A suspension
+/// of the machine counts towards that time.
+///
+/// `may_have_run` tells whether the operation may have been carried out before.
+pub(super) async fn request_owner(
+    node: &Rc<Node>,
+    request: CallerRequest,
+    may_have_run: bool,
+    deadline: Instant,
+) -> OwnerReply {
+    tokio::select! {
+        response = request_until(node, request, may_have_run, deadline) => response,
+        never = suspension::check_periodically(node) => match never {},
+    }
+}
+
+/// Does the same, but relies on [`suspension::check`] to end waits that a suspension has outlasted.
+async fn request_until(
+    node: &Rc<Node>,
+    mut request: CallerRequest,
+    mut may_have_run: bool,
+    deadline: Instant,
+) -> OwnerReply {
+    let now = Instant::now();
+    let abandon_at = now + (deadline - now).mul_f64(WAIT_SHARE);
+    loop {
+        let left = abandon_at.saturating_duration_since(Instant::now());
+        request.set_left(left.saturating_sub(RESPONSE_RESERVE));
+        let response = match node.as_owner() {
+            Some(owner) => {
+                let response = timer::timeout_at(abandon_at, owner.handle(request.clone())).await;
+                response.unwrap_or(PeerResponse::Unsure)
+            }
+            None if node.cut_off.get() => {
+                return OwnerReply::Final(refuse_and_close(&request, may_have_run));
+            }
+            None => forward(node, &request, abandon_at).await,
+        };
+        may_have_run |= response == PeerResponse::Unsure;
+        match next_step(&response, may_have_run) {
+            NextStep::Reply(reply) => return OwnerReply::Final(reply),
+            NextStep::Refuse => return OwnerReply::Final(refuse(&request, may_have_run)),
+            NextStep::Reauthenticate(version)
+                if wait_for_version(node, version, abandon_at).await =>
+            {
+                return OwnerReply::Outdated { may_have_run };
+            }
+            NextStep::Reauthenticate(_) => {
+                return OwnerReply::Final(refuse(&request, may_have_run));
+            }
+            NextStep::Retry => {}
+        }
+        if Instant::now() >= abandon_at {
+            return OwnerReply::Final(refuse(&request, may_have_run));
+        }
+        let _ = time::timeout(RETRY_INTERVAL, node.lease_changed.notified()).await;
+    }
+}
+
+/// Waits until this entry knows a version of the configuration, and returns false if it does not in
+/// time. The version is usually in transit, so that it is only requested if it does not arrive.
+async fn wait_for_version(node: &Rc<Node>, version: Version, until: Instant) -> bool {
+    let refresh_at = Instant::now() + CONFIG_ARRIVAL_TIMEOUT;
+    while node.in_force.borrow().version() < version {
+        let now = Instant::now();
+        if now >= until {
+            return false;
+        }
+        if now >= refresh_at {
+            operator_topic::refresh_soon(node);
+        }
+        time::sleep(RETRY_INTERVAL).await;
+    }
+    true
+}
+
+/// Sends a request to the entry that owns the cell.
+async fn forward(node: &Rc<Node>, request: &CallerRequest, deadline: Instant) -> PeerResponse {
+    let lease = node.lease.borrow().clone();
+    let Some(lease) =
+        lease.filter(|lease| lease.incarnation != node.incarnation && !lease.released)
+    else {
+        return PeerResponse::NotOwner;
+    };
+    let peer_request = PeerRequest::Caller(Box::new(request.clone()));
+    let response = tokio::select! {
+        response = peer::call(node, &lease.address, &peer_request, deadline) => response,
+        () = node.reach_changed.notified() => Err(CallError::Unanswered),
+        () = wait_until_replaced(node, lease.incarnation) => Err(CallError::Unanswered),
+    };
+    match response {
+        Ok(response) => {
+            node.suspected_owner.set(None);
+            response
+        }
+        Err(CallError::Refused) => {
+            suspect_owner(node, lease.incarnation);
+            PeerResponse::NotOwner
+        }
+        Err(error) => {
+            node.reach_due.notify_one();
+            if error.is_unsent() {
+                PeerResponse::NotOwner
+            } else {
+                PeerResponse::Unsure
+            }
+        }
+    }
+}
+
+/// Waits until an owner has been replaced, and then for as long as a response in transit may take.
+/// An owner that is paused answers nobody, while the next one may answer in time.
+async fn wait_until_replaced(node: &Node, incarnation: IncarnationId) {
+    loop {
+        let changed = node.lease_changed.notified();
+        let lease = node.lease.borrow().as_ref().map(|lease| lease.incarnation);
+        if lease != Some(incarnation) {
+            break;
+        }
+        changed.await;
+    }
+    time::sleep(RESPONSE_RESERVE).await;
+}
+
+/// Suspects an owner whose port refuses connections. If it does so twice in a row, 40 ms apart, its
+/// process has ended, and its lease may be claimed before it expires.
+fn suspect_owner(node: &Node, incarnation: IncarnationId) {
+    if node.suspected_owner.replace(Some(incarnation)) == Some(incarnation)
+        && node.ended_owner.get() != Some(incarnation)
+    {
+        info!(life = incarnation, "the owner's process has ended");
+        node.ended_owner.set(Some(incarnation));
+        node.claim_due.notify_one();
+    }
+}
+
+/// Next step after a response of the owner.
+enum NextStep {
+    /// Send this response to the caller.
+    Reply(Reply),
+    /// Tell the caller that the request is refused, or that its outcome is not known if it may have
+    /// been carried out.
+    Refuse,
+    /// Authenticate the call with this version of the configuration.
+    Reauthenticate(Version),
+    /// Send the request to the owner again.
+    Retry,
+}
+
+/// Returns the next step after a response of the owner. `may_have_run` tells whether the operation
+/// may have been carried out before. A reason for rejecting a job implies that nothing of it runs,
+/// which is not certain after an attempt without a response, since that may still be carried out.
+fn next_step(response: &PeerResponse, may_have_run: bool) -> NextStep {
+    match response {
+        PeerResponse::Accepted | PeerResponse::Cancelled => {
+            NextStep::Reply(reply(StatusCode::OK, "{}"))
+        }
+        PeerResponse::Refused => NextStep::Refuse,
+        PeerResponse::TooLate(_) | PeerResponse::TooLarge if may_have_run => NextStep::Refuse,
+        PeerResponse::TooLate(ms) => NextStep::Reply(reject(*ms)),
+        PeerResponse::TooLarge => NextStep::Reply(reply(
+            StatusCode::BAD_REQUEST,
+            "{\"error\":\"the job can never run under its workspace's bound\"}",
+        )),
+        PeerResponse::Unknown => NextStep::Reply(reply(StatusCode::GONE, "")),
+        PeerResponse::State(phase) => NextStep::Reply(reply(StatusCode::OK, write_state(*phase))),
+        PeerResponse::Pending(count) => {
+            NextStep::Reply(reply(StatusCode::OK, write_pending(*count)))
+        }
+        PeerResponse::Outdated(version) => NextStep::Reauthenticate(*version),
+        PeerResponse::NotOwner
+        | PeerResponse::HandedOver
+        | PeerResponse::Incarnation(_)
+        | PeerResponse::Outage { .. }
+        | PeerResponse::Update(_)
+        | PeerResponse::Assignment(_)
+        | PeerResponse::Replication(_)
+        | PeerResponse::Unsure => NextStep::Retry,
+    }
+}
+
+/// Creates the response to a job for which there is no capacity in time, with the time after which
+/// to retry. That time is spread at random up to twice its value, so that callers that were
+/// rejected together do not all return for the capacity that one of them can have.
+fn reject(ms: u64) -> Reply {
+    let spread = rand::random_range(0..=ms);
+    let seconds = (ms + spread).div_ceil(1_000).clamp(1, MAX_RETRY_AFTER);
+    let mut reply = reply(
+        StatusCode::TOO_MANY_REQUESTS,
+        "{\"error\":\"it would be done too late\"}",
+    );
+    reply
+        .headers_mut()
+        .insert(header::RETRY_AFTER, header::HeaderValue::from(seconds));
+    reply
+}
+
+/// Creates the response of an entry that is cut off. The caller should connect again, to another
+/// entry.
+fn refuse_and_close(request: &CallerRequest, may_have_run: bool) -> Reply {
+    let mut reply = refuse(request, may_have_run);
+    let close = header::HeaderValue::from_static("close");
+    reply.headers_mut().insert(header::CONNECTION, close);
+    reply
+}
+
+/// Creates the response to a request that could not be completed. A job that may have been accepted
+/// is never reported as refused.
+fn refuse(request: &CallerRequest, may_have_run: bool) -> Reply {
+    info!(ask = %request, sent = may_have_run, "given up");
+    let status = if may_have_run {
+        StatusCode::GATEWAY_TIMEOUT
+    } else {
+        StatusCode::SERVICE_UNAVAILABLE
+    };
+    reply(status, "")
+}
--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -132,7 +132,7 @@
                 continue;
             }
         }
-        owner.empty_halls();
+        owner.drain_halls();
         if read.is_some() {
             moves.advance(&owner, &list, &waves).await;
         }
@@ -181,7 +181,7 @@
 fn doubt_workers(owner: &Owner, list: &VmList) {
     for vm in list.values() {
         if let Some(worker) = &vm.worker {
-            let doubted = owner.is_doubtful(&vm.name);
+            let doubted = owner.has_unconfirmed_order(&vm.name);
             owner.cell.borrow_mut().doubt_worker(worker, doubted);
         }
     }
--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -1,8 +1,8 @@
-//! The log of the lease's records: reading on, what the newest record says, and appending one.
+//! Reads the log of the lease's records, applies the newest one and appends new ones.
 
 use crate::entry::{
     lease_record::{TOPIC, append},
-    node::{Lease, LifeId, Node},
+    node::{IncarnationId, Lease, Node},
     owner::Predecessor,
     store_calls,
 };
@@ -14,92 +14,93 @@
 use tokio::time;
 use tracing::{info, warn};
 
-/// Time until the store is asked again after it did not answer.
+/// Delay before the store is called again after it did not answer.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How far this entry has read the lease's records.
+/// State of the lease's log, as far as this entry has read it.
 pub(super) struct Log {
-    /// The end of the log, as far as it was read.
+    /// End of the log, as far as it was read.
     pub(super) end: Offset,
-    /// When this entry may claim, and from whom it should.
-    pub(super) tenure: Tenure,
-    /// Which life of an entry has written the newest record, and whether it gave the cell up with it.
-    pub(super) holder: Option<(LifeId, bool)>,
-    /// When a renewal of the current owner was last read.
-    pub(super) renewed: Option<Instant>,
-    /// When the store last did not answer.
-    pub(super) trouble: Option<Instant>,
-    /// What was known of the owner when this entry last claimed.
-    pub(super) before: Predecessor,
-    /// For which place this entry last sent a record, and since when.
-    pub(super) sent: Option<FirstSent>,
+    /// Decides when this entry may claim the lease, and from whom it should request the cell.
+    pub(super) election: Tenure,
+    /// Incarnation that wrote the newest record, and whether it released the cell with it.
+    pub(super) holder: Option<(IncarnationId, bool)>,
+    /// Time at which a renewal of the current owner was last read.
+    pub(super) last_renewal: Option<Instant>,
+    /// Time at which the store last did not answer.
+    pub(super) last_outage: Option<Instant>,
+    /// State of the owner at the last claim of this entry.
+    pub(super) predecessor: Predecessor,
+    /// Offset for which this entry last sent a record, and the time since which it has done so.
+    pub(super) first_sent: Option<FirstSent>,
 }
 
 impl Log {
-    /// The earliest moment at which the log can have taken its newest record, if this entry sent it.
-    pub(super) fn taken(&self) -> Option<Instant> {
-        let place = self.end.checked_sub(1)?;
-        self.sent.and_then(|sent| sent.earliest(place))
+    /// Returns the earliest time at which the log can have accepted its newest record, if this
+    /// entry sent it.
+    pub(super) fn earliest_append(&self) -> Option<Instant> {
+        let offset = self.end.checked_sub(1)?;
+        self.first_sent.and_then(|sent| sent.earliest(offset))
     }
 }
 
-/// What a read of the lease's records found.
-pub(super) enum Seen {
-    /// New records.
+/// Result of a read of the lease's records.
+pub(super) enum ReadOutcome {
+    /// There are new records.
     Records,
-    /// None, and the store answered.
+    /// There are no new records, and the store answered.
     Nothing,
-    /// The store was not asked: there is news of another kind.
-    Unasked,
+    /// The store was not called, since there was an update of another kind.
+    NotRead,
     /// The store did not answer.
     Failed,
 }
 
-/// Reads on and takes in what the newest record says.
-pub(super) async fn read(node: &Node, log: &mut Log, wait: Duration) -> Seen {
+/// Reads the next records and applies the newest one.
+pub(super) async fn read(node: &Node, log: &mut Log, wait: Duration) -> ReadOutcome {
     let read = store_calls::read(node, TOPIC, log.end, wait).await;
     if read.is_ok() {
-        node.note_reach(|reach| reach.note_store(Instant::now()));
+        node.update_reach(|reach| reach.note_store(Instant::now()));
     }
     match read {
-        Ok(Read::Records(_, records)) if records.is_empty() => Seen::Nothing,
+        Ok(Read::Records(_, records)) if records.is_empty() => ReadOutcome::Nothing,
         Ok(Read::Records(_, records)) => {
-            take_records(node, log, &records);
-            Seen::Records
+            apply_records(node, log, &records);
+            ReadOutcome::Records
         }
         Ok(Read::Gone(first)) => {
             log.end = first;
-            Seen::Records
+            ReadOutcome::Records
         }
         Ok(Read::Busy) | Err(_) => {
             let now = Instant::now();
-            log.tenure.note_trouble(now);
-            log.trouble = Some(now);
+            log.election.note_trouble(now);
+            log.last_outage = Some(now);
             time::sleep(RETRY_INTERVAL).await;
-            Seen::Failed
+            ReadOutcome::Failed
         }
     }
 }
 
-/// Waits for the next records: those that the entry tells that this one follows, or those that it reads.
-pub(super) async fn next(node: &Node, log: &mut Log, wait: Duration) -> Seen {
-    if wait.is_zero() || !node.feed.follows() {
+/// Waits for the next records, either from the entry that this one follows or from the store.
+pub(super) async fn next(node: &Node, log: &mut Log, wait: Duration) -> ReadOutcome {
+    if wait.is_zero() || !node.replication.follows() {
         return read(node, log, wait).await;
     }
-    let news = node.feed.news.notified();
-    if take_told(node, log) {
-        return Seen::Records;
+    let update = node.replication.updated.notified();
+    if apply_received(node, log) {
+        return ReadOutcome::Records;
     }
-    match time::timeout(wait, news).await {
-        Ok(()) if take_told(node, log) => Seen::Records,
-        Ok(()) => Seen::Unasked,
-        // It is time to claim, if the log has nothing newer.
+    match time::timeout(wait, update).await {
+        Ok(()) if apply_received(node, log) => ReadOutcome::Records,
+        Ok(()) => ReadOutcome::NotRead,
+        // The lease may be claimed now, unless the log has a newer record.
         Err(_) => read(node, log, Duration::ZERO).await,
     }
 }
 
-/// Takes in what another entry has told of the lease; false if that is nothing new.
-fn take_told(node: &Node, log: &mut Log) -> bool {
+/// Applies the lease that another entry has sent. Returns false if it is not newer.
+fn apply_received(node: &Node, log: &mut Log) -> bool {
     let end = node.lease_end.get();
     let lease = node.lease.borrow().clone();
     let Some(lease) = lease.filter(|_| end > log.end) else {
@@ -107,107 +108,111 @@
     };
     let now = Instant::now();
     log.end = end;
-    note_heard(node, log, now);
-    note_tenure(log, &lease, now);
+    record_owner_contact(node, log, now);
+    update_election(log, &lease, now);
     true
 }
 
-/// Takes note that the owner has written a record.
-fn note_heard(node: &Node, log: &mut Log, now: Instant) {
-    log.renewed = Some(now);
-    node.note_reach(|reach| reach.note_renewal(now));
-    // Whoever writes here lives, whatever its port did behind a cut.
-    node.refused.set(None);
-    node.suspect.set(None);
+/// Records that the owner has written a record.
+fn record_owner_contact(node: &Node, log: &mut Log, now: Instant) {
+    log.last_renewal = Some(now);
+    node.update_reach(|reach| reach.note_renewal(now));
+    // An owner that writes is alive, whatever its port did during a network partition.
+    node.ended_owner.set(None);
+    node.suspected_owner.set(None);
 }
 
-/// Takes in new records, of which the last one counts.
-fn take_records(node: &Node, log: &mut Log, records: &[Bytes]) {
+/// Applies new records, of which only the last one counts.
+fn apply_records(node: &Node, log: &mut Log, records: &[Bytes]) {
     let now = Instant::now();
     log.end += records.len() as Offset;
-    note_heard(node, log, now);
+    record_owner_contact(node, log, now);
     match records
         .last()
         .map(|record| rmp_serde::from_slice::<Lease>(record))
     {
-        Some(Ok(lease)) => note_lease(node, log, lease, now),
-        Some(Err(error)) => warn!(%error, "a record of the lease cannot be read"),
+        Some(Ok(lease)) => apply_lease(node, log, lease, now),
+        Some(Err(error)) => warn!(%error, "cannot decode a record of the lease"),
         None => {}
     }
 }
 
-/// Takes in who owns the cell, unless something newer is known.
+/// Sets the owner of the cell, unless a newer record is known.
 pub fn set_lease(node: &Node, lease: Lease, end: Offset) {
     if end < node.lease_end.replace(end.max(node.lease_end.get())) {
         return;
     }
-    node.feed.news.notify_waiters();
+    node.replication.updated.notify_waiters();
     let mut current = node.lease.borrow_mut();
     let known = current.replace(lease.clone());
-    if known.is_some_and(|known| known.is_same(&lease)) {
+    if known.is_some_and(|known| known.has_same_owner(&lease)) {
         return;
     }
     info!(
         owner = lease.node,
-        life = lease.life,
+        life = lease.incarnation,
         end,
         released = lease.released,
-        "owner seen"
+        "ownership has changed"
     );
-    // Whether it answers is not known yet.
-    node.note_reach(fleet::Reach::note_owner);
+    // It is not known yet whether the new owner answers.
+    node.update_reach(fleet::Reach::note_owner);
     node.lease_changed.notify_waiters();
 }
 
-/// Takes in a record of the lease, read or appended at `now`.
-pub(super) fn note_lease(node: &Node, log: &mut Log, lease: Lease, now: Instant) {
-    note_tenure(log, &lease, now);
+/// Applies a record of the lease, which was read or appended at `now`.
+pub(super) fn apply_lease(node: &Node, log: &mut Log, lease: Lease, now: Instant) {
+    update_election(log, &lease, now);
     set_lease(node, lease, log.end);
 }
 
-/// Takes note of who has the lease.
-fn note_tenure(log: &mut Log, lease: &Lease, now: Instant) {
-    log.tenure.note_record(lease.cpu, now);
-    let known = log.holder.replace((lease.life, lease.released));
+/// Updates the election with the holder of the lease.
+fn update_election(log: &mut Log, lease: &Lease, now: Instant) {
+    log.election.note_record(lease.cpu, now);
+    let known = log.holder.replace((lease.incarnation, lease.released));
     if known != log.holder {
-        log.tenure.note_change(now);
+        log.election.note_change(now);
     }
 }
 
-/// What came of a record that was to be appended.
-pub(super) enum Written {
-    /// It is in the log.
+/// Outcome of an append to the lease's log.
+pub(super) enum WriteOutcome {
+    /// The record is in the log.
     Done,
-    /// The log has another record of this entry in its place: an earlier call took it, whose answer was lost.
-    Earlier,
-    /// Another entry has written, or it is not known what came of it.
-    Unsure,
+    /// The log has another record of this entry at the offset, from an earlier call whose response
+    /// was lost.
+    AlreadyWritten,
+    /// Another entry has written a record, or the outcome is not known.
+    Unconfirmed,
 }
 
-/// Appends a record to the end of the log as far as it was read, and takes in what the log has there.
-pub(super) async fn write(node: &Node, log: &mut Log, lease: Lease) -> Written {
-    let place = log.end;
-    log.sent = Some(FirstSent::note(log.sent, place, Instant::now()));
-    match append(node, place, &lease).await {
+/// Appends a record at the end of the log as far as it was read, and applies what the log contains
+/// there.
+pub(super) async fn write(node: &Node, log: &mut Log, lease: Lease) -> WriteOutcome {
+    let offset = log.end;
+    log.first_sent = Some(FirstSent::note(log.first_sent, offset, Instant::now()));
+    match append(node, offset, &lease).await {
         Some(Appended::Done(end)) => {
             log.end = end;
-            note_lease(node, log, lease, Instant::now());
-            Written::Done
+            apply_lease(node, log, lease, Instant::now());
+            WriteOutcome::Done
         }
         Some(Appended::Moved(_)) => {
             read(node, log, Duration::ZERO).await;
-            if log.end == place + 1 && is_own(node) {
-                Written::Earlier
+            if log.end == offset + 1 && is_own(node) {
+                WriteOutcome::AlreadyWritten
             } else {
-                Written::Unsure
+                WriteOutcome::Unconfirmed
             }
         }
-        Some(_) | None => Written::Unsure,
+        Some(_) | None => WriteOutcome::Unconfirmed,
     }
 }
 
-/// Whether the newest record is of this life of the entry.
+/// Returns whether the newest record was written by this incarnation of the entry.
 fn is_own(node: &Node) -> bool {
     let lease = node.lease.borrow();
-    lease.as_ref().is_some_and(|lease| lease.life == node.life)
+    lease
+        .as_ref()
+        .is_some_and(|lease| lease.incarnation == node.incarnation)
 }
--- a/crates/havenladder/src/entry/mod.rs
+++ b/crates/havenladder/src/entry/mod.rs
@@ -1,18 +1,13 @@
-//! An entry on the users' machines: takes jobs from callers and, where it owns the cell, decides
-//! about them.
+//! An entry, which runs on one of the users' machines: it accepts jobs from callers and, while it
+//! owns the cell, schedules them.
 //!
-//! All of it runs on one thread: wake-ups are charged there, and no duty computes for long. What the
-//! duties share is in one [`Node`].
+//! Everything runs on one thread, because wake-ups are charged there and no background task
+//! computes for long. The tasks share their state in one [`Node`].
 
 mod callers;
 mod ends;
-mod feed;
-mod feeding;
 mod fleet;
-mod follow;
-mod following;
 mod in_force;
-mod inner;
 mod lease;
 mod lease_record;
 mod lease_state;
@@ -22,12 +17,17 @@
 mod metrics;
 mod moves;
 mod node;
+mod operator_topic;
 mod orders;
 mod outage;
 mod own_cell;
 mod owner;
+mod peer;
 mod questions;
 mod reach;
+mod replication;
+mod replication_client;
+mod replication_server;
 mod resend;
 mod starts;
 mod stop;
@@ -51,14 +51,14 @@
     let settings = match settings::read() {
         Ok(settings) => settings,
         Err(error) => {
-            error!(%error, "settings cannot be used");
+            error!(%error, "cannot use the settings");
             return ExitCode::from(3);
         }
     };
     let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            error!(%error, "no runtime");
+            error!(%error, "cannot start the async runtime");
             return ExitCode::FAILURE;
         }
     };
@@ -72,35 +72,35 @@
     }
 }
 
-/// Starts the duties and waits for the stop.
+/// Starts the background tasks and waits until the entry is told to stop.
 ///
 /// # Errors
 ///
-/// Fails when a port that the entry cannot do without is not free.
+/// Fails if the port for callers, for readiness checks or for other entries cannot be bound.
 async fn serve(node: Rc<Node>) -> io::Result<()> {
     let settings = &node.settings;
     let callers = TcpListener::bind(&settings.callers).await?;
     let ready = TcpListener::bind(&settings.ready).await?;
-    let inner = TcpListener::bind((settings.ip.as_str(), settings.inner_port)).await?;
+    let peers = TcpListener::bind((settings.ip.as_str(), settings.inner_port)).await?;
     info!(
         node = settings.node,
         hall = settings.hall,
-        life = node.life,
+        life = node.incarnation,
         "entry starts"
     );
     suspension::follow_test_clock();
-    tokio::task::spawn_local(follow::run(Rc::clone(&node)));
+    tokio::task::spawn_local(operator_topic::run(Rc::clone(&node)));
     tokio::task::spawn_local(lease::run(Rc::clone(&node)));
-    tokio::task::spawn_local(following::run(Rc::clone(&node)));
+    tokio::task::spawn_local(replication_client::run(Rc::clone(&node)));
     tokio::task::spawn_local(reach::run(Rc::clone(&node)));
     tokio::task::spawn_local(callers::listen(Rc::clone(&node), callers));
     tokio::task::spawn_local(callers::listen_ready(Rc::clone(&node), ready));
-    tokio::task::spawn_local(inner::listen(Rc::clone(&node), inner));
+    tokio::task::spawn_local(peer::listen(Rc::clone(&node), peers));
     match TcpListener::bind((settings.ip.as_str(), metrics::PORT)).await {
         Ok(listener) => {
             tokio::task::spawn_local(metrics::listen(Rc::clone(&node.metrics), listener));
         }
-        Err(error) => warn!(%error, port = metrics::PORT, "metrics are not told"),
+        Err(error) => warn!(%error, port = metrics::PORT, "metrics are not served"),
     }
     stop::wait(&node).await;
     info!(node = settings.node, "entry stops");
--- /dev/null
+++ b/crates/havenladder/src/entry/operator_topic.rs
@@ -0,0 +1,237 @@
+//! Follows the topic of operators: the configuration, the waves of maintenance and the orders to
+//! drain data centres.
+
+use super::{
+    lease::set_lease,
+    node::Node,
+    peer::{self, PeerRequest, PeerResponse, Update},
+    store_calls,
+};
+use adapter::{
+    operator::TOPIC,
+    store::{Keyed, Offset, Read, split_keyed},
+};
+use bytes::Bytes;
+use clock::{Instant, timer};
+use fleet::Backoff;
+use std::{rc::Rc, time::Duration};
+use tokio::{task, time};
+use tracing::info;
+use workspaces::Next;
+
+/// Time for which a read waits for the next record. A connection that fell silent is detected soon
+/// after this, and a change must be in force within 2 s.
+const READ_HOLD: Duration = Duration::from_millis(800);
+
+/// Timeout of a request for newer state to another entry.
+const PEER_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// Delay before the store is called again after its first failure to answer.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Maximum delay after repeated failures. A change must be in force within 2 s.
+const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(750);
+
+/// Time for which a call waits for a refresh. A response usually takes some ms, and 0.2 s if the
+/// store is 50 times slower than usual.
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// Follows the topic forever, except while this entry replicates from another one.
+pub async fn run(node: Rc<Node>) {
+    if !node.settings.is_seed && !node.settings.seeds.is_empty() {
+        node.replication.wait_for_first_update().await;
+    }
+    let mut backoff = Backoff::new(RETRY_INTERVAL, MAX_RETRY_INTERVAL);
+    loop {
+        node.replication.wait_until_unfollowing().await;
+        let known = node.replication.recent.borrow().end();
+        let answered = match known {
+            None => read_newest(&node).await,
+            Some(from) => read_from(&node, from).await,
+        };
+        if answered {
+            backoff.reset();
+        } else {
+            poll_peers(&node).await;
+            time::sleep(backoff.pause(rand::random())).await;
+        }
+    }
+}
+
+/// Reads the newest records. Returns false if the store did not answer.
+async fn read_newest(node: &Node) -> bool {
+    let sent = Instant::now();
+    let Ok(Some(newest)) = store_calls::newest(node, TOPIC).await else {
+        return false;
+    };
+    apply_newest(node, newest.records, newest.end);
+    node.replication.recent.borrow_mut().confirm(sent);
+    node.update_freshness(|freshness| freshness.confirm(sent, sent));
+    true
+}
+
+/// Applies the newest record of each key of the topic, which ended at `end`.
+pub fn apply_newest(node: &Node, newest: Vec<Keyed>, end: Offset) {
+    node.replication.recent.borrow_mut().restart(&newest, end);
+    node.in_force.borrow_mut().restart(newest, end);
+    node.replication.updated.notify_waiters();
+}
+
+/// Reads the records from an offset on, waiting for the next one if there is none. Returns false if
+/// the store did not answer.
+async fn read_from(node: &Node, from: Offset) -> bool {
+    let sent = Instant::now();
+    match store_calls::read(node, TOPIC, from, READ_HOLD).await {
+        Ok(Read::Records(_, records)) => {
+            apply_read(node, from, &records, sent, READ_HOLD);
+            true
+        }
+        Ok(Read::Gone(first)) => {
+            info!(
+                from,
+                first, "records of operators were removed from the log; reading the newest ones"
+            );
+            node.replication.recent.borrow_mut().clear();
+            true
+        }
+        Ok(Read::Busy) | Err(_) => false,
+    }
+}
+
+/// Applies the result of a read from an offset on, which was sent at `sent` and waited for up to
+/// `wait` if there were no records.
+fn apply_read(node: &Node, from: Offset, records: &[Bytes], sent: Instant, wait: Duration) {
+    // A response without records is given when the wait is over, and one with records at any time.
+    // It may be older than it seems, since this process may have been paused in the meantime.
+    let answered_at = if records.is_empty() {
+        sent + wait
+    } else {
+        sent
+    };
+    let confirmed = answered_at.min(Instant::now());
+    node.update_freshness(|freshness| freshness.confirm(sent, confirmed));
+    node.replication.recent.borrow_mut().confirm(confirmed);
+    apply_records(node, from, records);
+}
+
+/// Applies the records of operators from an offset on.
+pub fn apply_records(node: &Node, from: Offset, records: &[Bytes]) {
+    let mut in_force = node.in_force.borrow_mut();
+    let mut recent = node.replication.recent.borrow_mut();
+    for (offset, record) in (from..).zip(records) {
+        recent.append(offset, record);
+        if let Some(record) = split_keyed(record.clone()) {
+            in_force.apply(record, offset);
+        }
+    }
+    if !records.is_empty() {
+        node.replication.updated.notify_waiters();
+    }
+}
+
+/// Requests newer state from other entries, one after the other. Returns true once one has
+/// responded.
+async fn poll_peers(node: &Node) -> bool {
+    let version = node.in_force.borrow().version();
+    let request = PeerRequest::Update {
+        version,
+        end: node.lease_end.get(),
+    };
+    for peer in node.peers() {
+        let sent = Instant::now();
+        if let Ok(PeerResponse::Update(update)) =
+            peer::call(node, &peer, &request, sent + PEER_TIMEOUT).await
+        {
+            apply_update(node, update, sent);
+            return true;
+        }
+    }
+    false
+}
+
+/// Applies the state that another entry sent in response to a request of the time `sent`.
+pub fn apply_update(node: &Node, update: Update, sent: Instant) {
+    if let Some((lease, end)) = update.lease {
+        set_lease(node, lease, end);
+    }
+    node.in_force
+        .borrow_mut()
+        .adopt(update.config, update.hall_drains);
+    let confirmed = sent - Duration::from_millis(update.age);
+    node.update_freshness(|freshness| freshness.confirm(sent, confirmed));
+}
+
+/// Property of the configuration that a call relies on.
+#[derive(Clone, Copy)]
+pub enum FreshnessRequirement {
+    /// The configuration is the newest one.
+    Newest,
+    /// The configuration is as new as this time, at which the call arrived. A key that it does not
+    /// contain did not exist then.
+    AsOf(Instant),
+}
+
+/// Waits, for a short time, until the configuration meets a requirement. Returns false if the call
+/// is to be refused because the configuration could not be confirmed for too long.
+pub async fn ensure_fresh(node: &Rc<Node>, requirement: FreshnessRequirement) -> bool {
+    let until = Instant::now() + REFRESH_TIMEOUT;
+    loop {
+        let now = Instant::now();
+        let refreshed = node.refreshed.notified();
+        let next = match requirement {
+            FreshnessRequirement::Newest => node.freshness.get().next(now),
+            FreshnessRequirement::AsOf(received_at) => {
+                node.freshness.get().next_unknown(received_at, now)
+            }
+        };
+        match next {
+            Next::Go => return true,
+            Next::Refuse => return false,
+            Next::Look => start_refresh(node),
+            Next::Join => {}
+            Next::Wait(due) => {
+                timer::sleep_until(due.min(until)).await;
+                if due < until {
+                    continue;
+                }
+            }
+        }
+        let ended = now < until && timer::timeout_at(until, refreshed).await.is_ok();
+        if !ended {
+            return node.freshness.get().unsure(Instant::now()) != Next::Refuse;
+        }
+    }
+}
+
+/// Starts a refresh, unless one is in progress or was started a moment ago.
+pub fn refresh_soon(node: &Rc<Node>) {
+    let now = Instant::now();
+    if node.freshness.get().next_unknown(now, now) == Next::Look {
+        start_refresh(node);
+    }
+}
+
+/// Starts a refresh of the state of operators. All calls that wait share it.
+fn start_refresh(node: &Rc<Node>) {
+    node.update_freshness(|freshness| freshness.begin_look(Instant::now()));
+    let node = Rc::clone(node);
+    task::spawn_local(async move {
+        let answered = refresh(&node).await;
+        node.update_freshness(|freshness| freshness.end_look(answered));
+        node.refreshed.notify_waiters();
+    });
+}
+
+/// Requests newer records from the store, then newer state from other entries. Returns true if one
+/// of them has answered.
+async fn refresh(node: &Node) -> bool {
+    let sent = Instant::now();
+    let known = node.replication.recent.borrow().end();
+    if let Some(from) = known
+        && let Ok(Read::Records(_, records)) = store_calls::read_once(node, TOPIC, from).await
+    {
+        apply_read(node, from, &records, sent, Duration::ZERO);
+        return true;
+    }
+    poll_peers(node).await
+}
--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -1,10 +1,10 @@
-//! Makes records durable, and goes on meanwhile with what needs none.
+//! Makes records durable, and continues in the meantime with work that needs none.
 
 use super::Owner;
 use crate::entry::{
     node::wall_ms,
     outage,
-    store_calls::{self, Matter},
+    store_calls::{self, AppendKind},
 };
 use adapter::store::{Appended, Condition, frame_keyed};
 use clock::Instant;
@@ -13,23 +13,23 @@
 use tokio::time;
 use tracing::warn;
 
-/// The topic with the jobs of the cell.
+/// Topic of the jobs of the cell.
 pub(super) const TOPIC: &str = "keyed.jobs";
 
-/// The name under which owners append to it; their epochs shut out earlier owners.
+/// Producer name under which owners append to the topic. Their epochs fence earlier owners off.
 const PRODUCER: &str = "owner";
 
-/// How long an append may take before work goes on without it: ten times what it takes as a rule.
-pub(super) const SLOW: Duration = Duration::from_millis(150);
+/// Duration of an append after which work continues without it: ten times the usual one.
+pub(super) const SLOW_APPEND_THRESHOLD: Duration = Duration::from_millis(150);
 
-/// Time between two looks at what can be done while an append is under way.
+/// Interval between two checks for work that is possible while an append is in progress.
 const STALL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time until an append that did not succeed is tried again.
+/// Delay before a failed append is retried.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Makes records durable, however often it takes; false if a newer owner shut this one out. What can
-/// be done without them is done meanwhile.
+/// Makes records durable, retrying as often as needed. Returns false if a newer owner has fenced
+/// this one off. Work that needs no records is done in the meantime.
 pub async fn append(
     owner: &Rc<Owner>,
     entries: &[Entry],
@@ -44,7 +44,7 @@
     durable
 }
 
-/// Calls the store until it takes the records or refuses them for good.
+/// Calls the store until it accepts the records or refuses them for good.
 async fn try_append(
     owner: &Rc<Owner>,
     entries: &[Entry],
@@ -61,13 +61,19 @@
         sequence,
     };
     while owner.is_alive() {
-        let call = store_calls::append(&owner.node, Matter::Jobs, TOPIC, condition, body.clone());
-        match meanwhile(owner, call, starts).await {
+        let call = store_calls::append(
+            &owner.node,
+            AppendKind::Jobs,
+            TOPIC,
+            condition,
+            body.clone(),
+        );
+        match work_while_waiting(owner, call, starts).await {
             Ok(Appended::Done(_)) => return true,
             Ok(Appended::Fenced) => owner.end("a newer owner appends"),
             Ok(Appended::Busy) | Err(_) => {
                 let pause = time::sleep(RETRY_INTERVAL);
-                meanwhile(owner, pause, starts).await;
+                work_while_waiting(owner, pause, starts).await;
             }
             Ok(odd) => {
                 warn!(?odd, sequence, "an append was refused");
@@ -78,8 +84,8 @@
     false
 }
 
-/// Waits for something and, where an append takes long, goes on with jobs that the log holds.
-async fn meanwhile<T>(
+/// Waits for a call. While an append is slow, work continues with jobs that are already in the log.
+async fn work_while_waiting<T>(
     owner: &Rc<Owner>,
     call: impl Future<Output = T>,
     starts: &mut Vec<Order>,
@@ -89,34 +95,38 @@
         if let Ok(outcome) = time::timeout(STALL_INTERVAL, call.as_mut()).await {
             return outcome;
         }
-        if owner.has_waited(SLOW) && owner.loaded.get() && owner.may_hold() {
-            outage::ask(owner);
+        if owner.is_append_pending_for(SLOW_APPEND_THRESHOLD)
+            && owner.loaded.get()
+            && owner.may_hold()
+        {
+            outage::start_check(owner);
             if owner.stall().may_go_on() {
-                owner.unrecorded.set(Some(Instant::now()));
-                go_on(owner, starts);
+                owner.unrecorded_start_at.set(Some(Instant::now()));
+                start_unrecorded(owner, starts);
             } else {
-                // A renewal tells the next owner first.
+                // The next owner has to know first, so that a renewal of the lease announces
+                // unrecorded runs.
                 owner.lease_due.notify_one();
             }
         }
     }
 }
 
-/// Starts what is due of jobs that the log holds, though the starts themselves are not recorded: a
-/// new owner meets all workers before it starts what waited.
-fn go_on(owner: &Rc<Owner>, starts: &mut Vec<Order>) {
+/// Starts due tasks of jobs that are in the log, although the starts themselves are not recorded. A
+/// new owner contacts all workers before it starts any task that waited.
+fn start_unrecorded(owner: &Rc<Owner>, starts: &mut Vec<Order>) {
     let now = Instant::now();
     owner.update_workspaces();
-    if !owner.update_evacuations() {
+    if !owner.update_hall_drains() {
         return;
     }
     let mut cell = owner.cell.borrow_mut();
     cell.mark_due(wall_ms());
     cell.stop_still(now);
     cell.schedule_unrecorded(now);
-    let mut known = cell.take_known(starts);
-    known.extend(cell.take_unrecorded());
+    let mut due_starts = cell.take_known(starts);
+    due_starts.extend(cell.take_unrecorded());
     drop(cell);
     owner.send_urgent();
-    owner.send(known);
+    owner.send(due_starts);
 }
--- /dev/null
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -0,0 +1,154 @@
+//! Decides whether the owner may give orders about a VM now. The orders are recorded first, and the
+//! previous owner must no longer be able to give orders about the same VM.
+
+use super::Owner;
+use crate::entry::peer::{self, PeerRequest, PeerResponse};
+use clock::{Instant, timer};
+use jobs::Holder;
+use std::{rc::Rc, time::Duration};
+use tokio::{task, time};
+use tracing::info;
+
+/// Time for which the record of the VMs is awaited before a renewal of the lease announces the
+/// orders instead: ten times the usual duration of an append.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// Time for which such a renewal is awaited. It covers one that is in progress and the next one, of
+/// 360 ms each if the store is 89 times slower than usual.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(1_000);
+
+/// Timeout of a poll of an earlier owner's incarnation, which usually takes some ms.
+const INCARNATION_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Delay before the poll is retried, since the process may be starting.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+impl Owner {
+    /// Waits until orders about these VMs may be given. Returns false if they may not.
+    pub async fn claim_vms(self: &Rc<Self>, vms: &[&str]) -> bool {
+        if !self.is_certain() {
+            return false;
+        }
+        let relevance = self.node.settings.lease;
+        let names = vms.iter().copied();
+        let holder = self.holder();
+        let version = self
+            .cell
+            .borrow_mut()
+            .note_orders(names, &holder, Instant::now(), relevance);
+        self.wake();
+        let recorded = || self.cell.borrow().orders_durable(version);
+        if self.wait_until(RECORD_TIMEOUT, recorded).await {
+            return self.is_certain();
+        }
+        self.unrecorded_order_at.set(Some(Instant::now()));
+        self.lease_due.notify_one();
+        // A renewal that succeeded after the store became slow is enough, since each renewal
+        // repeats the announcement.
+        let announced = || recorded() || self.orders_announced.get();
+        self.wait_until(ANNOUNCEMENT_TIMEOUT, announced).await && self.is_certain()
+    }
+
+    /// Waits until a condition is met. Returns false if it is not met in time, or if this owner is
+    /// no longer certain of its lease.
+    async fn wait_until(&self, within: Duration, is_met: impl Fn() -> bool) -> bool {
+        let until = Instant::now() + within;
+        loop {
+            let change = self.state_changed.notified();
+            if is_met() {
+                return true;
+            }
+            if !self.is_certain() || timer::timeout_at(until, change).await.is_err() {
+                return false;
+            }
+        }
+    }
+
+    /// Returns whether unrecorded orders about VMs may have been given, or may be soon. The next
+    /// owner has to know for as long as they are relevant.
+    pub fn may_have_unrecorded_orders(&self) -> bool {
+        let inherited =
+            Instant::now() < self.inherited_orders_until && self.cell.borrow().doubts_all_vms();
+        let relevance = self.node.settings.lease + ANNOUNCEMENT_TIMEOUT;
+        inherited
+            || self
+                .unrecorded_order_at
+                .get()
+                .is_some_and(|at| at.elapsed() < relevance)
+    }
+
+    /// Returns whether an order of an earlier owner about a VM may still be in progress, even if
+    /// that owner's process has ended. Bounds and budgets count such a VM as one that is leaving.
+    pub fn has_unconfirmed_order(&self, vm: &str) -> bool {
+        Instant::now() < self.inherited_orders_until && self.cell.borrow().may_be_ordered(vm)
+    }
+
+    /// Returns whether a VM has to be skipped because an earlier owner that may still run may have
+    /// just given an order about it.
+    pub fn must_skip(&self, vm: &str) -> bool {
+        let are_relevant = Instant::now() < self.inherited_orders_until;
+        are_relevant
+            && self
+                .cell
+                .borrow()
+                .must_spare(vm, &self.ended_owners.borrow())
+    }
+
+    /// Returns the identity under which this owner gives orders.
+    fn holder(&self) -> Holder {
+        Holder {
+            life: self.node.incarnation,
+            address: self.node.peer_address(),
+        }
+    }
+}
+
+/// Finds out which of the earlier owners have ended, for as long as their orders are relevant.
+pub async fn watch_earlier_owners(owner: Rc<Owner>) {
+    for holder in owner.cell.borrow().earlier_holders() {
+        task::spawn_local(watch_earlier_owner(Rc::clone(&owner), holder));
+    }
+    timer::sleep_until(owner.inherited_orders_until).await;
+    owner.cell.borrow_mut().forget_holders();
+}
+
+/// Polls an earlier owner's address until an incarnation answers. If that is another one, the
+/// earlier owner has ended.
+async fn watch_earlier_owner(owner: Rc<Owner>, holder: Holder) {
+    while owner.is_alive() && Instant::now() < owner.inherited_orders_until {
+        if let Some(incarnation) = poll_incarnation(&owner, &holder).await {
+            if incarnation != holder.life {
+                info!(
+                    address = holder.address,
+                    life = incarnation,
+                    "an earlier owner has ended"
+                );
+                owner.ended_owners.borrow_mut().insert(holder.life);
+            }
+            return;
+        }
+        time::sleep(RETRY_INTERVAL).await;
+    }
+}
+
+/// Returns the incarnation that answers at an earlier owner's address, or `None` if there is no
+/// answer.
+async fn poll_incarnation(owner: &Owner, holder: &Holder) -> Option<u64> {
+    let node = &owner.node;
+    if holder.address == node.peer_address() {
+        return Some(node.incarnation);
+    }
+    match peer::call(
+        node,
+        &holder.address,
+        &PeerRequest::Incarnation,
+        Instant::now() + INCARNATION_TIMEOUT,
+    )
+    .await
+    {
+        Ok(PeerResponse::Incarnation(presence)) => Some(presence.incarnation),
+        // The process may be starting or unreachable, so that its orders count until they are no
+        // longer relevant.
+        Ok(_) | Err(_) => None,
+    }
+}
--- a/crates/havenladder/src/entry/owner/workspaces.rs
+++ b/crates/havenladder/src/entry/owner/workspaces.rs
@@ -1,4 +1,5 @@
-//! Puts what a configuration says of workspaces in force in the cell, and tells which of them wait for their bounds.
+//! Applies the configuration of workspaces to the cell, and logs which of them wait for their
+//! bounds.
 
 use super::Owner;
 use crate::entry::node::Node;
@@ -6,11 +7,12 @@
 use tracing::info;
 
 impl Owner {
-    /// Puts the bounds and weights of the newest configuration's workspaces in force, unless they are.
+    /// Applies the bounds and weights of workspaces in the newest configuration to the cell, unless
+    /// it has them already.
     pub fn update_workspaces(&self) {
         let in_force = self.node.in_force.borrow();
         let version = in_force.config().map(|config| config.version);
-        if !self.loaded.get() || self.bounds.get() == version {
+        if !self.loaded.get() || self.bounds_version.get() == version {
             return;
         }
         let workspaces = in_force.keyring().workspaces();
@@ -21,12 +23,12 @@
         cell.set_bounds(bounds);
         cell.set_weights(weights);
         drop(cell);
-        self.bounds.set(version);
+        self.bounds_version.set(version);
     }
 }
 
-/// One line for each workspace that begins or ceases to wait for its bound.
-pub fn tell_bound_waits(node: &Node, waits: Vec<BoundWait>) {
+/// Logs each workspace that starts or stops waiting for its bound.
+pub fn log_bound_waits(node: &Node, waits: Vec<BoundWait>) {
     let version = node.in_force.borrow().version();
     for BoundWait {
         workspace,
@@ -36,14 +38,14 @@
     } in waits
     {
         node.metrics.waited_for_bound(waits);
-        let most = bound.most();
+        let limits = bound.most();
         info!(
             workspace,
             waits,
             ?used,
-            ?most,
+            most = ?limits,
             version,
-            "wait for a workspace's bound"
+            "workspace starts or stops waiting for its bound"
         );
     }
 }
--- /dev/null
+++ b/crates/havenladder/src/entry/replication/mod.rs
@@ -0,0 +1,134 @@
+//! Replication of the operators' records and of the owner's lease from entry to entry.
+//!
+//! Without it each entry would read both topics from the platform's store, which takes 4 calls a
+//! second. An entry that follows another one sends it requests continuously, and each is answered
+//! as soon as there is an update. An entry whose source does not answer or knows too little reads
+//! from the store until it is assigned another source. [`fleet::Readers`] and [`fleet::Followers`]
+//! decide who reads from the store and who follows. `replication_client` sends the requests and
+//! `replication_server` answers them.
+
+mod recent;
+
+pub use recent::{Missing, Recent};
+
+use super::lease_state::Lease;
+use adapter::store::Offset;
+use clock::{Instant, timer};
+use fleet::{Address, Followers, Readers, Seeker};
+use serde::{Deserialize, Serialize};
+use serde_bytes::ByteBuf;
+use std::{cell::RefCell, time::Duration};
+use tokio::sync::Notify;
+use tracing::info;
+
+/// Maximum time for which a response without an update is held back. The owner renews its lease
+/// more often than that.
+pub const MAX_HOLD: Duration = Duration::from_millis(500);
+
+/// Time for which an entry that has just started waits for a seed before it reads from the store.
+const SEED_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// State of replication on this entry.
+#[derive(Default)]
+pub struct Replication {
+    /// Entry that this one follows. `None` while it reads from the store.
+    source: RefCell<Option<Address>>,
+    /// Notified whenever there is an update, and when the source has changed or is lost.
+    pub updated: Notify,
+    /// Most recent records of operators.
+    pub recent: RefCell<Recent>,
+    /// Entries that read from the store. Maintained while this entry owns the cell.
+    pub readers: RefCell<Readers>,
+    /// Entries that follow this one.
+    pub followers: RefCell<Followers>,
+}
+
+impl Replication {
+    /// Returns whether this entry follows another one.
+    pub fn follows(&self) -> bool {
+        self.source.borrow().is_some()
+    }
+
+    /// Waits until this entry follows no other one and reads from the store.
+    pub async fn wait_until_unfollowing(&self) {
+        loop {
+            let update = self.updated.notified();
+            if !self.follows() {
+                return;
+            }
+            update.await;
+        }
+    }
+
+    /// Waits until an entry that has just started has received its first update, or the time for it
+    /// is over. All entries may start together, and what each of them needs to know is large.
+    pub async fn wait_for_first_update(&self) {
+        let until = Instant::now() + SEED_TIMEOUT;
+        while self.recent.borrow().end().is_none() {
+            let update = self.updated.notified();
+            if timer::timeout_at(until, update).await.is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Returns the addresses of the entries that recently reported to read from the store. Only an
+    /// owner knows any.
+    pub fn known_readers(&self) -> Vec<Address> {
+        self.readers.borrow().addresses(Instant::now())
+    }
+
+    /// Sets the entry that this one follows.
+    pub fn set_source(&self, source: Option<&Address>) {
+        if self.source.borrow().as_ref() == source {
+            return;
+        }
+        info!(source, "replication source has changed");
+        *self.source.borrow_mut() = source.cloned();
+        self.updated.notify_waiters();
+    }
+}
+
+/// Request of a follower.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct Request {
+    /// Description of the follower.
+    #[serde(rename = "seeker")]
+    pub follower: Seeker,
+    /// Offset up to which the follower has the records of operators. `None` if it has none.
+    pub from: Option<Offset>,
+    /// End of the lease's log, as far as the follower knows it.
+    pub end: Offset,
+}
+
+/// Update for a follower.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Update {
+    /// Records of operators that the follower does not have.
+    pub records: Vec<ByteBuf>,
+    /// End of the topic, if `records` are the newest record of each key. `None` if they continue
+    /// what the follower has.
+    pub newest: Option<Offset>,
+    /// The lease and the end of its log, if they are newer.
+    pub lease: Option<(Lease, Offset)>,
+    /// Time for which the response was held back.
+    pub held: Duration,
+    /// Time, before the response, since which the records were known to be the newest ones.
+    pub age: Duration,
+    /// Time, before the response, since the platform or another data centre last answered.
+    #[serde(rename = "heard")]
+    pub contact_age: Duration,
+}
+
+/// Response to a follower.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Response {
+    /// There is an update.
+    #[serde(rename = "News")]
+    Update(Update),
+    /// The follower should follow this entry instead.
+    #[serde(rename = "At")]
+    Redirect(Address),
+    /// The receiver knows too little itself.
+    Nothing,
+}
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -4,7 +4,7 @@
     ends,
     losses::{give_up, give_up_runs},
     orders,
-    owner::{Fence, Owner, longest},
+    owner::{FencingToken, Owner, max_lease_duration},
     questions::{Answer, Answers, ask_worker, question},
     worker_list::{meet, note_gone},
 };
@@ -39,7 +39,7 @@
 fn note_answer(owner: &Owner, id: &str, clock: ClockMs, now: Instant) {
     if let Some(contact) = owner.contacts.borrow_mut().get_mut(id) {
         contact.clock = Some((clock, now));
-        contact.answered = Some(now);
+        contact.last_answer = Some(now);
     }
 }
 
@@ -150,7 +150,7 @@
         }
         Hearing::Over { next, began } => {
             if !owner.contacts.borrow().contains_key(&next) {
-                meet(owner, next.clone(), owner.inherited);
+                meet(owner, next.clone(), owner.inherited_leases_until);
             }
             if began {
                 note_restart(owner, &next, now);
@@ -166,9 +166,9 @@
 fn note_restart(owner: &Owner, id: &WorkerId, now: Instant) {
     info!(worker = %id, "worker has started again");
     owner.node.metrics.restarted_worker();
-    let leased = now + longest(owner.node.settings.hold);
+    let leased = now + max_lease_duration(owner.node.settings.hold);
     if let Some(contact) = owner.contacts.borrow_mut().get_mut(id) {
-        contact.leased = contact.leased.max(leased);
+        contact.lease_until = contact.lease_until.max(leased);
     }
 }
 
@@ -192,7 +192,7 @@
 fn take_failure(
     owner: &Rc<Owner>,
     id: &WorkerId,
-    fence: Fence,
+    fence: FencingToken,
     error: WorkerError,
     last: Answers,
 ) -> Watch {
@@ -202,7 +202,7 @@
             note_gone(owner, id);
             return Watch::Ends(Loss::Ended);
         }
-        WorkerError::Refused(Refusal::Fenced) if owner.has_raised(id, fence) => {
+        WorkerError::Refused(Refusal::Fenced) if owner.has_raised_token(id, fence) => {
             return Watch::Again;
         }
         WorkerError::Refused(Refusal::Fenced) => {
@@ -236,12 +236,12 @@
             .contacts
             .borrow()
             .get(worker)
-            .map_or(u64::MAX, |c| c.noted);
+            .map_or(u64::MAX, |c| c.acknowledged);
         if noted >= last {
             return;
         }
         // A timeout only means that nothing has become durable for so long.
-        let _ = time::timeout_at(until, owner.settled.notified()).await;
+        let _ = time::timeout_at(until, owner.state_changed.notified()).await;
     }
 }
 
@@ -250,7 +250,7 @@
     let contacts = owner.contacts.borrow();
     contacts
         .get(id)
-        .is_none_or(|contact| contact.leased < Instant::now())
+        .is_none_or(|contact| contact.lease_until < Instant::now())
 }
 
 /// Whether a worker may have runs.
