--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -2,10 +2,10 @@
 
 use super::{
     losses::give_up,
+    maintenance::Waves,
     moves::Moves,
     owner::Owner,
     resend::{Timeouts, until_answered},
-    upkeep::Waves,
 };
 use adapter::cloud::{self, VmState};
 use clock::Instant;
--- a/crates/havenladder/src/entry/upkeep.rs
+++ b/crates/havenladder/src/entry/maintenance.rs
@@ -4,7 +4,7 @@
     fleet::{ORDER_LOST, Vm, VmList},
     losses::give_up,
     owner::Owner,
-    vm_orders::{self, Errand, VmOrder},
+    vm_orders::{self, VmOperation, VmOrder},
     wave_status::publish,
 };
 use adapter::{
@@ -291,7 +291,7 @@
         }
     }
     ready.retain(|vm| course.down.contains_key(&vm.name));
-    let outcomes = vm_orders::give_all(owner, orders).await;
+    let outcomes = vm_orders::send_all(owner, orders).await;
     for (vm, outcome) in ready.into_iter().zip(outcomes) {
         settle(owner, wave, course, vm, outcome);
     }
@@ -349,7 +349,7 @@
     course.closing.remove(&vm.name);
     VmOrder {
         vm: vm.name.clone(),
-        errand: Errand::Upkeep(wave.number),
+        operation: VmOperation::Upkeep(wave.number),
     }
 }
 
--- a/crates/havenladder/src/entry/moves/mod.rs
+++ b/crates/havenladder/src/entry/moves/mod.rs
@@ -6,9 +6,9 @@
 use super::{
     fleet::{ORDER_LOST, Vm, VmList},
     losses::give_up,
+    maintenance::Waves,
     owner::Owner,
-    upkeep::Waves,
-    vm_orders::{self, Errand, VmOrder},
+    vm_orders::{self, VmOperation, VmOrder},
 };
 use adapter::cloud::{Ordered, VmState};
 use clock::Instant;
@@ -143,7 +143,7 @@
             .filter_map(|(shift, vm)| Some((vm, self.begin(owner, vm, shift)?)))
             .collect();
         let orders = begun.iter().map(|(_, order)| order.clone()).collect();
-        let outcomes = vm_orders::give_all(owner, orders).await;
+        let outcomes = vm_orders::send_all(owner, orders).await;
         for ((vm, _), outcome) in begun.into_iter().zip(outcomes) {
             self.settle(owner, vm, outcome);
         }
@@ -196,7 +196,7 @@
         self.moving.insert(vm.name.clone(), moving);
         Some(VmOrder {
             vm: vm.name.clone(),
-            errand: Errand::Move(shift.to.clone()),
+            operation: VmOperation::Move(shift.to.clone()),
         })
     }
 
--- a/crates/havenladder/src/entry/vm_orders.rs
+++ b/crates/havenladder/src/entry/vm_orders.rs
@@ -9,19 +9,19 @@
 
 /// What is to become of a VM.
 #[derive(Clone, Debug)]
-pub enum Errand {
+pub enum VmOperation {
     /// It is to move to this pool.
     Move(String),
     /// It is to have its upkeep in this wave.
     Upkeep(u64),
 }
 
-impl Errand {
+impl VmOperation {
     /// Its name in the metrics.
     fn name(&self) -> &'static str {
         match self {
-            Errand::Move(_) => "move",
-            Errand::Upkeep(_) => "upkeep",
+            VmOperation::Move(_) => "move",
+            VmOperation::Upkeep(_) => "upkeep",
         }
     }
 }
@@ -32,7 +32,7 @@
     /// The VM.
     pub vm: String,
     /// What is to become of it.
-    pub errand: Errand,
+    pub operation: VmOperation,
 }
 
 /// How many orders may be given now.
@@ -43,12 +43,12 @@
 /// Gives orders, all at once, and returns their outcomes in the same order: none where the platform did
 /// not answer, so that the order may still be carried out. An owner that may no longer give an order
 /// does not: that counts as one that may be tried later.
-pub async fn give_all(owner: &Rc<Owner>, orders: Vec<VmOrder>) -> Vec<Option<Ordered>> {
+pub async fn send_all(owner: &Rc<Owner>, orders: Vec<VmOrder>) -> Vec<Option<Ordered>> {
     let calls: Vec<_> = orders
         .into_iter()
         .map(|order| {
             let owner = Rc::clone(owner);
-            task::spawn_local(async move { give(&owner, &order).await })
+            task::spawn_local(async move { send(&owner, &order).await })
         })
         .collect();
     let mut outcomes = Vec::new();
@@ -60,17 +60,17 @@
 }
 
 /// Gives one order.
-async fn give(owner: &Owner, order: &VmOrder) -> Option<Ordered> {
+async fn send(owner: &Owner, order: &VmOrder) -> Option<Ordered> {
     if !owner.is_certain() {
         return Some(Ordered::Later);
     }
     owner.vm_rate.borrow_mut().take();
-    owner.node.metrics.ordered_vm(order.errand.name());
+    owner.node.metrics.ordered_vm(order.operation.name());
     let cloud = &owner.node.cloud;
-    let outcome = match &order.errand {
-        Errand::Move(pool) => cloud.move_vm(&order.vm, pool, owner.epoch).await,
-        Errand::Upkeep(wave) => cloud.upkeep(&order.vm, *wave, owner.epoch).await,
+    let outcome = match &order.operation {
+        VmOperation::Move(pool) => cloud.move_vm(&order.vm, pool, owner.epoch).await,
+        VmOperation::Upkeep(wave) => cloud.upkeep(&order.vm, *wave, owner.epoch).await,
     };
-    info!(vm = order.vm, errand = ?order.errand, epoch = owner.epoch, ?outcome, "VM ordered");
+    info!(vm = order.vm, errand = ?order.operation, epoch = owner.epoch, ?outcome, "VM ordered");
     outcome.ok()
 }
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -5,7 +5,7 @@
     losses::{give_up, give_up_runs},
     orders,
     owner::{Fence, Owner, longest},
-    questions::{Answer, Answers, ask_worker, question},
+    polls::{Answer, Answers, ask_worker, question},
     worker_list::{meet, note_gone},
 };
 use adapter::{
