--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -176,7 +176,7 @@
 fn bar(node: &Node, head: &Head, barred: Barred) -> Reply {
     let reason = barred.reason();
     let version = node.in_force.borrow().version();
-    node.metrics.barred(reason);
+    node.metrics.unauthorized(reason);
     info!(method = %head.method, path = head.path, reason, version, "not let in");
     let body = serde_json::json!({ "error": reason }).to_string();
     let mut reply = reply(StatusCode::UNAUTHORIZED, body);
--- a/crates/havenladder/src/entry/losses.rs
+++ b/crates/havenladder/src/entry/losses.rs
@@ -44,7 +44,7 @@
         "worker lost"
     );
     for task in &lost.given_up {
-        owner.node.metrics.gave_up();
+        owner.node.metrics.failed_job();
         info!(%task, worker = id, "task ends its workers; its job is given up");
     }
 }
--- a/crates/havenladder/src/entry/metrics.rs
+++ b/crates/havenladder/src/entry/metrics.rs
@@ -28,7 +28,7 @@
     ends: Counter<u64>,
     lost_workers: Counter<u64>,
     lost_runs: Counter<u64>,
-    given_up: Counter<u64>,
+    failed_jobs: Counter<u64>,
     appends: Histogram<f64>,
     rounds: Histogram<f64>,
     lags: Histogram<f64>,
@@ -37,10 +37,10 @@
     restarted_workers: Counter<u64>,
     owners: Counter<u64>,
     suspensions: Counter<u64>,
-    barred: Counter<u64>,
+    unauthorized: Counter<u64>,
     bound_waits: Counter<u64>,
-    hopeless: Counter<u64>,
-    left_halls: Counter<u64>,
+    too_late: Counter<u64>,
+    drained_runs: Counter<u64>,
     store_calls: Counter<u64>,
     resends: Counter<u64>,
     reads: Counter<u64>,
@@ -77,7 +77,7 @@
             ends: meter.u64_counter("havenladder_ends").build(),
             lost_workers: meter.u64_counter("havenladder_lost_workers").build(),
             lost_runs: meter.u64_counter("havenladder_lost_runs").build(),
-            given_up: meter.u64_counter("havenladder_given_up").build(),
+            failed_jobs: meter.u64_counter("havenladder_given_up").build(),
             appends: seconds("havenladder_append_seconds"),
             rounds: seconds("havenladder_round_seconds"),
             lags: seconds("havenladder_lag_seconds"),
@@ -86,10 +86,10 @@
             odd_ends: meter.u64_counter("havenladder_odd_ends").build(),
             restarted_workers: meter.u64_counter("havenladder_restarted_workers").build(),
             suspensions: meter.u64_counter("havenladder_suspensions").build(),
-            barred: meter.u64_counter("havenladder_barred_calls").build(),
+            unauthorized: meter.u64_counter("havenladder_barred_calls").build(),
             bound_waits: meter.u64_counter("havenladder_bound_waits").build(),
-            left_halls: meter.u64_counter("havenladder_left_data_centres").build(),
-            hopeless: meter.u64_counter("havenladder_hopeless_jobs").build(),
+            drained_runs: meter.u64_counter("havenladder_left_data_centres").build(),
+            too_late: meter.u64_counter("havenladder_hopeless_jobs").build(),
             store_calls: meter.u64_counter("havenladder_store_calls").build(),
             resends: meter.u64_counter("havenladder_store_resends").build(),
             reads: meter.u64_counter("havenladder_store_reads").build(),
@@ -126,8 +126,8 @@
     }
 
     /// Counts a job that was given up because a task of it ends its workers.
-    pub fn gave_up(&self) {
-        self.given_up.add(1, &[]);
+    pub fn failed_job(&self) {
+        self.failed_jobs.add(1, &[]);
     }
 
     /// Notes how long records took to be durable.
@@ -146,7 +146,7 @@
     }
 
     /// Counts that this entry gained the cell, or lost it.
-    pub fn owned(&self, change: &'static str) {
+    pub fn ownership_changed(&self, change: &'static str) {
         self.owners.add(1, &[KeyValue::new("change", change)]);
     }
 
@@ -167,18 +167,18 @@
     }
 
     /// Counts a call that was not let in for its key.
-    pub fn barred(&self, reason: &'static str) {
-        self.barred.add(1, &[KeyValue::new("reason", reason)]);
+    pub fn unauthorized(&self, reason: &'static str) {
+        self.unauthorized.add(1, &[KeyValue::new("reason", reason)]);
     }
 
     /// Counts a job that was refused because it would be done too late.
-    pub fn refused_hopeless(&self) {
-        self.hopeless.add(1, &[]);
+    pub fn rejected_too_late(&self) {
+        self.too_late.add(1, &[]);
     }
 
     /// Counts runs that leave a data centre that is to be emptied.
-    pub fn left_halls(&self, runs: usize) {
-        self.left_halls.add(runs as u64, &[]);
+    pub fn drained_runs(&self, runs: usize) {
+        self.drained_runs.add(runs as u64, &[]);
     }
 
     /// Counts that a workspace begins, or ceases, to wait for its bound.
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -35,7 +35,7 @@
 /// Begins to own the cell, by a record that others may have read since `since`.
 pub fn start(node: &Rc<Node>, epoch: u64, before: Predecessor, since: Instant) -> Rc<Owner> {
     let owner = Rc::new(Owner::new(node, epoch, before, since, orders::send_all));
-    node.metrics.owned("gained");
+    node.metrics.ownership_changed("gained");
     info!(epoch, ?before, "owns the cell");
     *node.owner.borrow_mut() = Some(Rc::clone(&owner));
     task::spawn_local(run(Rc::clone(&owner)));
--- a/crates/havenladder/src/entry/owner/answer.rs
+++ b/crates/havenladder/src/entry/owner/answer.rs
@@ -100,7 +100,7 @@
             }
         }
         if let Some(ms) = self.foresee(&given) {
-            self.node.metrics.refused_hopeless();
+            self.node.metrics.rejected_too_late();
             info!(
                 job,
                 ms,
--- a/crates/havenladder/src/entry/owner/evacuations.rs
+++ b/crates/havenladder/src/entry/owner/evacuations.rs
@@ -26,7 +26,7 @@
         let stopped = self.cell.borrow_mut().empty_halls(Instant::now());
         if stopped > 0 {
             let left = self.cell.borrow().left_behind();
-            self.node.metrics.left_halls(stopped);
+            self.node.metrics.drained_runs(stopped);
             info!(
                 stopped,
                 left, "runs leave data centres that are to be emptied"
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -269,7 +269,7 @@
     /// Ends it: it decides and orders nothing any more.
     pub fn end(&self, why: &str) {
         if self.alive.replace(false) {
-            self.node.metrics.owned("lost");
+            self.node.metrics.ownership_changed("lost");
             info!(epoch = self.epoch, why, "owns the cell no longer");
             self.wake.notify_one();
             self.settled.notify_waiters();
