--- a/crates/havenladder/src/entry/ends.rs
+++ b/crates/havenladder/src/entry/ends.rs
@@ -15,7 +15,7 @@
         let (task, run, number, how) = (end.task, end.run, end.number, end.how);
         if number > host.noted {
             info!(%task, run, worker, number, ?how, "ended");
-            owner.node.metrics.ended(name(how));
+            owner.node.metrics.ended(end_name(how));
         } else if host.runs.contains_key(&(task, run)) {
             let noted = host.noted;
             warn!(%task, run, worker, number, noted, ?how, "end of a run that goes on is passed over");
@@ -25,7 +25,7 @@
 }
 
 /// Logs and counts runs that a worker had, and of which it lists neither a row nor an end.
-pub fn log_vanished(owner: &Owner, worker: &str, runs: &[(TaskId, RunId)]) {
+pub fn log_missing(owner: &Owner, worker: &str, runs: &[(TaskId, RunId)]) {
     for (task, run) in runs {
         warn!(%task, run, worker, "run is gone without an end");
         owner.node.metrics.odd_end("vanished");
@@ -33,7 +33,7 @@
 }
 
 /// The name of an end in the metrics.
-fn name(how: How) -> &'static str {
+fn end_name(how: How) -> &'static str {
     match how {
         How::Done => "done",
         How::Failed => "failed",
--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -1,7 +1,7 @@
-//! The VMs: their list, and what the owner does about them, one look after the other.
+//! The owner's VM control loop: reads the platform's list of VMs and decides on maintenance and moves between pools.
 
 use super::{
-    losses::give_up,
+    losses::abandon_worker,
     maintenance::Waves,
     moves::Moves,
     owner::Owner,
@@ -18,29 +18,29 @@
 use tokio::time;
 use tracing::info;
 
-/// A VM, with the life of the worker that it has.
+/// A VM and the incarnation of its worker.
 #[derive(Clone, Debug)]
 pub struct Vm {
-    /// Its name.
+    /// The VM's name.
     pub name: String,
-    /// Its pool.
+    /// The VM's pool.
     pub pool: String,
-    /// How it is.
+    /// The VM's state as listed by the platform.
     pub state: VmState,
-    /// Its data centre.
+    /// The data centre that the VM is in.
     pub hall: HallId,
-    /// Its room.
+    /// The VM's resource capacity.
     pub capacity: Need,
-    /// The worker that runs on it, if any: the life that counts by what is known, or the name alone of one that is not
-    /// known. The platform's list tells the name, under which the next life goes on.
+    /// The worker that runs on the VM, if any. This is the worker's current incarnation, or its bare name if no
+    /// incarnation is known: the platform's list has only the name, which later incarnations keep.
     pub worker: Option<WorkerId>,
 }
 
 impl Vm {
-    /// A VM of the platform's list, as the owner knows its worker.
-    fn of(listed: cloud::Vm, owner: &Owner) -> Self {
+    /// Converts a VM of the platform's list and looks up the current incarnation of its worker.
+    fn from_listed(listed: cloud::Vm, owner: &Owner) -> Self {
         let cell = owner.cell.borrow();
-        let life = |name: WorkerName| {
+        let incarnation = |name: WorkerName| {
             let current = cell.current_life(&name).cloned();
             current.unwrap_or_else(|| WorkerId::new(&name, None))
         };
@@ -50,11 +50,11 @@
             state: listed.state,
             hall: listed.hall,
             capacity: listed.capacity,
-            worker: listed.worker.map(life),
+            worker: listed.worker.map(incarnation),
         }
     }
 
-    /// Whether it is up and has the worker that it had, and not another life of it.
+    /// Returns whether the VM is up and may still run this incarnation of a worker or, for `None`, still has no worker.
     pub fn is_up_with(&self, worker: Option<&WorkerId>) -> bool {
         let same = match (&self.worker, worker) {
             (Some(now), Some(then)) => now.may_be(then),
@@ -65,98 +65,103 @@
     }
 }
 
-/// The VMs by name.
+/// VMs by name.
 pub type VmList = BTreeMap<String, Vm>;
 
-/// Time between two looks at what the pools need.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two rounds of decisions about VMs.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Age of the list at which it is read again while VMs are on their way or down: these take 1.5 to
-/// 2 s, and each reading has a price.
-const BUSY_LIST_AGE: Duration = Duration::from_millis(250);
+/// Age at which the list is read again while VMs are being moved or are down. These phases take 1.5 s to 2 s, and
+/// each read has a cost.
+const MAX_BUSY_LIST_AGE: Duration = Duration::from_millis(250);
 
-/// Age of the list at which it is read again in any case.
-const CALM_LIST_AGE: Duration = Duration::from_millis(3_000);
+/// Age at which the list is read again when no VM is being moved or is down.
+const MAX_LIST_AGE: Duration = Duration::from_millis(3_000);
 
-/// How long the list of VMs must not have named a silent worker until what ran there has ended for
-/// certain: a list may be some 100 ms old, and a worker that has just begun may not be in it yet.
-const ABSENT: Duration = Duration::from_millis(1_500);
+/// Time for which a silent worker must be missing from the list of VMs before its runs count as ended. A list may be
+/// about 100 ms old, and a worker that has just started may not be in it yet.
+const ABSENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long an order without an answer, or with one that the list doesn't show, is waited for: orders
-/// may be carried out 12 s late.
-pub const ORDER_LOST: Duration = Duration::from_millis(13_000);
+/// Time after which an order counts as not carried out if it got no response, or if the list shows no effect of it.
+/// Orders may be carried out up to 12 s late.
+pub const ORDER_TIMEOUT: Duration = Duration::from_millis(13_000);
 
-/// How long the list is asked for again without an answer. Without it no VM is ordered.
-const LIST: Timeouts = Timeouts {
+/// Timeouts for reading the list, which is requested again until it arrives. No VM is ordered without the list.
+const LIST_TIMEOUTS: Timeouts = Timeouts {
     hold: Duration::ZERO,
     limit: Duration::from_millis(1_500),
 };
 
-/// Reads the list of VMs; none if the platform turned the call away or did not answer.
+/// Reads the list of VMs. Returns `None` if the platform rejected the call or did not respond.
 async fn read_list(owner: &Owner) -> Option<Vec<cloud::Vm>> {
     owner.node.metrics.read("vms");
     let send = |connection| {
         let cloud = owner.node.cloud.over(connection);
         async move { cloud.vms().await }
     };
-    let answered = until_answered(&owner.node.list_times, LIST, send).await;
-    if let Err(error) = answered.outcome {
-        info!(%error, calls = answered.calls, "no list of VMs");
+    let response = until_answered(&owner.node.list_times, LIST_TIMEOUTS, send).await;
+    if let Err(error) = response.outcome {
+        info!(%error, calls = response.calls, "could not read the list of VMs");
     }
-    answered.outcome.ok().flatten()
+    response.outcome.ok().flatten()
 }
 
-/// Runs until the owner ends.
+/// Runs the VM control loop until the owner ends.
 pub async fn run(owner: Rc<Owner>) {
     expect_workers(&owner).await;
     let mut waves = Waves::default();
     let mut moves = Moves::default();
     let mut list = VmList::new();
-    let mut read: Option<Instant> = None;
+    let mut read_at: Option<Instant> = None;
     let mut absences = Absences::default();
     while owner.is_alive() {
-        let busy = waves.is_open(&owner) || moves.is_open() || !absences.is_settled(&owner);
-        let age = if busy { BUSY_LIST_AGE } else { CALM_LIST_AGE };
-        let began = Instant::now();
-        if read.is_none_or(|at| at.elapsed() >= age)
+        let busy = waves.is_open(&owner) || moves.is_open() || !absences.none_silent(&owner);
+        let age = if busy {
+            MAX_BUSY_LIST_AGE
+        } else {
+            MAX_LIST_AGE
+        };
+        let asked = Instant::now();
+        if read_at.is_none_or(|at| at.elapsed() >= age)
             && let Some(vms) = read_list(&owner).await
         {
-            let vms = vms.into_iter().map(|vm| Vm::of(vm, &owner));
+            let vms = vms.into_iter().map(|vm| Vm::from_listed(vm, &owner));
             list = vms.map(|vm| (vm.name.clone(), vm)).collect();
-            read = Some(Instant::now());
-            absences.see(&owner, &list, began);
-            doubt_workers(&owner, &list);
-            moves.see(&owner, &list);
+            read_at = Some(Instant::now());
+            absences.abandon_absent(&owner, &list, asked);
+            mark_unconfirmed_workers(&owner, &list);
+            moves.apply_list(&owner, &list);
             if waves.advance(&owner, &list).await {
-                read = None;
+                read_at = None;
                 continue;
             }
         }
         owner.empty_halls();
-        if read.is_some() {
+        if read_at.is_some() {
             moves.advance(&owner, &list, &waves).await;
         }
-        time::sleep(LOOK_INTERVAL).await;
+        time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Workers that do not answer and that no VM in the list of VMs has.
+/// Silent workers that are missing from the list of VMs.
 #[derive(Default)]
 struct Absences {
-    /// Since when the list of VMs has named none with each of them.
+    /// The time since which each of these workers has been missing from the list.
     since: BTreeMap<WorkerId, Instant>,
 }
 
 impl Absences {
-    /// Whether every worker that may have runs answers.
-    fn is_settled(&self, owner: &Owner) -> bool {
+    /// Returns whether every worker that may have runs is responding.
+    fn none_silent(&self, owner: &Owner) -> bool {
         owner.cell.borrow().silent_workers().is_empty()
     }
 
-    /// Gives up the silent workers that a new list of VMs, asked for at `asked`, does not name, as earlier ones did not: a
-    /// worker belongs to its VM, so that what ran there has ended. One list does for a worker whose port had refused a
-    /// connection by then. Where the list names a worker, its own answers tell which life of it goes on.
-    fn see(&mut self, owner: &Rc<Owner>, list: &VmList, asked: Instant) {
+    /// Abandons silent workers that are missing from the list requested at `asked` and from earlier lists for
+    /// [`ABSENCE_TIMEOUT`]. A worker never outlives its VM, so its runs have ended. One list is enough if the
+    /// worker's port had already refused a connection by `asked`. For listed workers, their own responses show which
+    /// incarnation is running.
+    fn abandon_absent(&mut self, owner: &Rc<Owner>, list: &VmList, asked: Instant) {
         let silent = owner.cell.borrow().silent_workers();
         let named: HashSet<&str> = list
             .values()
@@ -169,20 +174,20 @@
         for id in absent {
             let since = *self.since.entry(id.clone()).or_insert(now);
             let refused = owner.cell.borrow().has_refused(&id, asked);
-            if refused || now >= since + ABSENT {
-                info!(worker = %id, "silent worker is on no VM any more");
-                give_up(owner, &id, Loss::Ended);
+            if refused || now >= since + ABSENCE_TIMEOUT {
+                info!(worker = %id, "no VM has the silent worker any more");
+                abandon_worker(owner, &id, Loss::Ended);
             }
         }
     }
 }
 
-/// Tells the cell which workers' VMs may be about to go by an order of an earlier owner.
-fn doubt_workers(owner: &Owner, list: &VmList) {
+/// Tells the cell which workers' VMs may still be taken down by an order of an earlier owner.
+fn mark_unconfirmed_workers(owner: &Owner, list: &VmList) {
     for vm in list.values() {
         if let Some(worker) = &vm.worker {
-            let doubted = owner.is_doubtful(&vm.name);
-            owner.cell.borrow_mut().doubt_worker(worker, doubted);
+            let unconfirmed = owner.is_doubtful(&vm.name);
+            owner.cell.borrow_mut().doubt_worker(worker, unconfirmed);
         }
     }
 }
@@ -196,6 +201,6 @@
             owner.cell.borrow_mut().expect_workers(workers);
             return owner.wake();
         }
-        time::sleep(BUSY_LIST_AGE).await;
+        time::sleep(MAX_BUSY_LIST_AGE).await;
     }
 }
--- a/crates/havenladder/src/entry/losses.rs
+++ b/crates/havenladder/src/entry/losses.rs
@@ -8,44 +8,49 @@
 
 /// How many runs of a lost worker a line names: the youngest, since what begins ends a worker more often than what
 /// has gone on for seconds. A line for each of 25 runs would be the larger part of an owner's log.
-const NAMED: usize = 4;
+const MAX_NAMED_RUNS: usize = 4;
 
 /// Gives a worker up: its runs are free to be started elsewhere.
-pub fn give_up(owner: &Rc<Owner>, id: &str, loss: Loss) {
+pub fn abandon_worker(owner: &Rc<Owner>, id: &str, loss: Loss) {
     let now = Instant::now();
     let lost = owner.cell.borrow_mut().lose_worker(id, loss, now);
     if let Some(lost) = lost {
-        tell(owner, id, &lost);
+        log_loss(owner, id, &lost);
     }
     owner.wake();
 }
 
 /// Gives up the runs of a worker whose lease has run out; the worker may only be cut off.
-pub fn give_up_runs(owner: &Rc<Owner>, id: &str) {
+pub fn abandon_runs(owner: &Rc<Owner>, id: &str) {
     let lost = owner.cell.borrow_mut().lapse_worker(id, Instant::now());
     if let Some(lost) = lost {
-        tell(owner, id, &lost);
+        log_loss(owner, id, &lost);
     }
     owner.wake();
 }
 
 /// Logs and counts the loss of a worker.
-fn tell(owner: &Owner, id: &str, lost: &LostWorker) {
+fn log_loss(owner: &Owner, id: &str, lost: &LostWorker) {
     owner
         .node
         .metrics
-        .lost_worker(name(lost.ending), lost.runs.len());
-    let youngest: Vec<String> = lost.runs.iter().take(NAMED).map(describe).collect();
+        .lost_worker(ending_name(lost.ending), lost.runs.len());
+    let youngest: Vec<String> = lost
+        .runs
+        .iter()
+        .take(MAX_NAMED_RUNS)
+        .map(describe)
+        .collect();
     info!(
         worker = id,
-        ending = name(lost.ending),
+        ending = ending_name(lost.ending),
         runs = lost.runs.len(),
         ?youngest,
         "worker lost"
     );
     for task in &lost.given_up {
         owner.node.metrics.failed_job();
-        info!(%task, worker = id, "task ends its workers; its job is given up");
+        info!(%task, worker = id, "task crashes its workers; its job has failed");
     }
 }
 
@@ -65,7 +70,7 @@
 }
 
 /// The name of an ending in logs and metrics.
-fn name(ending: Ending) -> &'static str {
+fn ending_name(ending: Ending) -> &'static str {
     match ending {
         Ending::Ordered => "ordered",
         Ending::Announced => "announced",
--- a/crates/havenladder/src/entry/metrics.rs
+++ b/crates/havenladder/src/entry/metrics.rs
@@ -17,7 +17,7 @@
 pub const PORT: u16 = 9_460;
 
 /// Bounds of the latencies, in seconds: an answer takes 10 ms as a rule, and 3 s at the most.
-const BOUNDS: [f64; 10] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0];
+const BUCKETS_SECONDS: [f64; 10] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0];
 
 /// What an entry counts; docs/OPERATIONS.md names each.
 pub struct Metrics {
@@ -59,7 +59,7 @@
         let mut builder = SdkMeterProvider::builder();
         match exporter {
             Ok(exporter) => builder = builder.with_reader(exporter),
-            Err(error) => warn!(%error, "metrics are not told"),
+            Err(error) => warn!(%error, "metrics are not exported"),
         }
         let provider = builder.build();
         let meter = provider.meter("havenladder");
@@ -67,7 +67,7 @@
             meter
                 .f64_histogram(name)
                 .with_unit("s")
-                .with_boundaries(BOUNDS.to_vec())
+                .with_boundaries(BUCKETS_SECONDS.to_vec())
                 .build()
         };
         Metrics {
@@ -192,13 +192,14 @@
     }
 
     /// Counts an append to the store, and how often it was sent again.
-    pub fn store_called(&self, matter: &'static str, outcome: &'static str, again: u64) {
+    pub fn store_called(&self, matter: &'static str, outcome: &'static str, resends: u64) {
         let labels = [
             KeyValue::new("matter", matter),
             KeyValue::new("outcome", outcome),
         ];
         self.store_calls.add(1, &labels);
-        self.resends.add(again, &[KeyValue::new("matter", matter)]);
+        self.resends
+            .add(resends, &[KeyValue::new("matter", matter)]);
     }
 
     /// Counts a read of a topic of the store, or of the list of VMs.
@@ -225,13 +226,13 @@
 pub async fn listen(metrics: Rc<Metrics>, listener: TcpListener) {
     let serve = |stream| {
         let metrics = Rc::clone(&metrics);
-        listen::serve(stream, move |_| tell(Rc::clone(&metrics)))
+        listen::serve(stream, move |_| respond(Rc::clone(&metrics)))
     };
     // A scraper that found no connection asks again.
     accept_each(listener, drop, serve).await;
 }
 
 /// The metrics, as a reply.
-async fn tell(metrics: Rc<Metrics>) -> Reply {
+async fn respond(metrics: Rc<Metrics>) -> Reply {
     Response::new(Full::new(metrics.text().into()))
 }
--- a/crates/havenladder/src/entry/moves/demands.rs
+++ b/crates/havenladder/src/entry/moves/demands.rs
@@ -1,6 +1,6 @@
 //! What each pool needs, and which of its VMs could go.
 
-use super::{Moves, Round, drain::EMPTYING};
+use super::{Moves, Round, drain::MAX_DRAIN_TIME};
 use crate::entry::{fleet::Vm, owner::Owner};
 use adapter::cloud::VmState;
 use clock::Instant;
@@ -10,7 +10,7 @@
 
 /// Over how long the highest use of a pool counts: half a run of the usual kind. Over 1.5 s, pools kept VMs of a
 /// peak that was past.
-const PEAK: Duration = Duration::from_millis(800);
+const PEAK_WINDOW: Duration = Duration::from_millis(800);
 
 impl Moves {
     /// What each pool needs, and which of its VMs are idle.
@@ -29,36 +29,37 @@
                 unknown: !asked.begun,
                 ..PoolDemand::default()
             };
-            let mut there = There::default();
+            let mut present = PoolVms::default();
             for vm in round.list.values() {
-                self.count(round, &mut pool, &mut there, vm);
+                self.count(round, &mut pool, &mut present, vm);
             }
-            if there.room == Need::default() {
+            if present.largest == Need::default() {
                 // A pool that has lost all its VMs gets such as the others have.
-                there.room = largest;
+                present.largest = largest;
             }
             let peak = self.peak(&service.name, asked.busy, round.now);
-            measure(&mut pool, &asked, peak, &there);
+            set_demand(&mut pool, &asked, peak, &present);
             pool.idle.sort_by_key(|vm| vm.since);
             pools.push(pool);
         }
-        look_ahead(round.owner, &pools);
+        report_capacity(round.owner, &pools);
         pools
     }
 
     /// The highest use of a pool of late.
     fn peak(&mut self, pool: &str, busy: Need, now: Instant) -> Need {
-        let used = self.used.entry(pool.to_owned()).or_default();
-        used.push_back((now, busy));
-        while used.front().is_some_and(|(at, _)| *at + PEAK < now) {
-            used.pop_front();
+        let usage = self.usage.entry(pool.to_owned()).or_default();
+        usage.push_back((now, busy));
+        while usage.front().is_some_and(|(at, _)| *at + PEAK_WINDOW < now) {
+            usage.pop_front();
         }
-        used.iter()
+        usage
+            .iter()
             .fold(Need::default(), |peak, (_, busy)| peak.max(*busy))
     }
 
     /// Counts a VM for a pool, if it is there or on its way to it.
-    fn count(&mut self, round: Round<'_>, pool: &mut PoolDemand, there: &mut There, vm: &Vm) {
+    fn count(&mut self, round: Round<'_>, pool: &mut PoolDemand, present: &mut PoolVms, vm: &Vm) {
         if let Some(moving) = self.moving.get(&vm.name) {
             pool.vms += usize::from(moving.to == pool.pool);
             return;
@@ -67,11 +68,11 @@
             return;
         }
         pool.vms += 1;
-        there.room = there.room.max(room_of(round.owner, vm));
-        if vm.state != VmState::Up || round.waves.holds(&vm.name) {
+        present.largest = present.largest.max(capacity_of(round.owner, vm));
+        if vm.state != VmState::Up || round.waves.is_disrupting(&vm.name) {
             return;
         }
-        there.up += 1;
+        present.up += 1;
         let since = if pool.reserve {
             Some(round.now)
         } else {
@@ -84,13 +85,13 @@
     }
 
     /// Finds the VMs that could be emptied. This looks at every run, and is only done where a pool lacks VMs.
-    pub(super) fn find_loose(&self, round: Round<'_>, pools: &mut [PoolDemand]) {
+    pub(super) fn find_drainable(&self, round: Round<'_>, pools: &mut [PoolDemand]) {
         for pool in pools.iter_mut().filter(|pool| !pool.reserve) {
             let of_pool = |vm: &&Vm| {
                 let may_go = vm.state == VmState::Up
                     && !self.moving.contains_key(&vm.name)
                     && !round.owner.cell.borrow().is_emptied(&vm.hall);
-                may_go && vm.pool == pool.pool && !round.waves.holds(&vm.name)
+                may_go && vm.pool == pool.pool && !round.waves.is_disrupting(&vm.name)
             };
             let is_idle = |vm: &&Vm| self.idle.contains_key(&vm.name);
             let busy = round
@@ -99,13 +100,13 @@
                 .filter(of_pool)
                 .filter(|vm| !is_idle(vm));
             pool.loose = busy
-                .filter_map(|vm| self.loose(round.owner, vm, round.now))
+                .filter_map(|vm| self.drainable(round.owner, vm, round.now))
                 .collect();
         }
     }
 
     /// What a VM carries, if all of it ends by itself and the VM may be emptied.
-    fn loose(&self, owner: &Owner, vm: &Vm, now: Instant) -> Option<LooseVm> {
+    fn drainable(&self, owner: &Owner, vm: &Vm, now: Instant) -> Option<LooseVm> {
         if self.stuck.get(&vm.name).is_some_and(|until| now < *until) {
             return None;
         }
@@ -116,7 +117,7 @@
             return None;
         }
         let free = now + cell.time_left(&worker.info.id, now);
-        (draining || free <= now + EMPTYING).then(|| LooseVm {
+        (draining || free <= now + MAX_DRAIN_TIME).then(|| LooseVm {
             vm: vm.name.clone(),
             free,
             draining,
@@ -129,8 +130,8 @@
         let cell = owner.cell.borrow();
         let draining = self.draining.contains_key(&vm.name);
         let idle = cell.workers.get(id).is_some_and(|w| {
-            let emptied = draining && w.known && !w.taken && !w.info.draining;
-            w.runs.is_empty() && (emptied || w.is_open(now))
+            let drained = draining && w.known && !w.taken && !w.info.draining;
+            w.runs.is_empty() && (drained || w.is_open(now))
         });
         if !idle {
             self.idle.remove(&vm.name);
@@ -141,7 +142,7 @@
 }
 
 /// Tells the cell what each pool can have: its VMs, and those that stand idle elsewhere.
-fn look_ahead(owner: &Owner, pools: &[PoolDemand]) {
+fn report_capacity(owner: &Owner, pools: &[PoolDemand]) {
     let idle: usize = pools.iter().map(|pool| pool.idle.len()).sum();
     let mut cell = owner.cell.borrow_mut();
     for pool in pools.iter().filter(|pool| !pool.reserve) {
@@ -151,7 +152,7 @@
 }
 
 /// The room of a VM: what its worker says of itself goes first, since it may shrink while the worker runs.
-fn room_of(owner: &Owner, vm: &Vm) -> Need {
+fn capacity_of(owner: &Owner, vm: &Vm) -> Need {
     let cell = owner.cell.borrow();
     let worker = vm.worker.as_ref().and_then(|id| cell.workers.get(id));
     worker.map_or(vm.capacity, |worker| worker.info.capacity)
@@ -159,33 +160,33 @@
 
 /// What a pool has in the list of VMs.
 #[derive(Default)]
-struct There {
+struct PoolVms {
     /// How many VMs are up.
     up: usize,
     /// The room of the largest VM.
-    room: Need,
+    largest: Need,
 }
 
 /// Sets what a pool's jobs ask for, in the resource of which they fill the most VMs: in thousandths of a core,
 /// or in what is as large a part of a VM's memory or accelerators. Lasting tasks that find no room get VMs of
 /// their own, however much is free in sum; VMs on their way are for them.
-fn measure(pool: &mut PoolDemand, asked: &Demand, peak: Need, there: &There) {
+fn set_demand(pool: &mut PoolDemand, asked: &Demand, peak: Need, present: &PoolVms) {
     let mut all = peak;
     all.add(asked.waiting);
-    let scarcest = all.max(asked.inflow).scarcest(there.room);
-    let cores = |need: Need| match there.room.of(scarcest) {
+    let scarcest = all.max(asked.inflow).scarcest(present.largest);
+    let cores = |need: Need| match present.largest.of(scarcest) {
         0 => need.cpu,
-        whole => need.of(scarcest) * there.room.cpu / whole,
+        capacity => need.of(scarcest) * present.largest.cpu / capacity,
     };
-    pool.room = there.room.cpu;
+    pool.room = present.largest.cpu;
     pool.busy = cores(peak);
     pool.running = cores(asked.busy);
     pool.waiting = cores(asked.waiting);
     pool.late = cores(asked.late);
     pool.inflow = cores(asked.inflow);
     pool.ahead = cores(asked.ahead);
-    pool.least = match asked.roomless.workers(there.room) {
+    pool.least = match asked.roomless.workers(present.largest) {
         0 => asked.spread,
-        more => asked.spread.max(there.up + more),
+        more => asked.spread.max(present.up + more),
     };
 }
--- a/crates/havenladder/src/entry/moves/drain.rs
+++ b/crates/havenladder/src/entry/moves/drain.rs
@@ -8,32 +8,34 @@
 
 /// How long a VM may take to be emptied, as foreseen and in fact: a VM's way to another pool takes 1.5 s,
 /// and room that stands empty for longer does more good where it is.
-pub(super) const EMPTYING: Duration = Duration::from_millis(2_000);
+pub(super) const MAX_DRAIN_TIME: Duration = Duration::from_millis(2_000);
 
 /// How long a VM that took longer is left alone.
-const STUCK_REST: Duration = Duration::from_millis(4_000);
+const STUCK_RETRY_INTERVAL: Duration = Duration::from_millis(4_000);
 
 impl Moves {
     /// Keeps new runs off the VMs that are to be emptied, and off those that have been and are to go now;
     /// lets them come again to the others.
     pub(super) fn drain(&mut self, round: Round<'_>, plan: &Resize) {
-        let late = self.leave_late(round.now);
+        let late = self.skip_stuck(round.now);
         let going = plan.shifts.iter().map(|shift| &shift.vm);
-        let emptied = going.filter(|name| self.draining.contains_key(*name));
-        let emptying = plan.drains.iter().filter(|name| !late.contains(name));
-        let wanted: Vec<&String> = emptying.chain(emptied).collect();
+        let drained = going.filter(|name| self.draining.contains_key(*name));
+        let draining = plan.drains.iter().filter(|name| !late.contains(name));
+        let wanted: Vec<&String> = draining.chain(drained).collect();
         self.reopen_others(round, &wanted);
-        self.empty(round, &wanted);
+        self.begin_drains(round, &wanted);
     }
 
     /// Leaves the VMs alone for a while that took too long to be emptied, and returns them.
-    fn leave_late(&mut self, now: Instant) -> Vec<String> {
-        let stuck = |since: &Instant| now >= *since + EMPTYING;
+    fn skip_stuck(&mut self, now: Instant) -> Vec<String> {
+        let stuck = |since: &Instant| now >= *since + MAX_DRAIN_TIME;
         let late = self.draining.iter().filter(|(_, since)| stuck(since));
         let late: Vec<String> = late.map(|(vm, _)| vm.clone()).collect();
         self.stuck.retain(|_, until| now < *until);
-        self.stuck
-            .extend(late.iter().map(|vm| (vm.clone(), now + STUCK_REST)));
+        self.stuck.extend(
+            late.iter()
+                .map(|vm| (vm.clone(), now + STUCK_RETRY_INTERVAL)),
+        );
         late
     }
 
@@ -44,21 +46,24 @@
         let ended: Vec<String> = others.cloned().collect();
         for name in ended {
             self.draining.remove(&name);
-            if let Some(id) = round.worker(&name).filter(|_| !round.waves.holds(&name)) {
+            if let Some(id) = round
+                .worker(&name)
+                .filter(|_| !round.waves.is_disrupting(&name))
+            {
                 cell.close_worker(id, false);
             }
         }
     }
 
     /// Begins to empty the VMs among these that are not being emptied yet.
-    fn empty(&mut self, round: Round<'_>, wanted: &[&String]) {
+    fn begin_drains(&mut self, round: Round<'_>, wanted: &[&String]) {
         let mut cell = round.owner.cell.borrow_mut();
         for &name in wanted {
             let id = round.worker(name);
             if let Some(id) = id.filter(|_| !self.draining.contains_key(name)) {
                 cell.close_worker(id, true);
                 let moved = cell.evacuate(id, round.now);
-                info!(vm = name, worker = %id, moved, "VM is emptied");
+                info!(vm = name, worker = %id, moved, "VM is being drained");
                 self.draining.insert(name.clone(), round.now);
             }
         }
--- a/crates/havenladder/src/entry/moves/mod.rs
+++ b/crates/havenladder/src/entry/moves/mod.rs
@@ -4,8 +4,8 @@
 mod drain;
 
 use super::{
-    fleet::{ORDER_LOST, Vm, VmList},
-    losses::give_up,
+    fleet::{ORDER_TIMEOUT, Vm, VmList},
+    losses::abandon_worker,
     maintenance::Waves,
     owner::Owner,
     vm_orders::{self, VmOperation, VmOrder},
@@ -36,11 +36,11 @@
     /// VMs that took too long to be emptied, and until when they are left alone.
     stuck: BTreeMap<String, Instant>,
     /// What the pools have used of late, and when.
-    used: BTreeMap<String, VecDeque<(Instant, Need)>>,
+    usage: BTreeMap<String, VecDeque<(Instant, Need)>>,
     /// When the pools were last logged.
-    told: Option<Instant>,
+    last_logged: Option<Instant>,
     /// Moves that the platform does not allow: from which pool, to which.
-    barred: BTreeSet<(String, String)>,
+    rejected: BTreeSet<(String, String)>,
 }
 
 /// What one round of decisions about VMs looks at.
@@ -78,7 +78,7 @@
     }
 
     /// Draws from a new list what became of the moves.
-    pub fn see(&mut self, owner: &Rc<Owner>, list: &VmList) {
+    pub fn apply_list(&mut self, owner: &Rc<Owner>, list: &VmList) {
         for (name, moving) in &mut self.moving {
             let Some(vm) = list.get(name) else { continue };
             // The worker may be back under its id before another life of it is known to answer.
@@ -87,7 +87,7 @@
             if left && !moving.confirmed {
                 moving.confirmed = true;
                 if let Some(id) = &moving.worker {
-                    give_up(owner, id, Loss::Ordered);
+                    abandon_worker(owner, id, Loss::Ordered);
                 }
             }
         }
@@ -95,12 +95,12 @@
             let Some(vm) = list.get(name) else {
                 return false;
             };
-            let there = vm.state == VmState::Up && moving.confirmed;
-            let lost = !moving.confirmed && moving.since.elapsed() >= ORDER_LOST;
+            let arrived = vm.state == VmState::Up && moving.confirmed;
+            let lost = !moving.confirmed && moving.since.elapsed() >= ORDER_TIMEOUT;
             if lost && let Some(id) = &moving.worker {
                 owner.cell.borrow_mut().take_worker(id, false);
             }
-            !there && !lost
+            !arrived && !lost
         });
     }
 
@@ -118,20 +118,20 @@
         };
         let limits = SizingLimits::default();
         let mut pools = self.demands(round);
-        self.tell(&pools, now);
+        self.log_pools(&pools, now);
         if lacks_vms(&pools, &limits) {
-            self.find_loose(round, &mut pools);
+            self.find_drainable(round, &mut pools);
         }
         let plan = resize(&pools, now, &limits);
         self.drain(round, &plan);
         owner.wake();
-        self.order(owner, list, plan.shifts).await;
+        self.order_moves(owner, list, plan.shifts).await;
     }
 
     /// Orders the moves that may be made now: as many as the platform's rate has room for, and recorded
     /// before.
-    async fn order(&mut self, owner: &Rc<Owner>, list: &VmList, mut wanted: Vec<Shift>) {
-        wanted.retain(|shift| !owner.must_spare(&shift.vm) && !self.is_barred(shift));
+    async fn order_moves(&mut self, owner: &Rc<Owner>, list: &VmList, mut wanted: Vec<Shift>) {
+        wanted.retain(|shift| !owner.must_spare(&shift.vm) && !self.is_rejected(shift));
         wanted.truncate(vm_orders::available(owner));
         let vms: Vec<&str> = wanted.iter().map(|shift| shift.vm.as_str()).collect();
         if vms.is_empty() || !owner.claim_vms(&vms).await {
@@ -140,21 +140,21 @@
         let begun: Vec<(&Vm, VmOrder)> = wanted
             .iter()
             .filter_map(|shift| Some((shift, list.get(&shift.vm)?)))
-            .filter_map(|(shift, vm)| Some((vm, self.begin(owner, vm, shift)?)))
+            .filter_map(|(shift, vm)| Some((vm, self.begin_move(owner, vm, shift)?)))
             .collect();
         let orders = begun.iter().map(|(_, order)| order.clone()).collect();
         let outcomes = vm_orders::send_all(owner, orders).await;
         for ((vm, _), outcome) in begun.into_iter().zip(outcomes) {
-            self.settle(owner, vm, outcome);
+            self.apply_outcome(owner, vm, outcome);
         }
     }
 
     /// Logs now and then what each pool has and needs.
-    fn tell(&mut self, pools: &[PoolDemand], now: Instant) {
-        if self.told.is_some_and(|at| now < at + LOG_INTERVAL) {
+    fn log_pools(&mut self, pools: &[PoolDemand], now: Instant) {
+        if self.last_logged.is_some_and(|at| now < at + LOG_INTERVAL) {
             return;
         }
-        self.told = Some(now);
+        self.last_logged = Some(now);
         for pool in pools {
             info!(
                 pool = pool.pool,
@@ -171,13 +171,13 @@
     }
 
     /// Whether the platform does not allow a move.
-    fn is_barred(&self, shift: &Shift) -> bool {
-        let bar = (shift.from.clone(), shift.to.clone());
-        self.barred.contains(&bar)
+    fn is_rejected(&self, shift: &Shift) -> bool {
+        let shift_pools = (shift.from.clone(), shift.to.clone());
+        self.rejected.contains(&shift_pools)
     }
 
     /// Begins a move, if the VM still carries nothing: its worker gets nothing more from now on.
-    fn begin(&mut self, owner: &Owner, vm: &Vm, shift: &Shift) -> Option<VmOrder> {
+    fn begin_move(&mut self, owner: &Owner, vm: &Vm, shift: &Shift) -> Option<VmOrder> {
         if let Some(id) = &vm.worker {
             let mut cell = owner.cell.borrow_mut();
             if cell.takeout(id) != Takeout::Free {
@@ -201,7 +201,7 @@
     }
 
     /// Draws from the answer to an order what is certain about the move.
-    fn settle(&mut self, owner: &Owner, vm: &Vm, outcome: Option<Ordered>) {
+    fn apply_outcome(&mut self, owner: &Owner, vm: &Vm, outcome: Option<Ordered>) {
         match outcome {
             // Without an answer, it may be carried out at any moment; the list tells.
             Some(Ordered::Done) | None => {}
@@ -209,8 +209,8 @@
             Some(refused @ (Ordered::Busy | Ordered::Later | Ordered::Rejected)) => {
                 let moving = self.moving.remove(&vm.name);
                 if refused == Ordered::Rejected {
-                    let bars = moving.map(|moving| (vm.pool.clone(), moving.to));
-                    self.barred.extend(bars);
+                    let rejected = moving.map(|moving| (vm.pool.clone(), moving.to));
+                    self.rejected.extend(rejected);
                 }
                 if let Some(id) = &vm.worker {
                     owner.cell.borrow_mut().take_worker(id, false);
--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -1,10 +1,10 @@
 //! Carries out the owner's orders to workers.
 
 use super::{
-    losses::give_up,
+    losses::abandon_worker,
     owner::{Fence, LEASE, Owner, longest},
     resend::unless_overdue,
-    starts::{REPEATED, start},
+    starts::{RESEND_DELAY, start},
 };
 use adapter::{
     http::Connection,
@@ -17,7 +17,7 @@
 use tracing::info;
 
 /// Time until a stop is sent again that had no answer twice.
-const STOP_AGAIN: Duration = Duration::from_millis(250);
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Sends orders, without waiting for their answers.
 pub fn send_all(owner: &Rc<Owner>, orders: Vec<Order>) {
@@ -31,7 +31,7 @@
         match order {
             Order::Start { worker, task, run } => start(&owner, &worker, task, run).await,
             Order::Stop { worker, task, run } => stop(&owner, &worker, task, run).await,
-            Order::Ask { task, workers } => ask(&owner, task, &workers).await,
+            Order::Ask { task, workers } => request_permits(&owner, task, &workers).await,
             Order::Pace {
                 worker,
                 task,
@@ -45,7 +45,7 @@
 }
 
 /// What the list says of a worker, if the cell has it.
-pub fn find(owner: &Owner, worker: &str) -> Option<Arc<WorkerInfo>> {
+pub fn find_worker(owner: &Owner, worker: &str) -> Option<Arc<WorkerInfo>> {
     owner
         .cell
         .borrow()
@@ -68,7 +68,7 @@
 /// Sends a stop until the worker has taken it, or it is not wanted any more.
 async fn stop(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId) {
     while owner.is_alive() && owner.cell.borrow().wants_stop(worker, task, run) {
-        let Some(info) = find(owner, worker) else {
+        let Some(info) = find_worker(owner, worker) else {
             return;
         };
         let fence = owner.fence(worker);
@@ -81,14 +81,14 @@
                 return;
             }
             Err(WorkerError::Replaced) => {
-                return give_up(owner, worker, Loss::Ended);
+                return abandon_worker(owner, worker, Loss::Ended);
             }
             Err(WorkerError::Refused(Refusal::Fenced)) if !owner.has_raised(worker, fence) => {
                 return owner.end("a worker has seen a newer owner");
             }
             Err(error) => info!(task = %task, run, worker, %error, "stop failed"),
         }
-        time::sleep(STOP_AGAIN).await;
+        time::sleep(STOP_RETRY_INTERVAL).await;
     }
 }
 
@@ -105,25 +105,25 @@
         workers.stop(info, task, run, fence, connection)
     };
     let mut first = pin!(stop(Connection::Kept));
-    if let Some(outcome) = unless_overdue(first.as_mut(), REPEATED).await {
+    if let Some(outcome) = unless_overdue(first.as_mut(), RESEND_DELAY).await {
         return outcome;
     }
     let mut second = pin!(stop(Connection::Fresh));
     tokio::select! {
         outcome = first.as_mut() => match outcome {
             Err(WorkerError::Call(_)) => second.await,
-            settled => settled,
+            decisive => decisive,
         },
         outcome = second.as_mut() => match outcome {
             Err(WorkerError::Call(_)) => first.await,
-            settled => settled,
+            decisive => decisive,
         },
     }
 }
 
 /// Sends a change of pace, once: one that is lost is not sent again.
 async fn pace(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId, percent: u64) {
-    let Some(info) = find(owner, worker) else {
+    let Some(info) = find_worker(owner, worker) else {
         return;
     };
     let outcome = owner
@@ -137,16 +137,16 @@
 }
 
 /// Asks the service outside which of some workers may run a step.
-async fn ask(owner: &Rc<Owner>, task: TaskId, workers: &[WorkerId]) {
-    let answer = match &owner.node.advice {
+async fn request_permits(owner: &Rc<Owner>, task: TaskId, workers: &[WorkerId]) {
+    let response = match &owner.node.advice {
         Some(advice) => advice.ask(task, workers).await,
         None => Ok(None),
     };
-    let good = answer.unwrap_or_else(|error| {
-        info!(%task, %error, "no answer to which workers may run a step");
+    let good = response.unwrap_or_else(|error| {
+        info!(%task, %error, "request for permits failed");
         None
     });
-    info!(%task, asked = workers.len(), good = good.as_ref().map(Vec::len), "permits");
+    info!(%task, asked = workers.len(), good = good.as_ref().map(Vec::len), "permits received");
     owner.cell.borrow_mut().set_permits(task, workers, good);
     owner.wake();
 }
--- a/crates/havenladder/src/entry/polls.rs
+++ b/crates/havenladder/src/entry/polls.rs
@@ -1,4 +1,4 @@
-//! Questions to workers: what runs there and what has ended, which extends their leases.
+//! Polls of workers: each returns the worker's current runs and those that have ended, and extends its lease.
 
 use super::{orders, owner::Owner, resend::unless_overdue};
 use adapter::{
@@ -9,111 +9,112 @@
 use jobs::{Report, WorkerInfo};
 use std::{pin::pin, time::Duration};
 
-/// How long a question waits for an end at a worker that has runs. The lease is extended by each question, so
-/// that the last one before an owner is lost may be as old as this.
-const HOLD_WAIT: Duration = Duration::from_millis(500);
+/// Time for which a poll waits for a run to end at a worker that has runs. Each poll extends the lease, so when an
+/// owner is lost the last extension may be this old.
+const POLL_WAIT: Duration = Duration::from_millis(500);
 
-/// The same at a worker without runs, whose lease holds nothing: half as many questions.
-const IDLE_WAIT: Duration = Duration::from_millis(1_000);
+/// The wait at a worker without runs. Its lease protects no run, so half as many polls are enough.
+const IDLE_POLL_WAIT: Duration = Duration::from_millis(1_000);
 
-/// How long an answer may be overdue until the worker is asked once more, over a connection of its own: a healthy one
-/// takes some ms, and an owner of 1,100 workers that is full reads its answer 76 ms later.
-const OVERDUE: Duration = Duration::from_millis(100);
+/// Delay of a response after which the poll is resent over a new connection. A healthy worker responds within a few
+/// ms, and an overloaded owner of 1,100 workers reads the response 76 ms later.
+const RESEND_DELAY: Duration = Duration::from_millis(100);
 
-/// For how long after an answer a question may tell a worker which ends it may forget. The question may come to another
-/// life, whose ends have the same numbers: it would forget what it has not told. Users saw workers back after 0.25 s at
-/// the earliest, and they must have run something besides.
-const SAME_LIFE: Duration = Duration::from_millis(200);
+/// Maximum age of the last response at which a poll may tell the worker which ends to forget. The poll may reach a
+/// new incarnation, which uses the same numbers for its own ends and would forget ends that it has not reported.
+/// Workers were seen to be back after 0.25 s at the earliest, and the new incarnation must also have finished a run.
+const MAX_RESPONSE_AGE: Duration = Duration::from_millis(200);
 
-/// Whether a worker gave an answer to the last question.
+/// Whether a worker responded to the last poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answers {
-    /// It did, or was not asked yet.
-    Given,
-    /// It did not.
-    Missing,
+pub enum LastPoll {
+    /// The worker responded, or has not been polled yet.
+    Answered,
+    /// The worker did not respond.
+    Unanswered,
 }
 
-/// The answer to a question.
-pub struct Answer {
-    /// When the question was sent.
-    pub asked: Instant,
-    /// What the worker said.
-    pub told: Told<Report>,
+/// The response to a poll.
+pub struct PollResponse {
+    /// When the poll was sent.
+    pub sent_at: Instant,
+    /// The worker's response.
+    pub response: Told<Report>,
 }
 
-/// Asks a worker a question. One whose answer is overdue is asked once more, without waiting for an end there and
-/// without extending its lease: the answer may be lost, and what has ended be unknown for as long as it is waited for.
+/// Polls a worker. If the response is overdue, sends a second poll that neither waits for a run to end nor extends
+/// the lease, because the first response may be lost and ends would stay unknown until its timeout.
 ///
 /// # Errors
 ///
-/// Fails when the worker answers neither, or refuses.
-pub async fn ask_worker(
+/// Fails if the worker responds to neither poll or refuses the poll.
+pub async fn poll_worker(
     owner: &Owner,
     info: &WorkerInfo,
     hold: Hold,
-) -> Result<Answer, WorkerError> {
+) -> Result<PollResponse, WorkerError> {
     let workers = &owner.node.workers;
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let mut first = pin!(workers.hold(info, hold, Connection::Kept));
-    let wait = Duration::from_millis(hold.wait) + OVERDUE;
+    let wait = Duration::from_millis(hold.wait) + RESEND_DELAY;
     if let Some(outcome) = unless_overdue(first.as_mut(), wait).await {
-        return outcome.map(|told| Answer { asked, told });
+        return outcome.map(|response| PollResponse { sent_at, response });
     }
-    let again = Instant::now();
-    let second = question(owner, &info.id, Answers::Missing);
+    let resent_at = Instant::now();
+    let second = next_poll(owner, &info.id, LastPoll::Unanswered);
     let mut second = pin!(workers.hold(info, second, Connection::Fresh));
     tokio::select! {
-        // It ends last by its time-out: the worker is silent.
-        outcome = first.as_mut() => outcome.map(|told| Answer { asked, told }),
+        // The first poll reaches its timeout last: the worker is silent.
+        outcome = first.as_mut() => outcome.map(|response| PollResponse { sent_at, response }),
         outcome = second.as_mut() => match outcome {
-            Ok(told) => Ok(Answer { asked: again, told }),
-            Err(_) => first.await.map(|told| Answer { asked, told }),
+            Ok(response) => Ok(PollResponse { sent_at: resent_at, response }),
+            Err(_) => first.await.map(|response| PollResponse { sent_at, response }),
         },
     }
 }
 
-/// The next question to a worker.
-pub fn question(owner: &Owner, id: &str, last: Answers) -> Hold {
-    let bare = Hold {
+/// Returns the next poll to send to a worker.
+pub fn next_poll(owner: &Owner, id: &str, last: LastPoll) -> Hold {
+    let without_lease = Hold {
         deadline: None,
         fence: owner.fence(id),
         noted: 0,
         wait: 0,
     };
-    // A question without an answer may extend the lease all the same: a worker that is silent is
-    // asked without, so that its lease can run out.
-    if last == Answers::Missing {
-        return bare;
+    // Even a poll without a response may extend the lease. A silent worker is polled without a deadline, so that its
+    // lease can expire.
+    if last == LastPoll::Unanswered {
+        return without_lease;
     }
-    let Some(noted) = noted(owner, id) else {
-        return bare;
+    let Some(acknowledged) = acknowledged(owner, id) else {
+        return without_lease;
     };
-    // The first question only tells the worker's clock and who owns the cell now.
+    // The first poll only reads the worker's clock and tells the worker which owner has the cell.
     let Some(deadline) = orders::lease_end(owner, id) else {
-        return bare;
+        return without_lease;
     };
     Hold {
         deadline: Some(deadline),
-        noted,
-        wait: hold_wait(owner, id).as_millis() as u64,
-        ..bare
+        noted: acknowledged,
+        wait: poll_wait(owner, id).as_millis() as u64,
+        ..without_lease
     }
 }
 
-/// Up to which number a worker may forget its ends; none where another life of it may answer by now.
-fn noted(owner: &Owner, id: &str) -> Option<u64> {
+/// Returns the number up to which a worker may forget its ends, or `None` if a new incarnation may be responding by
+/// now.
+fn acknowledged(owner: &Owner, id: &str) -> Option<u64> {
     let contacts = owner.contacts.borrow();
     let contact = contacts.get(id)?;
     let answered = contact.answered?;
-    (contact.noted == 0 || answered.elapsed() < SAME_LIFE).then_some(contact.noted)
+    (contact.noted == 0 || answered.elapsed() < MAX_RESPONSE_AGE).then_some(contact.noted)
 }
 
-/// How long a question waits at a worker.
-fn hold_wait(owner: &Owner, id: &str) -> Duration {
+/// Returns how long a poll waits at a worker.
+fn poll_wait(owner: &Owner, id: &str) -> Duration {
     let cell = owner.cell.borrow();
     match cell.workers.get(id) {
-        Some(worker) if worker.runs.is_empty() => IDLE_WAIT,
-        Some(_) | None => HOLD_WAIT,
+        Some(worker) if worker.runs.is_empty() => IDLE_POLL_WAIT,
+        Some(_) | None => POLL_WAIT,
     }
 }
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -2,8 +2,8 @@
 //! what is certain about a run.
 
 use super::{
-    losses::give_up as give_up_worker,
-    orders::{find, lease_end},
+    losses::abandon_worker,
+    orders::{find_worker, lease_end},
     owner::{Fence, Owner},
     resend::unless_overdue,
     watch,
@@ -20,15 +20,15 @@
 
 /// How long a worker may take to answer a start until it gets no others: a healthy one takes some ms, and
 /// one that is out of reach would draw starts, each of which extends its lease, for a second.
-const DOUBTED: Duration = Duration::from_millis(150);
+const START_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// How long a start, or a stop, is waited for until it is sent once more, over a connection of its own: a healthy
 /// worker takes some ms, and an owner of 1,100 workers that is full reads its answer 76 ms later.
-pub const REPEATED: Duration = Duration::from_millis(80);
+pub const RESEND_DELAY: Duration = Duration::from_millis(80);
 
 /// Sends a start, unless what it follows from has changed since it was decided.
 pub async fn start(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId) {
-    let turn = take_turn(owner, worker).await;
+    let turn = acquire_turn(owner, worker).await;
     let confirmed = owner
         .cell
         .borrow_mut()
@@ -39,18 +39,18 @@
     }
     if !owner.may_hold() {
         // It is not sent, and waits until this owner has renewed its lease.
-        return give_up(owner, worker, task, run);
+        return withdraw(owner, worker, task, run);
     }
-    if !answers(owner, worker) {
+    if !is_answering(owner, worker) {
         // It is not sent, and goes to another worker at once.
-        give_up(owner, worker, task, run);
+        withdraw(owner, worker, task, run);
         return owner.wake();
     }
-    let Some(info) = find(owner, worker) else {
+    let Some(info) = find_worker(owner, worker) else {
         return;
     };
     let ticket = ticket(owner, worker, task);
-    let Some((spec, saved)) = words(owner, task) else {
+    let Some((spec, saved)) = start_payload(owner, task) else {
         return;
     };
     let Some(deadline) = lease_end(owner, worker) else {
@@ -71,22 +71,22 @@
         ticket: &ticket,
     };
     let outcome = send_start(owner, &info, &order, turn).await;
-    owner.node.metrics.started(name_outcome(&outcome));
+    owner.node.metrics.started(outcome_name(&outcome));
     match &outcome {
         Ok(_) => info!(task = order.task, run, worker, deadline, "started"),
         Err(error) => info!(task = order.task, run, worker, %error, "start failed"),
     }
     let started = outcome.is_ok();
-    settle(owner, worker, task, run, fence, outcome);
+    apply_outcome(owner, worker, task, run, fence, outcome);
     if started {
-        look_after_quarantine(owner, worker, task, run);
+        poll_after_quarantine(owner, worker, task, run);
     }
     owner.wake();
 }
 
 /// Has a worker asked once a run in quarantine there is old enough to be cleared: the questions that wait for ends
 /// come half a second apart, and until then nothing else begins there.
-fn look_after_quarantine(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId) {
+fn poll_after_quarantine(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId) {
     let quarantine = owner
         .cell
         .borrow()
@@ -99,19 +99,19 @@
     let (owner, worker) = (Rc::clone(owner), WorkerId::from(worker));
     task::spawn_local(async move {
         time::sleep(quarantine.bar).await;
-        watch::look(&owner, &worker);
+        watch::poll_once(&owner, &worker);
     });
 }
 
 /// Takes a start back that is not sent.
-fn give_up(owner: &Owner, worker: &str, task: TaskId, run: RunId) {
+fn withdraw(owner: &Owner, worker: &str, task: TaskId, run: RunId) {
     let now = Instant::now();
     let mut cell = owner.cell.borrow_mut();
     cell.refused(worker, task, run, Refusal::Late, now);
 }
 
 /// Waits for a turn to send a start to a worker; none if the worker is not there any more.
-async fn take_turn(owner: &Owner, worker: &str) -> Option<OwnedSemaphorePermit> {
+async fn acquire_turn(owner: &Owner, worker: &str) -> Option<OwnedSemaphorePermit> {
     let contact = owner.contacts.borrow().get(worker).cloned();
     let turns = contact.map(|contact| contact.turns)?;
     // It is never closed.
@@ -119,7 +119,7 @@
 }
 
 /// Whether a worker has answered of late: it may have fallen silent while a start waited for its turn.
-fn answers(owner: &Owner, worker: &str) -> bool {
+fn is_answering(owner: &Owner, worker: &str) -> bool {
     let cell = owner.cell.borrow();
     cell.workers.get(worker).is_some_and(|worker| worker.known)
 }
@@ -134,18 +134,18 @@
 ) -> Result<Told<()>, WorkerError> {
     let workers = &owner.node.workers;
     let mut first = pin!(workers.start(info, order, Connection::Kept));
-    if let Some(outcome) = unless_overdue(first.as_mut(), REPEATED).await {
+    if let Some(outcome) = unless_overdue(first.as_mut(), RESEND_DELAY).await {
         return outcome;
     }
     info!(
         task = order.task,
         run = order.run,
         worker = %info.id,
-        "start sent again"
+        "start resent"
     );
     let second = workers.start(info, order, Connection::Fresh);
-    let mut both = pin!(either(first, second));
-    if let Ok(outcome) = time::timeout(DOUBTED - REPEATED, both.as_mut()).await {
+    let mut both = pin!(first_decisive(first, second));
+    if let Ok(outcome) = time::timeout(START_TIMEOUT - RESEND_DELAY, both.as_mut()).await {
         return outcome;
     }
     drop(turn);
@@ -153,7 +153,7 @@
         .cell
         .borrow_mut()
         .mute_worker(&info.id, Instant::now());
-    watch::look(owner, &info.id);
+    watch::poll_once(owner, &info.id);
     both.await
 }
 
@@ -162,27 +162,27 @@
 
 /// What came of a start that was sent twice: a worker has a run once, however often it is told to start it, so that
 /// one answer may settle what became of the other call.
-async fn either(
+async fn first_decisive(
     first: impl Future<Output = Outcome>,
     second: impl Future<Output = Outcome>,
 ) -> Outcome {
     let (mut first, mut second) = (pin!(first), pin!(second));
     tokio::select! {
-        outcome = first.as_mut() => or_other(outcome, second).await,
-        outcome = second.as_mut() => or_other(outcome, first).await,
+        outcome = first.as_mut() => or_combined(outcome, second).await,
+        outcome = second.as_mut() => or_combined(outcome, first).await,
     }
 }
 
 /// The outcome of the call that was answered first, unless the other one's is needed beside it.
-async fn or_other(early: Outcome, other: impl Future<Output = Outcome>) -> Outcome {
-    if settles(&early) {
+async fn or_combined(early: Outcome, other: impl Future<Output = Outcome>) -> Outcome {
+    if is_decisive(&early) {
         return early;
     }
-    join(early, other.await)
+    combine(early, other.await)
 }
 
 /// Whether an answer tells what became of all calls for its run: the run is there, or never will be.
-fn settles(outcome: &Outcome) -> bool {
+fn is_decisive(outcome: &Outcome) -> bool {
     matches!(
         outcome,
         Ok(_) | Err(WorkerError::Replaced | WorkerError::Refused(Refusal::Fenced))
@@ -191,16 +191,16 @@
 
 /// What two calls for one run have led to. A refusal of one says nothing of the other, which may be carried out
 /// later, unless that is refused as well or was never sent.
-fn join(early: Outcome, late: Outcome) -> Outcome {
-    if settles(&late) {
+fn combine(early: Outcome, late: Outcome) -> Outcome {
+    if is_decisive(&late) {
         return late;
     }
-    let is_settled = |outcome: &Outcome| match outcome {
+    let has_no_effect = |outcome: &Outcome| match outcome {
         Err(WorkerError::Refused(why)) => *why != Refusal::Old,
         Err(WorkerError::Call(error)) => error.is_unsent(),
         Ok(_) | Err(WorkerError::Replaced | WorkerError::Odd(_)) => false,
     };
-    if is_settled(&early) && is_settled(&late) {
+    if has_no_effect(&early) && has_no_effect(&late) {
         return early;
     }
     Err(WorkerError::Call(CallError::Unanswered))
@@ -214,7 +214,7 @@
 }
 
 /// The name of the outcome of a start in the metrics.
-fn name_outcome<T>(outcome: &Result<T, WorkerError>) -> &'static str {
+fn outcome_name<T>(outcome: &Result<T, WorkerError>) -> &'static str {
     match outcome {
         Ok(_) => "started",
         Err(WorkerError::Refused(_)) => "refused",
@@ -225,7 +225,7 @@
 }
 
 /// Draws from the outcome of a start what is certain about it.
-fn settle(
+fn apply_outcome(
     owner: &Rc<Owner>,
     worker: &str,
     task: TaskId,
@@ -234,20 +234,22 @@
     outcome: Result<Told<()>, WorkerError>,
 ) {
     let now = Instant::now();
-    let raised = owner.has_raised(worker, fence);
+    let fence_raised = owner.has_raised(worker, fence);
     let mut cell = owner.cell.borrow_mut();
     match outcome {
-        Ok(told) => {
-            watch::set_clock(owner, worker, told.clock, now);
+        Ok(response) => {
+            watch::set_clock(owner, worker, response.clock, now);
             cell.started(worker, task, run, now);
         }
         // Another life refuses it; it may have taken the first of two calls.
-        Err(WorkerError::Refused(Refusal::Fenced)) if raised => cell.unsure(worker, task, run),
+        Err(WorkerError::Refused(Refusal::Fenced)) if fence_raised => {
+            cell.unsure(worker, task, run)
+        }
         Err(WorkerError::Refused(Refusal::Fenced)) => owner.end("a worker has seen a newer owner"),
         Err(WorkerError::Refused(why)) => cell.refused(worker, task, run, why, now),
         Err(WorkerError::Replaced) => {
             drop(cell);
-            give_up_worker(owner, worker, Loss::Ended);
+            abandon_worker(owner, worker, Loss::Ended);
         }
         Err(WorkerError::Call(CallError::Refused | CallError::Unreachable)) => {
             // It gets nothing more until it has answered a question.
@@ -261,7 +263,7 @@
 }
 
 /// The job's text and the task's saved progress.
-fn words(owner: &Owner, task: TaskId) -> Option<(String, String)> {
+fn start_payload(owner: &Owner, task: TaskId) -> Option<(String, String)> {
     let cell = owner.cell.borrow();
     let job = cell.jobs.get(&task.job)?;
     let saved = job.task(task.round, task.step, task.index)?.saved.clone();
--- a/crates/havenladder/src/entry/vm_orders.rs
+++ b/crates/havenladder/src/entry/vm_orders.rs
@@ -71,6 +71,6 @@
         VmOperation::Move(pool) => cloud.move_vm(&order.vm, pool, owner.epoch).await,
         VmOperation::Upkeep(wave) => cloud.upkeep(&order.vm, *wave, owner.epoch).await,
     };
-    info!(vm = order.vm, errand = ?order.operation, epoch = owner.epoch, ?outcome, "VM ordered");
+    info!(vm = order.vm, errand = ?order.operation, epoch = owner.epoch, ?outcome, "VM order sent");
     outcome.ok()
 }
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -1,12 +1,12 @@
-//! Watches the lives of workers: what each says of its runs, until it is over.
+//! Watches each incarnation of a worker: polls it for its runs, extends its lease and detects its end.
 
 use super::{
     ends,
-    losses::{give_up, give_up_runs},
+    losses::{abandon_runs, abandon_worker},
     orders,
     owner::{Fence, Owner, longest},
-    polls::{Answer, Answers, ask_worker, question},
-    worker_list::{meet, note_gone},
+    polls::{LastPoll, PollResponse, next_poll, poll_worker},
+    worker_list::{contact_worker, record_replaced},
 };
 use adapter::{
     http::CallError,
@@ -18,153 +18,155 @@
 use tokio::{task, time};
 use tracing::info;
 
-/// The least time between two questions to one worker: each has a price, and ends that come close
-/// together share one.
-const HOLD_GAP: Duration = Duration::from_millis(20);
+/// Minimum time between two polls of a worker. Each poll has a cost, and runs that end shortly after each other are
+/// reported together.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a question waits for the ends of the one before to be durable, at the most.
-const NOTED_WAIT: Duration = Duration::from_millis(700);
+/// Maximum time for which the next poll waits until the reported ends are durable.
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time until a worker that did not answer is asked again.
-const HOLD_AGAIN: Duration = Duration::from_millis(150);
+/// Time until a worker that did not respond is polled again.
+const POLL_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Notes what a worker's clock shows.
+/// Records the time that a worker's clock shows.
 pub fn set_clock(owner: &Owner, worker: &str, clock: ClockMs, now: Instant) {
     if let Some(contact) = owner.contacts.borrow_mut().get_mut(worker) {
         contact.clock = Some((clock, now));
     }
 }
 
-/// Notes that a life of a worker has answered a question, and what its clock shows.
-fn note_answer(owner: &Owner, id: &str, clock: ClockMs, now: Instant) {
+/// Records that an incarnation of a worker has responded to a poll, and the time that its clock shows.
+fn record_response(owner: &Owner, id: &str, clock: ClockMs, now: Instant) {
     if let Some(contact) = owner.contacts.borrow_mut().get_mut(id) {
         contact.clock = Some((clock, now));
         contact.answered = Some(now);
     }
 }
 
-/// Whether a life of a worker is asked again.
+/// What follows from a poll for the watch of an incarnation.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Watch {
-    /// It is.
-    GoesOn,
-    /// It is, but its answer says nothing.
-    Again,
-    /// It is not: another life has answered in its place, which tells what becomes of its runs.
-    Succeeded,
-    /// It is not: it is given up for this reason, if the owner still decides.
-    Ends(Loss),
+enum PollOutcome {
+    /// The watch continues.
+    Continue,
+    /// The watch continues, but the poll gave no usable response.
+    Retry,
+    /// The watch ends: another incarnation responded instead, and its responses decide about the earlier one's runs.
+    Superseded,
+    /// The watch ends: the incarnation is abandoned for this reason, provided that the owner still owns the cell.
+    Abandon(Loss),
 }
 
-/// Asks a life of a worker what it runs, again and again, and extends its lease by that.
+/// Polls an incarnation of a worker for its runs until it ends. Each poll extends its lease.
 pub async fn watch(owner: Rc<Owner>, id: WorkerId) {
-    let mut last = Answers::Given;
-    let mut end = Watch::Ends(Loss::Ended);
+    let mut last = LastPoll::Answered;
+    let mut end = PollOutcome::Abandon(Loss::Ended);
     while owner.is_alive() {
-        let Some(info) = orders::find(&owner, &id) else {
+        let Some(info) = orders::find_worker(&owner, &id) else {
             break;
         };
         if !owner.may_hold() {
-            time::sleep(HOLD_AGAIN).await;
+            time::sleep(POLL_RETRY_INTERVAL).await;
             continue;
         }
-        let hold = question(&owner, &id, last);
-        let next = match ask_worker(&owner, &info, hold).await {
-            Ok(answer) => {
-                let next = take_answer(&owner, &id, &answer);
-                if next == Watch::GoesOn && hold.deadline.is_some() {
-                    time::sleep(HOLD_GAP).await;
-                    wait_noted(&owner, &id, &answer.told.value).await;
+        let hold = next_poll(&owner, &id, last);
+        let next = match poll_worker(&owner, &info, hold).await {
+            Ok(polled) => {
+                let next = apply_response(&owner, &id, &polled);
+                if next == PollOutcome::Continue && hold.deadline.is_some() {
+                    time::sleep(MIN_POLL_INTERVAL).await;
+                    wait_acknowledged(&owner, &id, &polled.response.value).await;
                 }
                 next
             }
             Err(error) => {
-                let next = take_failure(&owner, &id, hold.fence, error, last);
-                if next == Watch::Again {
-                    time::sleep(HOLD_AGAIN).await;
+                let next = apply_failure(&owner, &id, hold.fence, error, last);
+                if next == PollOutcome::Retry {
+                    time::sleep(POLL_RETRY_INTERVAL).await;
                 }
                 next
             }
         };
         match next {
-            Watch::GoesOn => last = Answers::Given,
-            Watch::Again => last = Answers::Missing,
-            Watch::Succeeded | Watch::Ends(_) => {
+            PollOutcome::Continue => last = LastPoll::Answered,
+            PollOutcome::Retry => last = LastPoll::Unanswered,
+            PollOutcome::Superseded | PollOutcome::Abandon(_) => {
                 end = next;
                 break;
             }
         }
     }
     if owner.is_alive() {
-        if let Watch::Ends(loss) = end {
-            give_up_with_former(&owner, &id, loss);
+        if let PollOutcome::Abandon(loss) = end {
+            abandon_with_former(&owner, &id, loss);
         }
         owner.contacts.borrow_mut().remove(&id);
     }
 }
 
-/// Gives a life of a worker up, and with it those before it that waited for what it would say of their runs.
-fn give_up_with_former(owner: &Rc<Owner>, id: &WorkerId, loss: Loss) {
+/// Abandons an incarnation of a worker, and those before it that were waiting for its report on their runs.
+fn abandon_with_former(owner: &Rc<Owner>, id: &WorkerId, loss: Loss) {
     let former = owner.cell.borrow().former(id);
-    give_up(owner, id, loss);
-    for life in former {
-        give_up(owner, &life, Loss::Ended);
+    abandon_worker(owner, id, loss);
+    for incarnation in former {
+        abandon_worker(owner, &incarnation, Loss::Ended);
     }
 }
 
-/// Asks a worker once, beside the questions that wait for ends and without extending its lease: its answer
-/// shows that it is in reach.
-pub fn look(owner: &Rc<Owner>, id: &WorkerId) {
+/// Polls a worker once, in addition to its watch and without extending its lease, to check whether it can be reached.
+pub fn poll_once(owner: &Rc<Owner>, id: &WorkerId) {
     let owner = Rc::clone(owner);
     let id = id.clone();
     task::spawn_local(async move {
-        let Some(info) = orders::find(&owner, &id) else {
+        let Some(info) = orders::find_worker(&owner, &id) else {
             return;
         };
-        let hold = question(&owner, &id, Answers::Missing);
-        match ask_worker(&owner, &info, hold).await {
-            // What follows for the watch shows in its next answer.
-            Ok(answer) => drop(take_answer(&owner, &id, &answer)),
-            // The questions that wait for ends deal with it.
-            Err(error) => info!(worker = %id, %error, "worker does not answer a look"),
+        let hold = next_poll(&owner, &id, LastPoll::Unanswered);
+        match poll_worker(&owner, &info, hold).await {
+            // The watch draws its own conclusion from its next poll.
+            Ok(polled) => drop(apply_response(&owner, &id, &polled)),
+            // The watch handles a worker that does not respond.
+            Err(error) => info!(worker = %id, %error, "worker does not answer a poll"),
         }
     });
 }
 
-/// Takes in the answer to a question, if it is one of the life that was asked.
-fn take_answer(owner: &Rc<Owner>, id: &WorkerId, answer: &Answer) -> Watch {
+/// Applies the response to a poll, after checking which incarnation sent it.
+fn apply_response(owner: &Rc<Owner>, id: &WorkerId, polled: &PollResponse) -> PollOutcome {
     let now = Instant::now();
-    let Answer { asked, told } = answer;
-    let hearing = owner.cell.borrow_mut().hear(id, told.born, *asked, now);
-    match hearing {
+    let PollResponse { sent_at, response } = polled;
+    let attribution = owner
+        .cell
+        .borrow_mut()
+        .hear(id, response.born, *sent_at, now);
+    match attribution {
         Hearing::Same { began } => {
             if began {
-                note_restart(owner, id, now);
+                record_restart(owner, id, now);
             }
-            take_report(owner, id, answer, now);
-            Watch::GoesOn
+            apply_report(owner, id, polled, now);
+            PollOutcome::Continue
         }
         Hearing::Overtaken => {
-            info!(worker = %id, "answer of an earlier life was overtaken");
-            Watch::Again
+            info!(worker = %id, "response of an earlier incarnation was overtaken");
+            PollOutcome::Retry
         }
         Hearing::Over { next, began } => {
             if !owner.contacts.borrow().contains_key(&next) {
-                meet(owner, next.clone(), owner.inherited);
+                contact_worker(owner, next.clone(), owner.inherited);
             }
             if began {
-                note_restart(owner, &next, now);
+                record_restart(owner, &next, now);
             }
             owner.wake();
-            Watch::Succeeded
+            PollOutcome::Superseded
         }
     }
 }
 
-/// A life of a worker answers in the place of another one. It may have taken calls with deadlines by the clock of that
-/// one, so that its lease may be the longest there is.
-fn note_restart(owner: &Owner, id: &WorkerId, now: Instant) {
-    info!(worker = %id, "worker has started again");
+/// Records that a new incarnation responds in place of an earlier one. It may have accepted calls whose deadlines
+/// were computed for the earlier one's clock, so its lease may last as long as any lease can.
+fn record_restart(owner: &Owner, id: &WorkerId, now: Instant) {
+    info!(worker = %id, "worker has restarted");
     owner.node.metrics.restarted_worker();
     let leased = now + longest(owner.node.settings.hold);
     if let Some(contact) = owner.contacts.borrow_mut().get_mut(id) {
@@ -172,80 +174,81 @@
     }
 }
 
-/// Takes in what a life of a worker says of its runs. Those before it are over with that.
-fn take_report(owner: &Rc<Owner>, id: &WorkerId, answer: &Answer, now: Instant) {
-    let Answer { asked, told } = answer;
-    note_answer(owner, id, told.clock, now);
-    ends::log_listed(owner, id, &told.value);
+/// Applies an incarnation's report of its runs, and abandons the earlier incarnations that the report shows to have
+/// ended.
+fn apply_report(owner: &Rc<Owner>, id: &WorkerId, polled: &PollResponse, now: Instant) {
+    let PollResponse { sent_at, response } = polled;
+    record_response(owner, id, response.clock, now);
+    ends::log_listed(owner, id, &response.value);
     let mut cell = owner.cell.borrow_mut();
-    let vanished = cell.report(id, &told.value, *asked, now);
-    let outlived = cell.outlived(id, *asked);
+    let missing = cell.report(id, &response.value, *sent_at, now);
+    let outlived = cell.outlived(id, *sent_at);
     drop(cell);
-    ends::log_vanished(owner, id, &vanished);
-    for life in outlived {
-        give_up(owner, &life, Loss::Ended);
+    ends::log_missing(owner, id, &missing);
+    for incarnation in outlived {
+        abandon_worker(owner, &incarnation, Loss::Ended);
     }
     owner.wake();
 }
 
-/// Draws from a question that failed what is certain about the worker.
-fn take_failure(
+/// Applies what a failed poll shows about the worker.
+fn apply_failure(
     owner: &Rc<Owner>,
     id: &WorkerId,
     fence: Fence,
     error: WorkerError,
-    last: Answers,
-) -> Watch {
+    last: LastPoll,
+) -> PollOutcome {
     match error {
         WorkerError::Replaced => {
-            info!(worker = %id, "another worker has its address");
-            note_gone(owner, id);
-            return Watch::Ends(Loss::Ended);
+            info!(worker = %id, "another worker answers at its address");
+            record_replaced(owner, id);
+            return PollOutcome::Abandon(Loss::Ended);
         }
         WorkerError::Refused(Refusal::Fenced) if owner.has_raised(id, fence) => {
-            return Watch::Again;
+            return PollOutcome::Retry;
         }
         WorkerError::Refused(Refusal::Fenced) => {
             owner.end("a worker has seen a newer owner");
-            return Watch::Ends(Loss::Lapsed);
+            return PollOutcome::Abandon(Loss::Lapsed);
         }
         WorkerError::Call(CallError::Refused) => {
             owner.cell.borrow_mut().note_refusal(id, Instant::now());
         }
         WorkerError::Refused(_) | WorkerError::Call(_) | WorkerError::Odd(_) => {}
     }
-    if last == Answers::Given {
+    if last == LastPoll::Answered {
         info!(worker = %id, %error, "worker does not answer");
         owner.cell.borrow_mut().mute_worker(id, Instant::now());
     }
     if has_lapsed(owner, id) && release_lapsed(owner, id) {
-        return Watch::Ends(Loss::Lapsed);
+        return PollOutcome::Abandon(Loss::Lapsed);
     }
-    Watch::Again
+    PollOutcome::Retry
 }
 
-/// Waits until the ends that a worker listed are durable: until then, it would list them again at
-/// once. Its lease must be extended meanwhile, so the wait is bounded.
-async fn wait_noted(owner: &Owner, worker: &str, report: &Report) {
+/// Waits until the ends that a worker reported are durable; an earlier poll would return the same ends at once. The
+/// wait is bounded, because the worker's lease must be extended in time.
+async fn wait_acknowledged(owner: &Owner, worker: &str, report: &Report) {
     let Some(last) = report.ended.iter().map(|end| end.number).max() else {
         return;
     };
-    let until = time::Instant::now() + NOTED_WAIT;
+    let until = time::Instant::now() + ACKNOWLEDGE_TIMEOUT;
     while owner.is_alive() && time::Instant::now() < until {
-        let noted = owner
+        let acknowledged = owner
             .contacts
             .borrow()
             .get(worker)
             .map_or(u64::MAX, |c| c.noted);
-        if noted >= last {
+        if acknowledged >= last {
             return;
         }
-        // A timeout only means that nothing has become durable for so long.
+        // A timeout only means that nothing has become durable in the meantime.
         let _ = time::timeout_at(until, owner.settled.notified()).await;
     }
 }
 
-/// Whether the lease of a worker has run out for certain.
+/// Returns whether a worker's lease has certainly expired.
 fn has_lapsed(owner: &Owner, id: &str) -> bool {
     let contacts = owner.contacts.borrow();
     contacts
@@ -253,26 +256,26 @@
         .is_none_or(|contact| contact.leased < Instant::now())
 }
 
-/// Whether a worker may have runs.
+/// Returns whether a worker may have runs.
 fn has_runs(owner: &Owner, id: &str) -> bool {
     let cell = owner.cell.borrow();
     let worker = cell.workers.get(id);
     worker.is_some_and(|worker| !worker.runs.is_empty())
 }
 
-/// Nothing runs on a worker whose lease has run out: its tasks are free. True if the worker is also
-/// gone from the list.
+/// Frees the tasks of a worker whose lease has expired, since nothing can run there any more. Returns whether the
+/// worker is also draining or no longer known, so that it can be abandoned.
 fn release_lapsed(owner: &Rc<Owner>, id: &str) -> bool {
-    if orders::find(owner, id).is_none_or(|info| info.draining) {
+    if orders::find_worker(owner, id).is_none_or(|info| info.draining) {
         return true;
     }
     if has_runs(owner, id) {
-        give_up_runs(owner, id);
+        abandon_runs(owner, id);
     }
-    // What was on its way to them may have come here, and has run out as well.
+    // Runs sent to the earlier incarnations may have reached this one, where their leases have expired as well.
     let former = owner.cell.borrow().former(id);
-    for life in former {
-        give_up(owner, &life, Loss::Ended);
+    for incarnation in former {
+        abandon_worker(owner, &incarnation, Loss::Ended);
     }
     false
 }
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -1,7 +1,7 @@
-//! Follows the platform's list of workers, and has each life of a worker watched that it names.
+//! Follows the platform's list of workers and starts a watch for each incarnation that it names.
 
 use super::{
-    losses::give_up,
+    losses::abandon_worker,
     owner::{Contact, Owner},
     store_calls,
     watch::watch,
@@ -16,22 +16,22 @@
 use tokio::{task, time};
 use tracing::{info, warn};
 
-/// How long a read of the list waits for a change. A connection that fell silent is noticed soon after this, and a worker
-/// that drains must get no new runs after 2 s.
+/// Time for which a read of the list waits for a change. A stalled connection is noticed soon after this time, and a
+/// draining worker must get no new runs after 2 s.
 const LIST_WAIT: Duration = Duration::from_millis(1_000);
 
-/// The least time between two reads of the list: 50 workers write to it 33 times a second, and each
-/// read has a price. A worker that drains must get no new runs after 2 s.
-const LIST_GAP: Duration = Duration::from_millis(250);
+/// Minimum time between two reads of the list. 50 workers update it 33 times a second, and each read has a cost; a
+/// draining worker must get no new runs after 2 s.
+const MIN_LIST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time until the store is asked again after it did not answer.
-const LIST_AGAIN: Duration = Duration::from_millis(200);
+/// Time until the next read after the store did not respond.
+const LIST_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How many entries that name no worker are remembered, so that each is logged once: another writer may leave a million
-/// of them. Beyond that they are only counted.
-const MOST_FOREIGN: usize = 1_000;
+/// Maximum number of unusable entries that are remembered, so that each is logged only once. Another writer may leave
+/// a million of them; further ones are only counted.
+const MAX_FOREIGN: usize = 1_000;
 
-/// Follows the list of workers and watches each, until the owner ends.
+/// Follows the list of workers and watches each worker until the owner ends.
 pub async fn run(owner: Rc<Owner>) {
     task::spawn_local(expire_orphans(Rc::clone(&owner)));
     while owner.is_alive() {
@@ -48,14 +48,14 @@
             drop_unlisted(&owner, &listed);
             owner.cell.borrow_mut().mark_listed();
             owner.wake();
-            read_on(&owner, newest.end).await;
+            follow_list(&owner, newest.end).await;
         }
-        time::sleep(LIST_AGAIN).await;
+        time::sleep(LIST_RETRY_INTERVAL).await;
     }
 }
 
-/// Reads on until the records asked for are gone, or the owner ends.
-async fn read_on(owner: &Rc<Owner>, mut from: Offset) {
+/// Applies records of the list from `from` on, until the store no longer has the next record or the owner ends.
+async fn follow_list(owner: &Rc<Owner>, mut from: Offset) {
     while owner.is_alive() {
         match store_calls::read(&owner.node, workers::TOPIC, from, LIST_WAIT).await {
             Ok(Read::Records(_, records)) => {
@@ -65,22 +65,22 @@
                     .filter_map(split_keyed)
                     .for_each(|r| apply(owner, r));
                 owner.wake();
-                time::sleep(LIST_GAP).await;
+                time::sleep(MIN_LIST_INTERVAL).await;
             }
             Ok(Read::Gone(_)) => return,
-            Ok(Read::Busy) | Err(_) => time::sleep(LIST_AGAIN).await,
+            Ok(Read::Busy) | Err(_) => time::sleep(LIST_RETRY_INTERVAL).await,
         }
     }
 }
 
-/// Takes in what the list says of a worker, and watches the life that it names, if that is new.
+/// Applies one record of the list, and starts a watch for an incarnation that is new.
 fn apply(owner: &Rc<Owner>, record: Keyed) {
     let Some(value) = record.value else {
         return unlist(owner, &record.key);
     };
     let entry = match workers::read_entry(&record.key, &value) {
         Ok(entry) => entry,
-        Err(error) => return distrust(owner, record.key, &error),
+        Err(error) => return mark_unusable(owner, record.key, &error),
     };
     if owner.gone.borrow().get(&entry.id) == Some(&entry.address) {
         return owner.node.metrics.foreign_entry("gone");
@@ -91,59 +91,63 @@
     match listing {
         Listing::Past => owner.node.metrics.foreign_entry("past"),
         Listing::Surplus => owner.node.metrics.foreign_entry("surplus"),
-        Listing::Of(life) if owner.contacts.borrow().contains_key(&life) => {}
-        Listing::Of(life) => {
-            info!(worker = %life, service, draining, "worker listed");
-            meet(owner, life, owner.inherited);
+        Listing::Of(incarnation) if owner.contacts.borrow().contains_key(&incarnation) => {}
+        Listing::Of(incarnation) => {
+            info!(worker = %incarnation, service, draining, "worker listed");
+            contact_worker(owner, incarnation, owner.inherited);
         }
     }
 }
 
-/// Begins to watch a life of a worker, whose lease may hold until then at the latest.
-pub fn meet(owner: &Rc<Owner>, life: WorkerId, leased: Instant) {
+/// Starts to watch an incarnation of a worker whose lease may be held until `leased`.
+pub fn contact_worker(owner: &Rc<Owner>, incarnation: WorkerId, leased: Instant) {
     let contact = Contact::new(leased);
-    owner.contacts.borrow_mut().insert(life.clone(), contact);
-    task::spawn_local(watch(Rc::clone(owner), life));
+    owner
+        .contacts
+        .borrow_mut()
+        .insert(incarnation.clone(), contact);
+    task::spawn_local(watch(Rc::clone(owner), incarnation));
 }
 
-/// An entry names no worker to use: a worker that is known gets no new runs, and its own answers tell what becomes of
-/// the others. Logged once a change, for the first [`MOST_FOREIGN`] of them.
-fn distrust(owner: &Owner, name: WorkerName, error: &EntryError) {
+/// Stops new runs on a known worker whose list entry is unusable; the worker's own responses decide about its current
+/// runs. Logs each change once, for the first [`MAX_FOREIGN`] names.
+fn mark_unusable(owner: &Owner, name: WorkerName, error: &EntryError) {
     owner.node.metrics.foreign_entry(error.reason());
     let changed = owner.cell.borrow_mut().distrust_worker(&name);
     let mut foreign = owner.foreign.borrow_mut();
-    if !changed || foreign.contains(&name) || foreign.len() >= MOST_FOREIGN {
+    if !changed || foreign.contains(&name) || foreign.len() >= MAX_FOREIGN {
         return;
     }
     warn!(worker = name, %error, "entry names no worker to use");
     foreign.insert(name);
 }
 
-/// A worker whose entry is gone gets no new runs; its own answers tell what becomes of the others.
+/// Stops new runs on a worker that is no longer listed. Its own responses decide about its current runs.
 fn unlist(owner: &Rc<Owner>, name: &str) {
-    let lives = owner.cell.borrow_mut().unlist_worker(name, Instant::now());
-    for life in lives {
-        info!(worker = %life, "worker no longer listed");
+    let incarnations = owner.cell.borrow_mut().unlist_worker(name, Instant::now());
+    for incarnation in incarnations {
+        info!(worker = %incarnation, "worker no longer listed");
     }
     let mut gone = owner.gone.borrow_mut();
     if !gone.is_empty() {
-        gone.retain(|life, _| life.name() != name);
+        gone.retain(|incarnation, _| incarnation.name() != name);
     }
 }
 
-/// Notes that another worker has answered at the address of a life: an entry that goes on to name it there is another
-/// writer's. Each would else be taken for a new worker, with a question and three lines every heartbeat.
-pub fn note_gone(owner: &Owner, life: &WorkerId) {
+/// Records that another worker responded at this incarnation's address. Entries that keep naming the incarnation at
+/// that address come from another writer; each would otherwise count as a new worker and cost a poll and three log
+/// lines per heartbeat.
+pub fn record_replaced(owner: &Owner, incarnation: &WorkerId) {
     let mut gone = owner.gone.borrow_mut();
     let cell = owner.cell.borrow();
-    if let Some(worker) = cell.workers.get(life)
-        && gone.len() < MOST_FOREIGN
+    if let Some(worker) = cell.workers.get(incarnation)
+        && gone.len() < MAX_FOREIGN
     {
-        gone.insert(life.clone(), worker.info.address.clone());
+        gone.insert(incarnation.clone(), worker.info.address.clone());
     }
 }
 
-/// Deals with the workers that a whole list does not name.
+/// Removes the known workers that a complete list does not name.
 fn drop_unlisted(owner: &Rc<Owner>, listed: &HashSet<WorkerName>) {
     let names = owner.cell.borrow().listed_names();
     names
@@ -152,13 +156,13 @@
         .for_each(|name| unlist(owner, name));
 }
 
-/// Gives up the workers that an earlier owner had used and that are not listed any more, once nothing
-/// can run there.
+/// Abandons orphaned workers, which an earlier owner had used and which are no longer listed, once their leases have
+/// expired.
 async fn expire_orphans(owner: Rc<Owner>) {
     timer::sleep_until(owner.inherited).await;
     let orphans = owner.cell.borrow().orphaned();
     for id in orphans {
-        give_up(&owner, &id, Loss::Ended);
+        abandon_worker(&owner, &id, Loss::Ended);
     }
     owner.wake();
 }
