--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out the owner's orders to workers.
+//! Sends the owner's orders to workers.
 
 use super::{
     losses::abandon_worker,
@@ -16,15 +16,15 @@
 use tokio::{task, time};
 use tracing::info;
 
-/// Time until a stop is sent again that had no answer twice.
+/// Time until a stop is resent after two calls without a response.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Sends orders, without waiting for their answers.
+/// Sends orders without waiting for the responses.
 pub fn send_all(owner: &Rc<Owner>, orders: Vec<Order>) {
     orders.into_iter().for_each(|order| send(owner, order));
 }
 
-/// Sends an order, without waiting for its answer.
+/// Sends an order without waiting for the response.
 fn send(owner: &Rc<Owner>, order: Order) {
     let owner = Rc::clone(owner);
     task::spawn_local(async move {
@@ -44,7 +44,7 @@
     });
 }
 
-/// What the list says of a worker, if the cell has it.
+/// Returns the listed details of a worker, if the cell knows the worker.
 pub fn find_worker(owner: &Owner, worker: &str) -> Option<Arc<WorkerInfo>> {
     owner
         .cell
@@ -54,7 +54,7 @@
         .map(|w| Arc::clone(&w.info))
 }
 
-/// The end of a lease that begins now, on the worker's clock, if its clock is known.
+/// Returns the end of a lease that begins now, in the worker's clock, if that clock is known.
 pub fn lease_end(owner: &Owner, worker: &str) -> Option<ClockMs> {
     let now = Instant::now();
     let mut contacts = owner.contacts.borrow_mut();
@@ -65,7 +65,7 @@
     Some(clock + (now - read + lease).as_millis() as ClockMs)
 }
 
-/// Sends a stop until the worker has taken it, or it is not wanted any more.
+/// Sends a stop until the worker has accepted it or it is no longer wanted.
 async fn stop(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId) {
     while owner.is_alive() && owner.cell.borrow().wants_stop(worker, task, run) {
         let Some(info) = find_worker(owner, worker) else {
@@ -92,7 +92,8 @@
     }
 }
 
-/// Sends a stop, and once more where no answer comes: a run is stopped once, and an answer may be lost.
+/// Sends a stop, and resends it if no response arrives. Stopping a run twice has no further effect, and a response
+/// may be lost.
 async fn send_stop(
     owner: &Owner,
     info: &WorkerInfo,
@@ -121,7 +122,7 @@
     }
 }
 
-/// Sends a change of pace, once: one that is lost is not sent again.
+/// Sends a change of pace once. It is not resent if it is lost.
 async fn pace(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId, percent: u64) {
     let Some(info) = find_worker(owner, worker) else {
         return;
@@ -136,7 +137,7 @@
     }
 }
 
-/// Asks the service outside which of some workers may run a step.
+/// Asks the external permit service which of the given workers may run a step.
 async fn request_permits(owner: &Rc<Owner>, task: TaskId, workers: &[WorkerId]) {
     let response = match &owner.node.advice {
         Some(advice) => advice.ask(task, workers).await,
@@ -146,7 +147,7 @@
         info!(%task, %error, "request for permits failed");
         None
     });
-    info!(%task, asked = workers.len(), good = good.as_ref().map(Vec::len), "permits received");
+    info!(%task, asked = workers.len(), good = good.as_ref().map(Vec::len), "permits");
     owner.cell.borrow_mut().set_permits(task, workers, good);
     owner.wake();
 }
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -1,5 +1,5 @@
-//! Sends starts to workers: within a worker's turns, once more where no answer comes, and draws from the answers
-//! what is certain about a run.
+//! Sends starts to workers. Limits the concurrent starts for each worker, resends a start without a response, and
+//! determines from the responses what is certain about a run.
 
 use super::{
     losses::abandon_worker,
@@ -18,15 +18,15 @@
 use tokio::{sync::OwnedSemaphorePermit, task, time};
 use tracing::info;
 
-/// How long a worker may take to answer a start until it gets no others: a healthy one takes some ms, and
-/// one that is out of reach would draw starts, each of which extends its lease, for a second.
+/// Time after which a worker that has not responded to a start gets no further ones. A healthy worker takes a few ms,
+/// and one that cannot be reached would attract starts for a second, each of which extends its lease.
 const START_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a start, or a stop, is waited for until it is sent once more, over a connection of its own: a healthy
-/// worker takes some ms, and an owner of 1,100 workers that is full reads its answer 76 ms later.
+/// Time after which a start or a stop without a response is resent over a new connection. A healthy worker takes a
+/// few ms, and an overloaded owner of 1,100 workers reads the response 76 ms later.
 pub const RESEND_DELAY: Duration = Duration::from_millis(80);
 
-/// Sends a start, unless what it follows from has changed since it was decided.
+/// Sends a start, unless the state on which the decision was based has changed.
 pub async fn start(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId) {
     let turn = acquire_turn(owner, worker).await;
     let confirmed = owner
@@ -38,11 +38,11 @@
         return;
     }
     if !owner.may_hold() {
-        // It is not sent, and waits until this owner has renewed its lease.
+        // The start is withdrawn until this owner has renewed its lease.
         return withdraw(owner, worker, task, run);
     }
     if !is_answering(owner, worker) {
-        // It is not sent, and goes to another worker at once.
+        // The start is withdrawn, and the task goes to another worker at once.
         withdraw(owner, worker, task, run);
         return owner.wake();
     }
@@ -84,8 +84,8 @@
     owner.wake();
 }
 
-/// Has a worker asked once a run in quarantine there is old enough to be cleared: the questions that wait for ends
-/// come half a second apart, and until then nothing else begins there.
+/// Polls a worker once a run in quarantine there is old enough to be cleared. Regular polls are half a second apart,
+/// and nothing else can start on the worker until then.
 fn poll_after_quarantine(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId) {
     let quarantine = owner
         .cell
@@ -103,29 +103,29 @@
     });
 }
 
-/// Takes a start back that is not sent.
+/// Withdraws a start that has not been sent.
 fn withdraw(owner: &Owner, worker: &str, task: TaskId, run: RunId) {
     let now = Instant::now();
     let mut cell = owner.cell.borrow_mut();
     cell.refused(worker, task, run, Refusal::Late, now);
 }
 
-/// Waits for a turn to send a start to a worker; none if the worker is not there any more.
+/// Waits until a start may be sent to a worker. Returns `None` if the worker is no longer known.
 async fn acquire_turn(owner: &Owner, worker: &str) -> Option<OwnedSemaphorePermit> {
     let contact = owner.contacts.borrow().get(worker).cloned();
     let turns = contact.map(|contact| contact.turns)?;
-    // It is never closed.
+    // The semaphore is never closed.
     turns.acquire_owned().await.ok()
 }
 
-/// Whether a worker has answered of late: it may have fallen silent while a start waited for its turn.
+/// Returns whether a worker has responded recently. It may have become silent while a start was waiting for its turn.
 fn is_answering(owner: &Owner, worker: &str) -> bool {
     let cell = owner.cell.borrow();
     cell.workers.get(worker).is_some_and(|worker| worker.known)
 }
 
-/// Sends a start to a worker. One that takes long to answer gets no others until it has answered a question;
-/// those that wait for their turn need not wait for its answer.
+/// Sends a start to a worker. If the response takes too long, the worker gets no further starts until it has
+/// responded to a poll, and the turn is released so that waiting starts need not wait for this response.
 async fn send_start(
     owner: &Rc<Owner>,
     info: &WorkerInfo,
@@ -157,11 +157,11 @@
     both.await
 }
 
-/// What came of a start.
+/// The outcome of a start.
 type Outcome = Result<Told<()>, WorkerError>;
 
-/// What came of a start that was sent twice: a worker has a run once, however often it is told to start it, so that
-/// one answer may settle what became of the other call.
+/// Returns the outcome of a start that was sent twice. A worker runs a start only once, however often it receives it,
+/// so one response may also decide the outcome of the other call.
 async fn first_decisive(
     first: impl Future<Output = Outcome>,
     second: impl Future<Output = Outcome>,
@@ -173,7 +173,7 @@
     }
 }
 
-/// The outcome of the call that was answered first, unless the other one's is needed beside it.
+/// Returns the outcome of the first call to get a response, combined with the other one if the first is not decisive.
 async fn or_combined(early: Outcome, other: impl Future<Output = Outcome>) -> Outcome {
     if is_decisive(&early) {
         return early;
@@ -181,7 +181,7 @@
     combine(early, other.await)
 }
 
-/// Whether an answer tells what became of all calls for its run: the run is there, or never will be.
+/// Returns whether an outcome decides all calls for the run: the run exists, or never will.
 fn is_decisive(outcome: &Outcome) -> bool {
     matches!(
         outcome,
@@ -189,8 +189,8 @@
     )
 }
 
-/// What two calls for one run have led to. A refusal of one says nothing of the other, which may be carried out
-/// later, unless that is refused as well or was never sent.
+/// Combines the outcomes of two calls for one run. A refusal of one call does not decide the other, which may still
+/// be carried out unless it was refused as well or never sent.
 fn combine(early: Outcome, late: Outcome) -> Outcome {
     if is_decisive(&late) {
         return late;
@@ -206,14 +206,14 @@
     Err(WorkerError::Call(CallError::Unanswered))
 }
 
-/// The permit for a task on a worker; empty if none is needed.
+/// Returns the permit's ticket for a task on a worker, or an empty string if none is needed.
 fn ticket(owner: &Owner, worker: &str, task: TaskId) -> String {
     let cell = owner.cell.borrow();
     let permit = cell.permit(task, worker);
     permit.map_or_else(String::new, |permit| permit.ticket.clone())
 }
 
-/// The name of the outcome of a start in the metrics.
+/// Returns the name of a start's outcome in the metrics.
 fn outcome_name<T>(outcome: &Result<T, WorkerError>) -> &'static str {
     match outcome {
         Ok(_) => "started",
@@ -224,7 +224,7 @@
     }
 }
 
-/// Draws from the outcome of a start what is certain about it.
+/// Applies what the outcome of a start shows about the run.
 fn apply_outcome(
     owner: &Rc<Owner>,
     worker: &str,
@@ -234,17 +234,15 @@
     outcome: Result<Told<()>, WorkerError>,
 ) {
     let now = Instant::now();
-    let fence_raised = owner.has_raised(worker, fence);
+    let raised = owner.has_raised(worker, fence);
     let mut cell = owner.cell.borrow_mut();
     match outcome {
         Ok(response) => {
             watch::set_clock(owner, worker, response.clock, now);
             cell.started(worker, task, run, now);
         }
-        // Another life refuses it; it may have taken the first of two calls.
-        Err(WorkerError::Refused(Refusal::Fenced)) if fence_raised => {
-            cell.unsure(worker, task, run)
-        }
+        // A new incarnation refused the call, but the earlier one may have accepted the first of the two calls.
+        Err(WorkerError::Refused(Refusal::Fenced)) if raised => cell.unsure(worker, task, run),
         Err(WorkerError::Refused(Refusal::Fenced)) => owner.end("a worker has seen a newer owner"),
         Err(WorkerError::Refused(why)) => cell.refused(worker, task, run, why, now),
         Err(WorkerError::Replaced) => {
@@ -252,7 +250,7 @@
             abandon_worker(owner, worker, Loss::Ended);
         }
         Err(WorkerError::Call(CallError::Refused | CallError::Unreachable)) => {
-            // It gets nothing more until it has answered a question.
+            // The worker gets no further starts until it has responded to a poll.
             cell.mute_worker(worker, now);
             cell.refused(worker, task, run, Refusal::Unwell, now);
         }
@@ -262,7 +260,7 @@
     }
 }
 
-/// The job's text and the task's saved progress.
+/// Returns the job's text and the task's saved progress.
 fn start_payload(owner: &Owner, task: TaskId) -> Option<(String, String)> {
     let cell = owner.cell.borrow();
     let job = cell.jobs.get(&task.job)?;
