--- a/crates/havenladder/src/entry/ends.rs
+++ b/crates/havenladder/src/entry/ends.rs
@@ -1,11 +1,11 @@
-//! Logs and counts how runs came to their end, as workers tell it, and what does not fit what is known.
+//! Logs and counts the ends of runs that workers report, and reports that contradict the known state.
 
 use super::owner::Owner;
 use jobs::{How, Report, RunId, TaskId};
 use tracing::{info, warn};
 
-/// Logs and counts the ends that a worker listed for the first time, and those that are passed over: one whose number
-/// is not above what has been dealt with has been dealt with, so that its run must not be known any more.
+/// Logs and counts the ends that a worker reports for the first time, and ends that are skipped. An end whose number
+/// has been acknowledged was processed before, so its run should no longer be known.
 pub fn log_listed(owner: &Owner, worker: &str, report: &Report) {
     let cell = owner.cell.borrow();
     let Some(host) = cell.workers.get(worker) else {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Logs and counts runs that a worker had, and of which it lists neither a row nor an end.
+/// Logs and counts runs that a worker had and now reports neither as running nor as ended.
 pub fn log_missing(owner: &Owner, worker: &str, runs: &[(TaskId, RunId)]) {
     for (task, run) in runs {
         warn!(%task, run, worker, "run is gone without an end");
@@ -32,7 +32,7 @@
     }
 }
 
-/// The name of an end in the metrics.
+/// Returns the name of an end in the metrics.
 fn end_name(how: How) -> &'static str {
     match how {
         How::Done => "done",
--- a/crates/havenladder/src/entry/losses.rs
+++ b/crates/havenladder/src/entry/losses.rs
@@ -1,4 +1,4 @@
-//! Gives workers up, and tells what was lost with each and how it came to its end.
+//! Abandons workers, and logs which runs were lost with each worker and how the worker ended.
 
 use super::owner::Owner;
 use clock::Instant;
@@ -6,11 +6,12 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// How many runs of a lost worker a line names: the youngest, since what begins ends a worker more often than what
-/// has gone on for seconds. A line for each of 25 runs would be the larger part of an owner's log.
+/// Maximum number of lost runs that a log line names. The youngest runs are named, because a run that has just
+/// started crashes a worker more often than one that has been running for seconds. One line for each of 25 runs would
+/// make up most of an owner's log.
 const MAX_NAMED_RUNS: usize = 4;
 
-/// Gives a worker up: its runs are free to be started elsewhere.
+/// Abandons a worker, which frees its runs to be started elsewhere.
 pub fn abandon_worker(owner: &Rc<Owner>, id: &str, loss: Loss) {
     let now = Instant::now();
     let lost = owner.cell.borrow_mut().lose_worker(id, loss, now);
@@ -20,7 +21,7 @@
     owner.wake();
 }
 
-/// Gives up the runs of a worker whose lease has run out; the worker may only be cut off.
+/// Abandons the runs of a worker whose lease has expired. The worker itself may only be unreachable.
 pub fn abandon_runs(owner: &Rc<Owner>, id: &str) {
     let lost = owner.cell.borrow_mut().lapse_worker(id, Instant::now());
     if let Some(lost) = lost {
@@ -54,7 +55,7 @@
     }
 }
 
-/// A run and its age when its worker fell silent, in ms.
+/// Describes a run and its age in ms at the time when its worker became silent.
 fn describe(run: &LostRun) -> String {
     let LostRun {
         task,
@@ -69,7 +70,7 @@
     }
 }
 
-/// The name of an ending in logs and metrics.
+/// Returns the name of a worker's ending in logs and metrics.
 fn ending_name(ending: Ending) -> &'static str {
     match ending {
         Ending::Ordered => "ordered",
--- a/crates/havenladder/src/entry/vm_orders.rs
+++ b/crates/havenladder/src/entry/vm_orders.rs
@@ -1,4 +1,4 @@
-//! Gives orders about VMs: several at once, within the rate that the platform takes.
+//! Sends orders about VMs concurrently, within the platform's rate limit.
 
 use super::owner::Owner;
 use adapter::cloud::Ordered;
@@ -7,17 +7,17 @@
 use tokio::task;
 use tracing::info;
 
-/// What is to become of a VM.
+/// The operation that is ordered for a VM.
 #[derive(Clone, Debug)]
 pub enum VmOperation {
-    /// It is to move to this pool.
+    /// A move to this pool.
     Move(String),
-    /// It is to have its upkeep in this wave.
+    /// Maintenance in the wave with this number.
     Upkeep(u64),
 }
 
 impl VmOperation {
-    /// Its name in the metrics.
+    /// Returns the name of the operation in the metrics.
     fn name(&self) -> &'static str {
         match self {
             VmOperation::Move(_) => "move",
@@ -29,20 +29,20 @@
 /// An order about a VM.
 #[derive(Clone, Debug)]
 pub struct VmOrder {
-    /// The VM.
+    /// The name of the VM.
     pub vm: String,
-    /// What is to become of it.
+    /// The operation to carry out.
     pub operation: VmOperation,
 }
 
-/// How many orders may be given now.
+/// Returns how many orders may be sent now.
 pub fn available(owner: &Owner) -> usize {
     owner.vm_rate.borrow_mut().available(Instant::now())
 }
 
-/// Gives orders, all at once, and returns their outcomes in the same order: none where the platform did
-/// not answer, so that the order may still be carried out. An owner that may no longer give an order
-/// does not: that counts as one that may be tried later.
+/// Sends orders concurrently and returns their outcomes in the same order. An outcome is `None` if the platform did
+/// not respond, so the order may still be carried out. If the owner is no longer allowed to send orders, the outcome
+/// is [`Ordered::Later`].
 pub async fn send_all(owner: &Rc<Owner>, orders: Vec<VmOrder>) -> Vec<Option<Ordered>> {
     let calls: Vec<_> = orders
         .into_iter()
@@ -53,13 +53,13 @@
         .collect();
     let mut outcomes = Vec::new();
     for call in calls {
-        // A call that panicked may have been made.
+        // The call may have been made before its task panicked.
         outcomes.push(call.await.unwrap_or(None));
     }
     outcomes
 }
 
-/// Gives one order.
+/// Sends one order.
 async fn send(owner: &Owner, order: &VmOrder) -> Option<Ordered> {
     if !owner.is_certain() {
         return Some(Ordered::Later);
--- a/crates/havenladder/src/entry/wave_status.rs
+++ b/crates/havenladder/src/entry/wave_status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a wave: a record of how far it is.
+//! Publishes the status of waves for operators.
 
 use super::{
     owner::Owner,
@@ -10,11 +10,11 @@
 };
 use tracing::{info, warn};
 
-/// How often it is tried to tell how far a wave is, until the next look at it: once to learn where the log ends, once
-/// where an answer was lost.
+/// Maximum number of attempts to publish a status before the next round. Two of them allow for learning where the log
+/// ends and for a lost response.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Tells operators how far a wave is; false if that was not taken, and is to be told again with the next look.
+/// Publishes the state of a wave. Returns false if that failed; the caller retries in the next round.
 pub async fn publish(owner: &Owner, wave: u64, state: WaveState) -> bool {
     let key = format!("{WAVE_KEY}{wave}");
     let value = write_wave(state);
@@ -28,7 +28,8 @@
                 info!(wave, ?state, "wave status published");
                 return true;
             }
-            // Others write there, too; or this record is there, and once more says the same.
+            // Other writers append here too, or this record was already appended, in which case repeating it is
+            // harmless.
             Ok(Appended::Moved(end)) => owner.status_end.set(end),
             outcome => {
                 warn!(wave, ?state, ?outcome, "wave status not published");
