--- a/crates/havenladder/src/entry/maintenance.rs
+++ b/crates/havenladder/src/entry/maintenance.rs
@@ -1,4 +1,5 @@
-//! Takes VMs through waves of upkeep, within their bounds and the budgets of lasting steps.
+//! Takes VMs down for maintenance in waves, within each wave's bound and the disruption budgets of long-running
+//! steps.
 
 use super::{
     fleet::{ORDER_TIMEOUT, Vm, VmList},
@@ -21,81 +22,79 @@
 };
 use tracing::info;
 
-/// What a VM weighs whose lasting tasks cannot be away now, against one run that is thrown away: such
-/// VMs go last, and while they wait to go they get nothing new.
+/// Weight of a VM whose long-running tasks must not be interrupted now, where each run that would be lost weighs 1.
+/// Such VMs go last, and they get no new runs while they wait.
 const GUARDED_WEIGHT: usize = 1_000;
 
-/// How long a VM that is to go may wait for its runs to end.
+/// Maximum time for which a VM waits for its runs to end before it goes down.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Part of a wave's time in which VMs of a pool whose jobs wait for room are spared. A VM is down for
-/// 2 s and a wave takes some 25 s, so that what is left suffices.
+/// First part of a wave's time in which busy VMs are deferred if jobs of their pool are waiting for capacity. A VM is
+/// down for 2 s and a wave takes about 25 s, so the rest of the time is enough.
 const DEFERRAL_SHARE: f64 = 0.4;
 
-/// Time between two log lines about what a wave waits for.
+/// Time between two log entries about the VMs that a wave is waiting for.
 const LOG_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// How far one wave is.
+/// Progress of one wave.
 #[derive(Default)]
-struct WaveProgress {
-    /// When its first step was taken.
+struct Progress {
+    /// When the wave started.
     started_at: Option<Instant>,
-    /// VMs that have begun their upkeep, or have left.
+    /// VMs that have started their maintenance, or that are no longer listed.
     done: BTreeSet<String>,
-    /// VMs that are down, or may be: told to go, and not seen up again with another worker.
+    /// VMs that are or may be down: they were ordered down and have not been seen up with a new worker.
     down: BTreeMap<String, DownVm>,
-    /// VMs whose workers get no new runs, and since when.
+    /// VMs whose workers get no new runs, with the time at which this began.
     draining: BTreeMap<String, Instant>,
-    /// When it was last told which VMs the wave waits for.
+    /// When the VMs that the wave is waiting for were last logged.
     last_logged: Option<Instant>,
-    /// What operators have been told.
+    /// The state that was last published to operators.
     published: Option<WaveState>,
 }
 
-/// A VM that was told to go down.
+/// A VM that was ordered down.
 struct DownVm {
-    /// The worker that it had.
+    /// The worker that the VM had.
     worker: Option<WorkerId>,
     /// When the order was sent.
     since: Instant,
-    /// When the platform said that the order is carried out.
+    /// When the platform reported that the order was carried out.
     answered: Option<Instant>,
-    /// Whether the list has shown what became of the worker.
+    /// Whether the list of VMs has shown what happened to the worker.
     confirmed: bool,
 }
 
-/// The waves that are under way.
+/// The waves in progress.
 #[derive(Default)]
 pub struct Waves {
-    /// How far each is, by its number.
-    progress: BTreeMap<u64, WaveProgress>,
+    /// Progress of each wave, by its number.
+    progress: BTreeMap<u64, Progress>,
 }
 
 impl Waves {
-    /// Whether a wave that operators asked for has not succeeded.
+    /// Returns whether any wave that operators requested has not succeeded yet.
     pub fn is_open(&self, owner: &Owner) -> bool {
         let in_force = owner.node.in_force.borrow();
-        let mut asked = in_force.waves();
-        asked.any(|wave| !self.has_succeeded(wave.number))
+        let mut requested = in_force.waves();
+        requested.any(|wave| !self.has_succeeded(wave.number))
     }
 
-    /// Whether a VM is about to go down, or is down.
+    /// Returns whether a VM is down, or about to go down, for a wave.
     pub fn is_disrupting(&self, vm: &str) -> bool {
-        let busy = |progress: &WaveProgress| {
-            progress.draining.contains_key(vm) || progress.down.contains_key(vm)
-        };
-        // A wave that has succeeded is not looked at again, and would hold its last VMs for ever.
-        let open = |c: &&WaveProgress| c.published != Some(WaveState::Succeeded);
+        let busy = |wave: &Progress| wave.draining.contains_key(vm) || wave.down.contains_key(vm);
+        // A wave that has succeeded is not updated any more, so its last VMs would be included forever.
+        let open = |wave: &&Progress| wave.published != Some(WaveState::Succeeded);
         self.progress.values().filter(open).any(busy)
     }
 
-    /// Whether operators have been told that a wave has succeeded.
+    /// Returns whether the success of a wave has been published to operators.
     fn has_succeeded(&self, number: u64) -> bool {
         let progress = self.progress.get(&number);
-        progress.is_some_and(|c| c.published == Some(WaveState::Succeeded))
+        progress.is_some_and(|wave| wave.published == Some(WaveState::Succeeded))
     }
 
-    /// Takes the next steps of all waves; true if the list of VMs has changed by that.
+    /// Advances all waves. Returns whether the list of VMs must be read again because orders have changed it.
     pub async fn advance(&mut self, owner: &Rc<Owner>, vms: &VmList) -> bool {
         let waves: Vec<Wave> = owner.node.in_force.borrow().waves().cloned().collect();
         let mut changed = false;
@@ -110,13 +109,8 @@
     }
 }
 
-/// Takes the next steps of a wave; true if the list of VMs has changed by that.
-async fn advance(
-    owner: &Rc<Owner>,
-    wave: &Wave,
-    progress: &mut WaveProgress,
-    vms: &VmList,
-) -> bool {
+/// Advances a wave. Returns whether the list of VMs must be read again because orders have changed it.
+async fn advance(owner: &Rc<Owner>, wave: &Wave, progress: &mut Progress, vms: &VmList) -> bool {
     if progress.started_at.is_none() {
         progress.started_at = Some(Instant::now());
         progress.done = owner.cell.borrow().upkept(wave.number);
@@ -126,7 +120,7 @@
     remove_returned(progress, vms);
     for name in &wave.vms {
         if !vms.contains_key(name) {
-            // It has left: there is nothing to do for it.
+            // A VM that is no longer listed needs no maintenance.
             progress.done.insert(name.clone());
         }
     }
@@ -134,7 +128,7 @@
     drain_next(owner, wave, progress, vms);
     owner.wake();
     order_maintenance(owner, wave, progress, vms).await;
-    // A wave that is over is not looked at again: what its last VM carried must be dealt with first.
+    // A finished wave is not updated any more, so the runs of its last VMs must be dealt with first.
     let all = wave.vms.iter().all(|name| progress.done.contains(name));
     if all && progress.down.values().all(|down| down.confirmed) {
         publish_state(owner, wave, progress, WaveState::Succeeded).await;
@@ -143,9 +137,9 @@
     progress.down.values().any(unconfirmed)
 }
 
-/// Draws from the list what an order did: where the VM is not up with the worker that it had, that
-/// worker's life is over. An order that had been carried out before changes nothing.
-fn confirm_orders(owner: &Rc<Owner>, progress: &mut WaveProgress, vms: &VmList) {
+/// Determines the effect of orders from the list of VMs. If a VM is not up with its earlier worker, that incarnation
+/// of the worker has ended; if the maintenance had been done before the order, nothing changes.
+fn confirm_orders(owner: &Rc<Owner>, progress: &mut Progress, vms: &VmList) {
     for (name, down) in progress.down.iter_mut().filter(|(_, down)| !down.confirmed) {
         let Some(vm) = vms.get(name) else {
             continue;
@@ -171,31 +165,27 @@
     });
 }
 
-/// Whether the worker of a VM that was told to go down has answered since the platform said that this is done: then the
-/// VM had had its upkeep before. A list that shows the VM up with its worker does not tell that, since the next life
-/// may be back under the same id.
+/// Returns whether the worker of a VM has responded since the platform reported its order as carried out, or has had
+/// enough time to do so; the maintenance was then done earlier. The list alone does not show this, since the next
+/// incarnation may already be back under the same id.
 fn has_answered_since(owner: &Owner, down: &DownVm) -> bool {
     let Some(answered) = down.answered else {
         return false;
     };
     let cell = owner.cell.borrow();
     let worker = down.worker.as_ref().and_then(|id| cell.workers.get(id));
-    let has_answered = worker.is_none_or(|worker| {
-        worker
-            .heard
-            .is_some_and(|last_answer| last_answer > answered)
-    });
+    let has_answered = worker.is_none_or(|worker| worker.heard.is_some_and(|at| at > answered));
     has_answered || answered.elapsed() >= ORDER_TIMEOUT
 }
 
-/// Notes VMs that are up again with a new worker.
-fn remove_returned(progress: &mut WaveProgress, vms: &VmList) {
+/// Removes VMs that are up again with a new worker, and those whose order was not carried out.
+fn remove_returned(progress: &mut Progress, vms: &VmList) {
     progress.down.retain(|name, down| {
         let Some(vm) = vms.get(name) else {
             return false;
         };
         let back = vm.state == VmState::Up && !vm.is_up_with(down.worker.as_ref());
-        // An order without an answer that shows nothing for so long was not carried out.
+        // An order without a response that has shown no effect for this long was not carried out.
         let not_executed = down.answered.is_none()
             && vm.state == VmState::Up
             && down.since.elapsed() >= ORDER_TIMEOUT;
@@ -203,8 +193,8 @@
     });
 }
 
-/// Tells now and then which VMs a wave waits for, and what keeps them.
-fn log_waiting(owner: &Owner, wave: &Wave, progress: &mut WaveProgress, vms: &VmList) {
+/// Logs from time to time which VMs a wave is waiting for, and why.
+fn log_waiting(owner: &Owner, wave: &Wave, progress: &mut Progress, vms: &VmList) {
     let last = progress.last_logged.get_or_insert_with(Instant::now);
     if last.elapsed() < LOG_INTERVAL {
         return;
@@ -222,20 +212,24 @@
             progress.draining.contains_key(name),
             progress.down.contains_key(name),
         );
-        info!(wave = wave.number, vm = name, worker = vm.worker.as_deref(), state = ?vm.state, ?cost, closing, down, "wave is waiting for a VM");
+        info!(
+            wave = wave.number,
+            vm = name,
+            worker = vm.worker.as_deref(),
+            state = ?vm.state,
+            ?cost,
+            closing,
+            down,
+            "wave is waiting for a VM"
+        );
     }
 }
 
-/// How many more VMs of a wave may go down now.
-fn remaining_disruptions(
-    owner: &Owner,
-    wave: &Wave,
-    progress: &WaveProgress,
-    vms: &VmList,
-) -> usize {
+/// Returns how many more VMs of a wave may go down now.
+fn remaining_disruptions(owner: &Owner, wave: &Wave, progress: &Progress, vms: &VmList) -> usize {
     let whereabouts = |name: &String| match vms.get(name).map(|vm| vm.state) {
         _ if progress.down.contains_key(name) => Whereabouts::Told,
-        // One in a state that is not known is counted against the bound.
+        // A VM in an unknown state counts against the bound.
         Some(VmState::Upkeep | VmState::Down | VmState::Other) => Whereabouts::Down,
         Some(VmState::Up) if owner.is_doubtful(name) => Whereabouts::Doubtful,
         Some(VmState::Up | VmState::Moving) | None => Whereabouts::Up,
@@ -243,8 +237,8 @@
     room_to_go(wave.most, wave.vms.iter().map(whereabouts))
 }
 
-/// Chooses the VMs to go next: those that carry the least, as many as the bound has room for.
-fn drain_next(owner: &Owner, wave: &Wave, progress: &mut WaveProgress, vms: &VmList) {
+/// Starts to drain the VMs that go down next: those with the least weight, as many as the bound allows and one more.
+fn drain_next(owner: &Owner, wave: &Wave, progress: &mut Progress, vms: &VmList) {
     let remaining = remaining_disruptions(owner, wave, progress, vms);
     let is_up = |name: &String| vms.get(name).is_some_and(|vm| vm.state == VmState::Up);
     progress.draining.retain(|name, _| is_up(name));
@@ -259,7 +253,7 @@
         .map(|name| (weight(disruption(owner, &vms[name])), name))
         .collect();
     next.sort();
-    // One more than there is room for drains already.
+    // One VM beyond the bound is drained in advance.
     let wanted = (remaining + 1).saturating_sub(progress.draining.len());
     for (_, name) in next.into_iter().take(wanted) {
         if let Some(id) = &vms[name].worker {
@@ -271,7 +265,7 @@
     }
 }
 
-/// What a VM weighs in the order in which VMs go; the lowest goes first.
+/// Returns the weight of a VM in the order of disruption. VMs with the lowest weight go first.
 fn weight(cost: Takeout) -> usize {
     match cost {
         Takeout::Free => 0,
@@ -280,22 +274,18 @@
     }
 }
 
-/// Whether a VM with runs may wait for its pool to be quieter: in the first part of a wave's time, while
-/// jobs of its pool wait for room.
-fn may_defer(owner: &Owner, wave: &Wave, progress: &WaveProgress, vm: &Vm) -> bool {
+/// Returns whether a VM with runs may be deferred until its pool is less busy. This holds in the first part of a
+/// wave's time, while jobs of the pool are waiting for capacity.
+fn may_defer(owner: &Owner, wave: &Wave, progress: &Progress, vm: &Vm) -> bool {
     let early = progress
         .started_at
         .is_some_and(|started| started.elapsed() < wave.span().mul_f64(DEFERRAL_SHARE));
     early && owner.cell.borrow().demand(&vm.pool).waiting != Need::default()
 }
 
-/// Takes VMs down, as many as the bound has room for, where what they carry may be away now.
-async fn order_maintenance(
-    owner: &Rc<Owner>,
-    wave: &Wave,
-    progress: &mut WaveProgress,
-    vms: &VmList,
-) {
+/// Orders maintenance for drained VMs whose runs may be interrupted now, as many as the bound and the order rate
+/// allow.
+async fn order_maintenance(owner: &Rc<Owner>, wave: &Wave, progress: &mut Progress, vms: &VmList) {
     let max_orders =
         remaining_disruptions(owner, wave, progress, vms).min(vm_orders::available(owner));
     let draining: Vec<String> = progress.draining.keys().cloned().collect();
@@ -309,7 +299,8 @@
     if names.is_empty() || !owner.claim_vms(&names).await {
         return;
     }
-    // What they carry may have changed while the record was written, and each that goes uses up budgets.
+    // Runs may have changed while the record was being written, and each VM that goes down uses up disruption
+    // budgets.
     let mut orders = Vec::new();
     for vm in &ready {
         if disruption(owner, vm) != Takeout::Guarded {
@@ -323,8 +314,8 @@
     }
 }
 
-/// Whether a VM may go down now; one whose lasting tasks cannot be away is relieved of them.
-fn may_take_down(owner: &Rc<Owner>, wave: &Wave, progress: &mut WaveProgress, vm: &Vm) -> bool {
+/// Returns whether a VM may go down now. If its long-running tasks must not be interrupted, starts to move them away.
+fn may_take_down(owner: &Rc<Owner>, wave: &Wave, progress: &mut Progress, vm: &Vm) -> bool {
     let drained = progress.draining[&vm.name].elapsed() >= DRAIN_TIMEOUT;
     match disruption(owner, vm) {
         _ if owner.must_spare(&vm.name) => false,
@@ -337,21 +328,21 @@
     }
 }
 
-/// What it costs to take a VM down now.
+/// Returns the disruption that taking a VM down would cause now.
 fn disruption(owner: &Owner, vm: &Vm) -> Takeout {
     let worker = vm.worker.as_deref();
     worker.map_or(Takeout::Free, |id| owner.cell.borrow().takeout(id))
 }
 
-/// Deals with a VM whose lasting tasks cannot be away now.
-fn relieve_guarded(owner: &Rc<Owner>, progress: &mut WaveProgress, vm: &Vm, drained: bool) {
-    // Its lasting tasks are moved one by one where it has several of a step.
+/// Moves long-running tasks off a VM where they must not be interrupted now, or puts the VM back into use.
+fn relieve_guarded(owner: &Rc<Owner>, progress: &mut Progress, vm: &Vm, drained: bool) {
+    // If the VM runs several tasks of a long-running step, they are moved one by one.
     if let Some(id) = &vm.worker
         && owner.cell.borrow_mut().shed(id) > 0
     {
         return owner.wake();
     }
-    // Another VM may go first; this one is used meanwhile.
+    // Another VM may go first; this one is put back into use in the meantime.
     if drained {
         progress.draining.remove(&vm.name);
         if let Some(id) = &vm.worker {
@@ -360,8 +351,8 @@
     }
 }
 
-/// Begins to take a VM down. Its worker gets nothing more from now on.
-fn begin_order(owner: &Owner, wave: &Wave, progress: &mut WaveProgress, vm: &Vm) -> VmOrder {
+/// Builds the order that takes a VM down. The VM's worker gets no new runs from now on.
+fn begin_order(owner: &Owner, wave: &Wave, progress: &mut Progress, vm: &Vm) -> VmOrder {
     if let Some(id) = &vm.worker {
         owner.cell.borrow_mut().take_worker(id, true);
     }
@@ -379,11 +370,11 @@
     }
 }
 
-/// Draws from the answer to an order what is certain about the VM.
+/// Applies what the response to an order shows about the VM.
 fn apply_outcome(
     owner: &Rc<Owner>,
     wave: &Wave,
-    progress: &mut WaveProgress,
+    progress: &mut Progress,
     vm: &Vm,
     outcome: Option<Ordered>,
 ) {
@@ -405,13 +396,13 @@
                 cell.close_worker(id, false);
             }
         }
-        // It may be carried out at any moment: the VM counts as down until the list tells.
+        // The order may still be carried out at any time: the VM counts as down until the list shows otherwise.
         None => {}
     }
 }
 
-/// Tells operators how far a wave is. An end that was not taken is told again with the next look.
-async fn publish_state(owner: &Owner, wave: &Wave, progress: &mut WaveProgress, state: WaveState) {
+/// Publishes the state of a wave to operators. If this fails for the final state, the next round retries it.
+async fn publish_state(owner: &Owner, wave: &Wave, progress: &mut Progress, state: WaveState) {
     if publish(owner, wave.number, state).await {
         progress.published = Some(state);
     }
