--- a/crates/havenladder/src/entry/logs.rs
+++ b/crates/havenladder/src/entry/logs.rs
@@ -1,7 +1,7 @@
-//! Logs to standard output that never hold up a decision.
+//! Logging to standard output that never blocks a decision.
 //!
-//! Lines go through a bounded queue to a thread of their own. Where nobody reads them, the queue fills
-//! and lines are left out; the next line that finds room tells how many.
+//! Lines go through a bounded queue to a writer thread. If nothing reads the output, the queue fills up and further
+//! lines are dropped; the writer then logs how many.
 
 use std::{
     io::{self, Write},
@@ -15,17 +15,17 @@
 };
 use tracing_subscriber::{EnvFilter, fmt::MakeWriter};
 
-/// How many lines may wait. A peak writes 1,000 a second; at 300 bytes each this takes 1.2 MB.
+/// Maximum number of queued lines. A peak writes 1,000 lines a second; 4,096 lines of 300 bytes take 1.2 MB.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// How long lines are gathered before they are written: a wake-up for each would cost more than the
-/// line.
+/// Time for which lines are gathered before they are written, since waking the thread for each line would cost more
+/// than the line itself.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Which lines are written, unless the environment says otherwise.
+/// The log filter that applies unless the environment sets another one.
 const DEFAULT_FILTER: &str = "info";
 
-/// Where lines go.
+/// The queue of lines to the writer thread.
 #[derive(Clone)]
 pub struct LogQueue {
     lines: SyncSender<Vec<u8>>,
@@ -39,7 +39,7 @@
 }
 
 impl LogQueue {
-    /// A queue whose lines go to `out`, by a thread that this starts.
+    /// Creates a queue and starts the thread that writes its lines to `out`.
     pub fn new(out: impl Write + Send + 'static) -> Self {
         let (lines, queued) = sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -80,7 +80,7 @@
     }
 }
 
-/// Writes the lines that wait, gathered, until nobody can send any more or `out` is closed.
+/// Writes queued lines in batches until all senders are gone or `out` is closed.
 fn write_all(queued: &Receiver<Vec<u8>>, dropped: &AtomicU64, mut out: impl Write) {
     while let Ok(mut text) = queued.recv() {
         thread::sleep(FLUSH_INTERVAL);
@@ -94,7 +94,7 @@
             );
             text.extend_from_slice(line.as_bytes());
         }
-        // There is no other place to tell that standard output is closed.
+        // Standard output is closed, and there is nowhere else to report that.
         if out.write_all(&text).and_then(|()| out.flush()).is_err() {
             return;
         }
--- a/crates/havenladder/src/entry/metrics.rs
+++ b/crates/havenladder/src/entry/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies of an entry on the users' machines, in the text form that scrapers read.
+//! Counters and latencies of an entry on the users' machines, in the text format of Prometheus.
 
 use super::listen::{self, Reply, accept_each};
 use http_body_util::Full;
@@ -13,13 +13,13 @@
 use tokio::net::TcpListener;
 use tracing::warn;
 
-/// The port of the metrics, as deploy/system.toml names it.
+/// The port of the metrics, as configured in deploy/system.toml.
 pub const PORT: u16 = 9_460;
 
-/// Bounds of the latencies, in seconds: an answer takes 10 ms as a rule, and 3 s at the most.
+/// Bucket bounds of the latencies, in seconds. A response usually takes 10 ms, and at most 3 s.
 const BUCKETS_SECONDS: [f64; 10] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0];
 
-/// What an entry counts; docs/OPERATIONS.md names each.
+/// The metrics of an entry, each of which is described in docs/OPERATIONS.md.
 pub struct Metrics {
     registry: Registry,
     answers: Counter<u64>,
@@ -49,8 +49,8 @@
 }
 
 impl Metrics {
-    /// The metrics of this process. Where the exporter cannot be registered, they count in vain, and
-    /// a log line says so.
+    /// Creates the metrics of this process. If the exporter cannot be registered, a warning is logged and the metrics
+    /// stay empty.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Counts an answer to a caller.
+    /// Counts a response to a caller and records its latency.
     pub fn answered(&self, method: &str, status: u16, took: Duration) {
         let method = KeyValue::new("method", method.to_owned());
         self.answer_time
@@ -118,70 +118,71 @@
         self.ends.add(1, &[KeyValue::new("how", how)]);
     }
 
-    /// Counts a worker that was given up, and the runs that it had.
+    /// Counts a worker that was abandoned, and the runs that it had.
     pub fn lost_worker(&self, ending: &'static str, runs: usize) {
         let ending = [KeyValue::new("ending", ending)];
         self.lost_workers.add(1, &ending);
         self.lost_runs.add(runs as u64, &ending);
     }
 
-    /// Counts a job that was given up because a task of it ends its workers.
+    /// Counts a job that failed because one of its tasks crashes its workers.
     pub fn failed_job(&self) {
         self.failed_jobs.add(1, &[]);
     }
 
-    /// Notes how long records took to be durable.
+    /// Records how long it took until records were durable.
     pub fn appended(&self, took: Duration) {
         self.appends.record(took.as_secs_f64(), &[]);
     }
 
-    /// Notes how long the decisions of a round took.
+    /// Records how long the decisions of a round took.
     pub fn decided(&self, took: Duration) {
         self.rounds.record(took.as_secs_f64(), &[]);
     }
 
-    /// Notes by how much the owner woke too late from a sleep: it had more to do than its part of a core allows.
+    /// Records by how much the owner woke too late from a sleep, which happens if it has more work than its share of
+    /// a core allows.
     pub fn woke_late(&self, late: Duration) {
         self.lags.record(late.as_secs_f64(), &[]);
     }
 
-    /// Counts that this entry gained the cell, or lost it.
+    /// Counts that this entry gained or lost ownership of the cell.
     pub fn ownership_changed(&self, change: &'static str) {
         self.owners.add(1, &[KeyValue::new("change", change)]);
     }
 
-    /// Counts an entry in the list of workers that names no worker to use.
+    /// Counts an unusable entry in the list of workers.
     pub fn foreign_entry(&self, reason: &'static str) {
         self.foreign_entries
             .add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts a run whose end does not fit what is known of it.
+    /// Counts a run whose end contradicts its known state.
     pub fn odd_end(&self, what: &'static str) {
         self.odd_ends.add(1, &[KeyValue::new("what", what)]);
     }
 
-    /// Counts a worker that was found to have started again under its id.
+    /// Counts a worker that has restarted under its id.
     pub fn restarted_worker(&self) {
         self.restarted_workers.add(1, &[]);
     }
 
-    /// Counts a call that was not let in for its key.
+    /// Counts a call that was not authorized by its key.
     pub fn unauthorized(&self, reason: &'static str) {
         self.unauthorized.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts a job that was refused because it would be done too late.
+    /// Counts a job that was rejected because it would be done too late.
     pub fn rejected_too_late(&self) {
         self.too_late.add(1, &[]);
     }
 
-    /// Counts runs that leave a data centre that is to be emptied.
+    /// Counts runs that leave a data centre that is being drained.
     pub fn drained_runs(&self, runs: usize) {
         self.drained_runs.add(runs as u64, &[]);
     }
 
-    /// Counts that a workspace begins, or ceases, to wait for its bound.
+    /// Counts that a workspace has become blocked by its bound, or is no longer blocked.
     pub fn waited_for_bound(&self, begins: bool) {
         self.bound_waits.add(1, &[KeyValue::new("begins", begins)]);
     }
@@ -191,7 +192,7 @@
         self.suspensions.add(1, &[]);
     }
 
-    /// Counts an append to the store, and how often it was sent again.
+    /// Counts an append to the store, and how often it was resent.
     pub fn store_called(&self, matter: &'static str, outcome: &'static str, resends: u64) {
         let labels = [
             KeyValue::new("matter", matter),
@@ -208,11 +209,11 @@
     }
 
     /// Counts an order about a VM.
-    pub fn ordered_vm(&self, errand: &'static str) {
-        self.vm_orders.add(1, &[KeyValue::new("errand", errand)]);
+    pub fn ordered_vm(&self, operation: &'static str) {
+        self.vm_orders.add(1, &[KeyValue::new("errand", operation)]);
     }
 
-    /// All of them in the text form of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
@@ -222,17 +223,17 @@
     }
 }
 
-/// Tells the metrics to whoever asks.
+/// Serves the metrics over HTTP.
 pub async fn listen(metrics: Rc<Metrics>, listener: TcpListener) {
     let serve = |stream| {
         let metrics = Rc::clone(&metrics);
         listen::serve(stream, move |_| respond(Rc::clone(&metrics)))
     };
-    // A scraper that found no connection asks again.
+    // A scraper whose connection fails tries again.
     accept_each(listener, drop, serve).await;
 }
 
-/// The metrics, as a reply.
+/// Returns an HTTP response with the metrics.
 async fn respond(metrics: Rc<Metrics>) -> Reply {
     Response::new(Full::new(metrics.text().into()))
 }
