--- a/crates/havenladder/src/entry/moves/demands.rs
+++ b/crates/havenladder/src/entry/moves/demands.rs
@@ -1,4 +1,4 @@
-//! What each pool needs, and which of its VMs could go.
+//! Computes what each pool needs and which of its VMs can be moved.
 
 use super::{Moves, Round, drain::MAX_DRAIN_TIME};
 use crate::entry::{fleet::Vm, owner::Owner};
@@ -8,12 +8,12 @@
 use jobs::{Demand, Need};
 use std::time::Duration;
 
-/// Over how long the highest use of a pool counts: half a run of the usual kind. Over 1.5 s, pools kept VMs of a
-/// peak that was past.
+/// Time window in which the peak usage of a pool counts: half the duration of a typical run. With 1.5 s, pools kept
+/// VMs for a peak that was over.
 const PEAK_WINDOW: Duration = Duration::from_millis(800);
 
 impl Moves {
-    /// What each pool needs, and which of its VMs are idle.
+    /// Returns the demand of each pool, with its idle VMs.
     pub(super) fn demands(&mut self, round: Round<'_>) -> Vec<PoolDemand> {
         let Some(config) = round.owner.node.config() else {
             return Vec::new();
@@ -22,11 +22,11 @@
         let largest = sizes.fold(Need::default(), Need::max);
         let mut pools = Vec::new();
         for service in &config.services {
-            let asked = round.owner.cell.borrow().demand(&service.name);
+            let demand = round.owner.cell.borrow().demand(&service.name);
             let mut pool = PoolDemand {
                 pool: service.name.clone(),
                 reserve: service.reserve,
-                unknown: !asked.begun,
+                unknown: !demand.begun,
                 ..PoolDemand::default()
             };
             let mut present = PoolVms::default();
@@ -34,11 +34,11 @@
                 self.count(round, &mut pool, &mut present, vm);
             }
             if present.largest == Need::default() {
-                // A pool that has lost all its VMs gets such as the others have.
+                // A pool that has lost all its VMs is measured in VMs of the size that other pools have.
                 present.largest = largest;
             }
-            let peak = self.peak(&service.name, asked.busy, round.now);
-            set_demand(&mut pool, &asked, peak, &present);
+            let peak = self.peak(&service.name, demand.busy, round.now);
+            set_demand(&mut pool, &demand, peak, &present);
             pool.idle.sort_by_key(|vm| vm.since);
             pools.push(pool);
         }
@@ -46,7 +46,7 @@
         pools
     }
 
-    /// The highest use of a pool of late.
+    /// Returns the recent peak usage of a pool.
     fn peak(&mut self, pool: &str, busy: Need, now: Instant) -> Need {
         let usage = self.usage.entry(pool.to_owned()).or_default();
         usage.push_back((now, busy));
@@ -58,7 +58,7 @@
             .fold(Need::default(), |peak, (_, busy)| peak.max(*busy))
     }
 
-    /// Counts a VM for a pool, if it is there or on its way to it.
+    /// Adds a VM to the pool's figures if it is in the pool or is being moved to it.
     fn count(&mut self, round: Round<'_>, pool: &mut PoolDemand, present: &mut PoolVms, vm: &Vm) {
         if let Some(moving) = self.moving.get(&vm.name) {
             pool.vms += usize::from(moving.to == pool.pool);
@@ -84,7 +84,7 @@
         }));
     }
 
-    /// Finds the VMs that could be emptied. This looks at every run, and is only done where a pool lacks VMs.
+    /// Finds the VMs that could be drained. This iterates over all runs, so it is only done if a pool lacks VMs.
     pub(super) fn find_drainable(&self, round: Round<'_>, pools: &mut [PoolDemand]) {
         for pool in pools.iter_mut().filter(|pool| !pool.reserve) {
             let of_pool = |vm: &&Vm| {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// What a VM carries, if all of it ends by itself and the VM may be emptied.
+    /// Returns when a VM would be free, if the VM may be drained and all of its runs end in time by themselves.
     fn drainable(&self, owner: &Owner, vm: &Vm, now: Instant) -> Option<LooseVm> {
         if self.stuck.get(&vm.name).is_some_and(|until| now < *until) {
             return None;
@@ -124,7 +124,7 @@
         })
     }
 
-    /// Since when a VM has been idle; none if it is not.
+    /// Returns the time since which a VM has been idle, or `None` if it is not idle.
     fn idle_since(&mut self, owner: &Owner, vm: &Vm, now: Instant) -> Option<Instant> {
         let id = vm.worker.as_ref()?;
         let cell = owner.cell.borrow();
@@ -141,7 +141,7 @@
     }
 }
 
-/// Tells the cell what each pool can have: its VMs, and those that stand idle elsewhere.
+/// Reports to the cell the capacity that each pool can get: its own VMs and those that are idle in other pools.
 fn report_capacity(owner: &Owner, pools: &[PoolDemand]) {
     let idle: usize = pools.iter().map(|pool| pool.idle.len()).sum();
     let mut cell = owner.cell.borrow_mut();
@@ -151,42 +151,42 @@
     }
 }
 
-/// The room of a VM: what its worker says of itself goes first, since it may shrink while the worker runs.
+/// Returns the capacity of a VM. The worker's own figure takes precedence, since it may shrink while the worker runs.
 fn capacity_of(owner: &Owner, vm: &Vm) -> Need {
     let cell = owner.cell.borrow();
     let worker = vm.worker.as_ref().and_then(|id| cell.workers.get(id));
     worker.map_or(vm.capacity, |worker| worker.info.capacity)
 }
 
-/// What a pool has in the list of VMs.
+/// What the list of VMs shows of a pool.
 #[derive(Default)]
 struct PoolVms {
-    /// How many VMs are up.
+    /// Number of VMs that are up.
     up: usize,
-    /// The room of the largest VM.
+    /// Capacity of the largest VM.
     largest: Need,
 }
 
-/// Sets what a pool's jobs ask for, in the resource of which they fill the most VMs: in thousandths of a core,
-/// or in what is as large a part of a VM's memory or accelerators. Lasting tasks that find no room get VMs of
-/// their own, however much is free in sum; VMs on their way are for them.
-fn set_demand(pool: &mut PoolDemand, asked: &Demand, peak: Need, present: &PoolVms) {
+/// Sets the demand of a pool in the resource that needs the most VMs. Units are thousandths of a core, or an equally
+/// large share of a VM's memory or accelerators. Long-running tasks that cannot be scheduled get VMs of their own,
+/// regardless of the total free capacity; VMs on their way to the pool are reserved for them.
+fn set_demand(pool: &mut PoolDemand, demand: &Demand, peak: Need, present: &PoolVms) {
     let mut all = peak;
-    all.add(asked.waiting);
-    let scarcest = all.max(asked.inflow).scarcest(present.largest);
+    all.add(demand.waiting);
+    let scarcest = all.max(demand.inflow).scarcest(present.largest);
     let cores = |need: Need| match present.largest.of(scarcest) {
         0 => need.cpu,
         capacity => need.of(scarcest) * present.largest.cpu / capacity,
     };
     pool.room = present.largest.cpu;
     pool.busy = cores(peak);
-    pool.running = cores(asked.busy);
-    pool.waiting = cores(asked.waiting);
-    pool.late = cores(asked.late);
-    pool.inflow = cores(asked.inflow);
-    pool.ahead = cores(asked.ahead);
-    pool.least = match asked.roomless.workers(present.largest) {
-        0 => asked.spread,
-        more => asked.spread.max(present.up + more),
+    pool.running = cores(demand.busy);
+    pool.waiting = cores(demand.waiting);
+    pool.late = cores(demand.late);
+    pool.inflow = cores(demand.inflow);
+    pool.ahead = cores(demand.ahead);
+    pool.least = match demand.roomless.workers(present.largest) {
+        0 => demand.spread,
+        more => demand.spread.max(present.up + more),
     };
 }
--- a/crates/havenladder/src/entry/moves/drain.rs
+++ b/crates/havenladder/src/entry/moves/drain.rs
@@ -1,4 +1,4 @@
-//! Empties VMs so that other pools can have them.
+//! Drains VMs so that other pools can use them.
 
 use super::{Moves, Round};
 use clock::Instant;
@@ -6,40 +6,40 @@
 use std::time::Duration;
 use tracing::info;
 
-/// How long a VM may take to be emptied, as foreseen and in fact: a VM's way to another pool takes 1.5 s,
-/// and room that stands empty for longer does more good where it is.
+/// Maximum time to drain a VM, both as forecast and as measured. A move to another pool takes another 1.5 s, and
+/// capacity that stays idle for longer is more useful where it is.
 pub(super) const MAX_DRAIN_TIME: Duration = Duration::from_millis(2_000);
 
-/// How long a VM that took longer is left alone.
+/// Time for which a VM is skipped after it took too long to drain.
 const STUCK_RETRY_INTERVAL: Duration = Duration::from_millis(4_000);
 
 impl Moves {
-    /// Keeps new runs off the VMs that are to be emptied, and off those that have been and are to go now;
-    /// lets them come again to the others.
+    /// Keeps new runs off the VMs that are to be drained and off drained ones that move now, and reopens all others.
     pub(super) fn drain(&mut self, round: Round<'_>, plan: &Resize) {
-        let late = self.skip_stuck(round.now);
+        let stuck = self.skip_stuck(round.now);
         let going = plan.shifts.iter().map(|shift| &shift.vm);
         let drained = going.filter(|name| self.draining.contains_key(*name));
-        let draining = plan.drains.iter().filter(|name| !late.contains(name));
+        let draining = plan.drains.iter().filter(|name| !stuck.contains(name));
         let wanted: Vec<&String> = draining.chain(drained).collect();
         self.reopen_others(round, &wanted);
         self.begin_drains(round, &wanted);
     }
 
-    /// Leaves the VMs alone for a while that took too long to be emptied, and returns them.
+    /// Marks the VMs that took too long to drain as stuck for a while, and returns them.
     fn skip_stuck(&mut self, now: Instant) -> Vec<String> {
-        let stuck = |since: &Instant| now >= *since + MAX_DRAIN_TIME;
-        let late = self.draining.iter().filter(|(_, since)| stuck(since));
-        let late: Vec<String> = late.map(|(vm, _)| vm.clone()).collect();
+        let is_stuck = |since: &Instant| now >= *since + MAX_DRAIN_TIME;
+        let stuck = self.draining.iter().filter(|(_, since)| is_stuck(since));
+        let stuck: Vec<String> = stuck.map(|(vm, _)| vm.clone()).collect();
         self.stuck.retain(|_, until| now < *until);
         self.stuck.extend(
-            late.iter()
+            stuck
+                .iter()
                 .map(|vm| (vm.clone(), now + STUCK_RETRY_INTERVAL)),
         );
-        late
+        stuck
     }
 
-    /// Lets runs come again to the VMs that are not to be emptied any more; those of a wave stay closed.
+    /// Reopens VMs that need not be drained any more to new runs, except those that are part of a maintenance wave.
     fn reopen_others(&mut self, round: Round<'_>, wanted: &[&String]) {
         let mut cell = round.owner.cell.borrow_mut();
         let others = self.draining.keys().filter(|name| !wanted.contains(name));
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Begins to empty the VMs among these that are not being emptied yet.
+    /// Starts to drain those of the given VMs that are not being drained yet.
     fn begin_drains(&mut self, round: Round<'_>, wanted: &[&String]) {
         let mut cell = round.owner.cell.borrow_mut();
         for &name in wanted {
--- a/crates/havenladder/src/entry/moves/mod.rs
+++ b/crates/havenladder/src/entry/moves/mod.rs
@@ -1,4 +1,4 @@
-//! Moves VMs between pools, by what the pools' jobs ask for.
+//! Moves VMs between pools according to the demand of the pools' jobs.
 
 mod demands;
 mod drain;
@@ -21,29 +21,29 @@
 };
 use tracing::info;
 
-/// Time between two logs of what the pools have and need.
+/// Time between two log entries about what the pools have and need.
 const LOG_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The VMs on their way, and what the pools have used of late.
+/// VMs that are being moved, and the recent usage of each pool.
 #[derive(Default)]
 pub struct Moves {
-    /// The VMs on their way, by name.
+    /// VMs that are being moved, by name.
     moving: BTreeMap<String, Moving>,
-    /// Since when VMs have been idle, by name.
+    /// Idle VMs by name, with the time since which each has been idle.
     idle: BTreeMap<String, Instant>,
-    /// The VMs that are being emptied, and since when.
+    /// VMs that are being drained, with the time at which this began.
     draining: BTreeMap<String, Instant>,
-    /// VMs that took too long to be emptied, and until when they are left alone.
+    /// VMs that took too long to drain, with the time until which they are skipped.
     stuck: BTreeMap<String, Instant>,
-    /// What the pools have used of late, and when.
+    /// Recent usage of each pool, with the time of each sample.
     usage: BTreeMap<String, VecDeque<(Instant, Need)>>,
     /// When the pools were last logged.
     last_logged: Option<Instant>,
-    /// Moves that the platform does not allow: from which pool, to which.
+    /// Moves that the platform does not allow, as source and destination pool.
     rejected: BTreeSet<(String, String)>,
 }
 
-/// What one round of decisions about VMs looks at.
+/// The input of one round of decisions about VMs.
 #[derive(Clone, Copy)]
 struct Round<'r> {
     owner: &'r Owner,
@@ -53,35 +53,35 @@
 }
 
 impl Round<'_> {
-    /// The worker that a VM has.
+    /// Returns the worker of a VM.
     fn worker(&self, name: &str) -> Option<&WorkerId> {
         self.list.get(name).and_then(|vm| vm.worker.as_ref())
     }
 }
 
-/// A VM on its way.
+/// A VM that is being moved.
 struct Moving {
-    /// The pool that it is to be in.
+    /// The destination pool.
     to: String,
-    /// The worker that it had.
+    /// The worker that the VM had.
     worker: Option<WorkerId>,
     /// When the order was sent.
     since: Instant,
-    /// Whether the list has shown that it left.
+    /// Whether the list of VMs has shown that the VM left its pool.
     confirmed: bool,
 }
 
 impl Moves {
-    /// Whether VMs are on their way.
+    /// Returns whether VMs are being moved.
     pub fn is_open(&self) -> bool {
         !self.moving.is_empty()
     }
 
-    /// Draws from a new list what became of the moves.
+    /// Determines from a new list of VMs which moves have been carried out.
     pub fn apply_list(&mut self, owner: &Rc<Owner>, list: &VmList) {
         for (name, moving) in &mut self.moving {
             let Some(vm) = list.get(name) else { continue };
-            // The worker may be back under its id before another life of it is known to answer.
+            // A new incarnation of the worker may be back under the same name before any response has shown it.
             let same = vm.is_up_with(moving.worker.as_ref());
             let left = !same || vm.pool == moving.to;
             if left && !moving.confirmed {
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Decides what is worth doing about the pools now, and does it.
+    /// Decides which VMs to drain and to move, and carries that out.
     pub async fn advance(&mut self, owner: &Rc<Owner>, list: &VmList, waves: &Waves) {
         if !owner.is_certain() {
             return;
@@ -128,8 +128,8 @@
         self.order_moves(owner, list, plan.shifts).await;
     }
 
-    /// Orders the moves that may be made now: as many as the platform's rate has room for, and recorded
-    /// before.
+    /// Orders the moves that may be made now, up to the platform's rate limit. The owner records its claim to the VMs
+    /// first.
     async fn order_moves(&mut self, owner: &Rc<Owner>, list: &VmList, mut wanted: Vec<Shift>) {
         wanted.retain(|shift| !owner.must_spare(&shift.vm) && !self.is_rejected(shift));
         wanted.truncate(vm_orders::available(owner));
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Logs now and then what each pool has and needs.
+    /// Logs from time to time what each pool has and needs.
     fn log_pools(&mut self, pools: &[PoolDemand], now: Instant) {
         if self.last_logged.is_some_and(|at| now < at + LOG_INTERVAL) {
             return;
@@ -170,13 +170,13 @@
         }
     }
 
-    /// Whether the platform does not allow a move.
+    /// Returns whether the platform has rejected a move between these pools.
     fn is_rejected(&self, shift: &Shift) -> bool {
         let shift_pools = (shift.from.clone(), shift.to.clone());
         self.rejected.contains(&shift_pools)
     }
 
-    /// Begins a move, if the VM still carries nothing: its worker gets nothing more from now on.
+    /// Begins a move if the VM still has no runs. Its worker gets no new runs from now on.
     fn begin_move(&mut self, owner: &Owner, vm: &Vm, shift: &Shift) -> Option<VmOrder> {
         if let Some(id) = &vm.worker {
             let mut cell = owner.cell.borrow_mut();
@@ -200,10 +200,10 @@
         })
     }
 
-    /// Draws from the answer to an order what is certain about the move.
+    /// Applies what the response to an order shows about the move.
     fn apply_outcome(&mut self, owner: &Owner, vm: &Vm, outcome: Option<Ordered>) {
         match outcome {
-            // Without an answer, it may be carried out at any moment; the list tells.
+            // Without a response the order may be carried out at any time; the list will show it.
             Some(Ordered::Done) | None => {}
             Some(Ordered::Fenced) => owner.end("a newer owner gave orders for a VM"),
             Some(refused @ (Ordered::Busy | Ordered::Later | Ordered::Rejected)) => {
