--- a/crates/havenladder/src/duties/operators/burn.rs
+++ b/crates/havenladder/src/duties/operators/burn.rs
@@ -6,7 +6,7 @@
     duties::peers,
     operate::{BurnReport, BurnRow},
 };
-use protocol::{BurnCell, BurnReply, BurnSum, ServiceId};
+use protocol::{BurnCounts, BurnReply, BurnWindows, ServiceId};
 use serving::{WINDOWS, burn_rate};
 use settings::Service;
 use std::collections::BTreeMap;
@@ -42,38 +42,38 @@
     }
 }
 
-fn sums(replies: &[BurnReply]) -> BTreeMap<ServiceId, Vec<BurnCell>> {
-    let mut sums: BTreeMap<ServiceId, Vec<BurnCell>> = BTreeMap::new();
+fn sums(replies: &[BurnReply]) -> BTreeMap<ServiceId, Vec<BurnCounts>> {
+    let mut sums: BTreeMap<ServiceId, Vec<BurnCounts>> = BTreeMap::new();
     for (service, sum) in replies.iter().flat_map(|reply| &reply.services) {
         let cells = sums
             .entry(service.clone())
-            .or_insert_with(|| vec![BurnCell::default(); WINDOWS.len()]);
+            .or_insert_with(|| vec![BurnCounts::default(); WINDOWS.len()]);
         add(cells, sum);
     }
     sums
 }
 
-fn add(cells: &mut [BurnCell], sum: &BurnSum) {
+fn add(cells: &mut [BurnCounts], sum: &BurnWindows) {
     for (cell, other) in cells.iter_mut().zip(&sum.windows) {
         cell.add(other);
     }
 }
 
 fn rows(
-    sums: &BTreeMap<ServiceId, Vec<BurnCell>>,
+    sums: &BTreeMap<ServiceId, Vec<BurnCounts>>,
     services: &BTreeMap<ServiceId, Service>,
 ) -> BTreeMap<ServiceId, BurnRow> {
     services
         .iter()
         .map(|(name, service)| {
             let cells = sums.get(name).cloned();
-            let cells = cells.unwrap_or_else(|| vec![BurnCell::default(); WINDOWS.len()]);
+            let cells = cells.unwrap_or_else(|| vec![BurnCounts::default(); WINDOWS.len()]);
             (name.clone(), row(cells, service.objective))
         })
         .collect()
 }
 
-fn row(cells: Vec<BurnCell>, objective: f64) -> BurnRow {
+fn row(cells: Vec<BurnCounts>, objective: f64) -> BurnRow {
     let rates: Vec<f64> = cells
         .iter()
         .map(|cell| burn_rate(cell, objective))
--- a/crates/havenladder/src/operate.rs
+++ b/crates/havenladder/src/operate.rs
@@ -1,7 +1,7 @@
 //! What operators and entries say to each other, in JSON.
 
 use fleet::{Count, Errand, Mark, Outcome, PathChange, Progress, Vm, Wave, WaveChange, WaveId};
-use protocol::{BurnCell, EntryId, HallId, Offset, PoolId, ServiceId, VmId};
+use protocol::{BurnCounts, EntryId, HallId, Offset, PoolId, ServiceId, VmId};
 use serde::{Deserialize, Serialize};
 use settings::{Path, Source, Tree};
 use std::{collections::BTreeMap, time::SystemTime};
@@ -107,7 +107,7 @@
     /// The objective.
     pub objective: f64,
     /// Counts by window.
-    pub cells: Vec<BurnCell>,
+    pub cells: Vec<BurnCounts>,
     /// Burn rates by window.
     pub rates: Vec<f64>,
     /// Share of what the objective leaves that is left over the longest window.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -12,6 +12,7 @@
 pub use ids::{EntryId, HallId, Offset, PoolId, RackId, RecordId, ServiceId, VmId};
 pub use log::{LogRecord, Slice};
 pub use peer::{
-    BurnCell, BurnReply, BurnSum, HEADER_FORWARDED, HEADER_KEY, Loss, Room, SnapshotReply, Status,
+    BurnCounts, BurnReply, BurnWindows, HEADER_FORWARDED, HEADER_KEY, Loss, Room, SnapshotReply,
+    Status,
 };
 pub use rendezvous::{first_in_hall, rank, ranked};
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -73,14 +73,14 @@
 
 /// Requests of one service in one span of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BurnCell {
+pub struct BurnCounts {
     /// Requests done once, whole and in time.
     pub good: u64,
     /// The others, by cause.
     pub lost: BTreeMap<Loss, u64>,
 }
 
-impl BurnCell {
+impl BurnCounts {
     /// Requests that were not good.
     pub fn bad(&self) -> u64 {
         self.lost.values().sum()
@@ -102,9 +102,9 @@
 
 /// Sums of one service over the windows of the burn report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BurnSum {
+pub struct BurnWindows {
     /// One cell for each window, in the order of the report's windows.
-    pub windows: Vec<BurnCell>,
+    pub windows: Vec<BurnCounts>,
 }
 
 /// What one entry has counted for the burn report.
@@ -115,5 +115,5 @@
     /// When the entry began to count; earlier requests are not in the sums.
     pub since: SystemTime,
     /// The sums by service.
-    pub services: BTreeMap<ServiceId, BurnSum>,
+    pub services: BTreeMap<ServiceId, BurnWindows>,
 }
--- a/crates/serving/src/burn.rs
+++ b/crates/serving/src/burn.rs
@@ -1,6 +1,6 @@
 //! Counts for the burn report, and the burn rate by the published multi-window practice.
 
-use protocol::{BurnCell, BurnSum, Loss, ServiceId};
+use protocol::{BurnCounts, BurnWindows, Loss, ServiceId};
 use std::{
     collections::{BTreeMap, VecDeque},
     time::{Duration, SystemTime, UNIX_EPOCH},
@@ -43,7 +43,7 @@
 const MOST_CELLS: usize = 6 * 60 * 2 + 1;
 
 /// Cells of one service, the newest last, with the number of their span since 1970.
-type Cells = VecDeque<(u64, BurnCell)>;
+type Cells = VecDeque<(u64, BurnCounts)>;
 
 /// What one entry has counted.
 #[derive(Clone, Debug, Default)]
@@ -62,7 +62,7 @@
         };
         let number = number_of(now);
         if cells.back().is_none_or(|(newest, _)| *newest < number) {
-            cells.push_back((number, BurnCell::default()));
+            cells.push_back((number, BurnCounts::default()));
         }
         if cells.len() > MOST_CELLS {
             cells.pop_front();
@@ -77,7 +77,7 @@
     }
 
     /// Sums the cells of each service over the windows that end at `now`.
-    pub fn sums(&self, now: SystemTime) -> BTreeMap<ServiceId, BurnSum> {
+    pub fn sums(&self, now: SystemTime) -> BTreeMap<ServiceId, BurnWindows> {
         self.services
             .iter()
             .map(|(service, cells)| (service.clone(), sum(cells, now)))
@@ -86,7 +86,7 @@
 }
 
 /// Returns how fast a service uses up what its objective leaves: at 1.0 it lasts just the period.
-pub fn burn_rate(cell: &BurnCell, objective: f64) -> f64 {
+pub fn burn_rate(cell: &BurnCounts, objective: f64) -> f64 {
     let total = cell.total();
     if total == 0 {
         return 0.0;
@@ -95,16 +95,16 @@
     bad / (1.0 - objective)
 }
 
-fn sum(cells: &Cells, now: SystemTime) -> BurnSum {
+fn sum(cells: &Cells, now: SystemTime) -> BurnWindows {
     let windows = WINDOWS.iter().map(|window| {
         let oldest = number_of(now.checked_sub(window.span).unwrap_or(UNIX_EPOCH));
-        let mut total = BurnCell::default();
+        let mut total = BurnCounts::default();
         for (_, cell) in cells.iter().filter(|(number, _)| *number > oldest) {
             total.add(cell);
         }
         total
     });
-    BurnSum {
+    BurnWindows {
         windows: windows.collect(),
     }
 }
