--- a/crates/havenladder/src/client.rs
+++ b/crates/havenladder/src/client.rs
@@ -1,7 +1,9 @@
 //! Calls to peers and operators' listeners, by `ureq`.
 
 use fleet::{Fleet, decode_snapshot};
-use protocol::{BurnReply, HEADER_KEY, LogRecord, Offset, Slice, SnapshotReply, Status, decode};
+use protocol::{
+    BurnReply, HEADER_KEY, LogRecord, Offset, PeerStatus, Slice, SnapshotReply, decode,
+};
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 use ureq::Agent;
@@ -38,7 +40,7 @@
     }
 
     /// Asks a peer for its status.
-    pub fn status(&self, addr: &str) -> Option<Status> {
+    pub fn status(&self, addr: &str) -> Option<PeerStatus> {
         self.get(addr, "/status")
     }
 
--- a/crates/havenladder/src/context.rs
+++ b/crates/havenladder/src/context.rs
@@ -12,7 +12,7 @@
 };
 use arc_swap::ArcSwap;
 use platform::{HttpPlatform, VmInfo};
-use protocol::{Room, ServiceId, Status};
+use protocol::{Capacity, PeerStatus, ServiceId};
 use serving::Burn;
 use settings::Service;
 use std::{
@@ -45,7 +45,7 @@
     /// The way to the duty that claims keys.
     pub claims: ClaimsRing,
     /// Room for each service in this hall.
-    pub rooms: Mutex<BTreeMap<ServiceId, Room>>,
+    pub rooms: Mutex<BTreeMap<ServiceId, Capacity>>,
     /// What became of the newest requests.
     pub recent: Recent,
     /// Counts for the burn report.
@@ -83,14 +83,14 @@
     }
 
     /// Returns what this entry tells its peers.
-    pub fn status(&self) -> Status {
-        Status {
+    pub fn status(&self) -> PeerStatus {
+        PeerStatus {
             entry: self.config.entry.name.clone(),
             hall: self.config.entry.hall.clone(),
             next: self.fleet.get().next,
-            platform: self.reaches_log(),
+            reaches_platform: self.reaches_log(),
             leaving: self.is_leaving(),
-            room: lock(&self.rooms).clone(),
+            capacity: lock(&self.rooms).clone(),
         }
     }
 }
--- a/crates/havenladder/src/duties/follow.rs
+++ b/crates/havenladder/src/duties/follow.rs
@@ -125,7 +125,7 @@
     let live = ctx.peers.live();
     let in_hall = live
         .iter()
-        .filter(|status| status.hall == *hall && status.platform && !status.leaving)
+        .filter(|status| status.hall == *hall && status.reaches_platform && !status.leaving)
         .map(|status| status.entry.as_str())
         .chain([ctx.config.entry.name.as_str()]);
     let rank = rank(in_hall, &ctx.config.entry.name, hall);
@@ -138,7 +138,7 @@
         .peers
         .live()
         .into_iter()
-        .filter(|status| status.platform || status.next > next)
+        .filter(|status| status.reaches_platform || status.next > next)
         .map(|status| status.entry)
         .collect();
     let hall = &ctx.config.entry.hall;
--- a/crates/havenladder/src/duties/operators.rs
+++ b/crates/havenladder/src/duties/operators.rs
@@ -138,7 +138,7 @@
         entry: own.entry,
         hall: own.hall,
         next: Some(own.next),
-        platform: own.platform,
+        platform: own.reaches_platform,
     }];
     for neighbour in &ctx.config.peers.neighbours {
         let status = live.iter().find(|status| status.entry == neighbour.entry);
@@ -146,7 +146,7 @@
             entry: neighbour.entry.clone(),
             hall: neighbour.hall.clone(),
             next: status.map(|status| status.next),
-            platform: status.is_some_and(|status| status.platform),
+            platform: status.is_some_and(|status| status.reaches_platform),
         });
     }
     members
--- a/crates/havenladder/src/peer_table.rs
+++ b/crates/havenladder/src/peer_table.rs
@@ -1,7 +1,7 @@
 //! What the peers last said of themselves.
 
 use crate::{configs::Config, sync::lock};
-use protocol::{EntryId, HallId, Status};
+use protocol::{EntryId, HallId, PeerStatus};
 use std::{
     collections::BTreeMap,
     sync::Mutex,
@@ -11,17 +11,17 @@
 /// The newest status of each peer that answers.
 #[derive(Default)]
 pub struct PeerTable {
-    heard: Mutex<BTreeMap<EntryId, (Status, Instant)>>,
+    heard: Mutex<BTreeMap<EntryId, (PeerStatus, Instant)>>,
 }
 
 impl PeerTable {
     /// Notes a peer's status, which holds until `until`.
-    pub fn hear(&self, status: Status, until: Instant) {
+    pub fn hear(&self, status: PeerStatus, until: Instant) {
         lock(&self.heard).insert(status.entry.clone(), (status, until));
     }
 
     /// Returns the status of each peer that has answered lately.
-    pub fn live(&self) -> Vec<Status> {
+    pub fn live(&self) -> Vec<PeerStatus> {
         let now = Instant::now();
         lock(&self.heard)
             .values()
@@ -35,7 +35,7 @@
         let mut members: BTreeMap<EntryId, HallId> = self
             .live()
             .into_iter()
-            .filter(|status| status.platform && !status.leaving)
+            .filter(|status| status.reaches_platform && !status.leaving)
             .map(|status| (status.entry, status.hall))
             .collect();
         if reaches_log {
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -12,7 +12,7 @@
 pub use ids::{EntryId, HallId, Offset, PoolId, RackId, RecordId, ServiceId, VmId};
 pub use log::{LogRecord, Slice};
 pub use peer::{
-    BurnCounts, BurnReply, BurnWindows, HEADER_FORWARDED, HEADER_KEY, Loss, Room, SnapshotReply,
-    Status,
+    BurnCounts, BurnReply, BurnWindows, Capacity, HEADER_FORWARDED, HEADER_KEY, Loss, PeerStatus,
+    SnapshotReply,
 };
 pub use rendezvous::{first_in_hall, rank, ranked};
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -12,14 +12,14 @@
 
 /// Room that an entry sees for one service in its own hall.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Capacity {
     /// Slots of workers that take new work.
     pub slots: u32,
     /// Slots of those that this entry knows to be taken, and requests that wait.
     pub taken: u32,
 }
 
-impl Room {
+impl Capacity {
     /// Slots that are free for new work.
     pub fn free(self) -> u32 {
         self.slots.saturating_sub(self.taken)
@@ -28,7 +28,7 @@
 
 /// What an entry tells its peers about itself a few times a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
+pub struct PeerStatus {
     /// Who speaks.
     pub entry: EntryId,
     /// The hall that the entry stands in.
@@ -36,11 +36,13 @@
     /// The next offset of `fleet` that the entry will apply; all before it are in force there.
     pub next: Offset,
     /// Whether the entry reached the platform's log lately.
-    pub platform: bool,
+    #[serde(rename = "platform")]
+    pub reaches_platform: bool,
     /// Whether the entry is about to stop and wants no more work.
     pub leaving: bool,
     /// Room for each service in the entry's hall.
-    pub room: BTreeMap<ServiceId, Room>,
+    #[serde(rename = "room")]
+    pub capacity: BTreeMap<ServiceId, Capacity>,
 }
 
 /// A snapshot as one peer hands it to another.
--- a/crates/serving/src/pool.rs
+++ b/crates/serving/src/pool.rs
@@ -5,7 +5,7 @@
     retry::RetryBudget,
     worker::{Worker, WorkerInfo},
 };
-use protocol::{Room, VmId};
+use protocol::{Capacity, VmId};
 use rand::{Rng, rngs::SmallRng};
 use std::{collections::BTreeMap, time::Instant};
 
@@ -78,11 +78,11 @@
     }
 
     /// Room as other halls are told of it.
-    pub(crate) fn room(&self, now: Instant) -> Room {
+    pub(crate) fn room(&self, now: Instant) -> Capacity {
         let slots: u32 = self.workers.values().map(|worker| worker.info.slots).sum();
         let free: u32 = self.workers.values().map(|worker| worker.free(now)).sum();
         let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
-        Room {
+        Capacity {
             slots,
             taken: slots.saturating_sub(free).saturating_add(waiting),
         }
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -11,7 +11,7 @@
     pool::Pool,
     worker::{Peer, WorkerInfo},
 };
-use protocol::{PoolId, Room, ServiceId, VmId};
+use protocol::{Capacity, PoolId, ServiceId, VmId};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use settings::{Service, pool_of};
 use std::{
@@ -99,7 +99,7 @@
     }
 
     /// Room for each service, as other halls are told of it.
-    pub fn rooms(&self, now: Instant) -> BTreeMap<ServiceId, Room> {
+    pub fn rooms(&self, now: Instant) -> BTreeMap<ServiceId, Capacity> {
         self.services
             .keys()
             .map(|service| {
--- a/crates/serving/src/worker.rs
+++ b/crates/serving/src/worker.rs
@@ -1,7 +1,7 @@
 //! One worker as this entry sees it, and the peers of other halls.
 
 use crate::health::Health;
-use protocol::{EntryId, PoolId, Room, ServiceId, VmId};
+use protocol::{Capacity, EntryId, PoolId, ServiceId, VmId};
 use std::{
     collections::BTreeMap,
     time::{Duration, Instant},
@@ -31,7 +31,7 @@
     /// Where it listens for callers.
     pub addr: String,
     /// Room for each service in its hall.
-    pub room: BTreeMap<ServiceId, Room>,
+    pub room: BTreeMap<ServiceId, Capacity>,
 }
 
 /// A worker and what this entry has in flight there.
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -352,7 +352,7 @@
     let mut bench = Bench::new(0, 0);
     let id = bench.arrive(SERVICE, 1_000, true);
     assert_eq!(bench.why(id), Some(Why::NoWorker));
-    let room = protocol::Room { slots: 8, taken: 0 };
+    let room = protocol::Capacity { slots: 8, taken: 0 };
     bench.tell(Event::Peers(vec![Peer {
         entry: "other".into(),
         addr: "addr".into(),
