--- a/crates/havenladder/src/client.rs
+++ b/crates/havenladder/src/client.rs
@@ -2,7 +2,7 @@
 
 use fleet::{Fleet, decode_snapshot};
 use protocol::{
-    BurnReply, HEADER_KEY, LogRecord, Offset, PeerStatus, Slice, SnapshotReply, decode,
+    BurnReply, HEADER_KEY, LogRecord, LogSlice, Offset, PeerStatus, SnapshotReply, decode,
 };
 use serde::de::DeserializeOwned;
 use std::time::Duration;
@@ -45,7 +45,7 @@
     }
 
     /// Asks a peer for records from `from` on.
-    pub fn relay(&self, addr: &str, from: Offset) -> Option<Slice> {
+    pub fn relay(&self, addr: &str, from: Offset) -> Option<LogSlice> {
         self.get(addr, &format!("/relay?from={from}"))
     }
 
--- a/crates/havenladder/src/duties/claims.rs
+++ b/crates/havenladder/src/duties/claims.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use platform::{CallError, Log};
-use protocol::{Offset, RecordId, Slice, encode};
+use protocol::{LogSlice, Offset, RecordId, encode};
 use serving::{
     AttemptId, Claim, ClaimBook, ClaimRecord, ClaimState, Entry, Event, KEY_AGE, KEY_AHEAD,
     RequestId, Settled,
@@ -191,7 +191,7 @@
 
     /// Notes from when on the stream is known whole: a log that forgets sooner than keys age
     /// leaves older keys undecidable.
-    fn note_since(&mut self, slice: &Slice) {
+    fn note_since(&mut self, slice: &LogSlice) {
         let oldest = SystemTime::now() - KEY_AGE - MARGIN;
         let first = slice.records.first().filter(|_| slice.oldest > 0);
         self.since = first.map_or(oldest, |record| record.at.max(oldest));
--- a/crates/havenladder/src/duties/follow.rs
+++ b/crates/havenladder/src/duties/follow.rs
@@ -9,7 +9,7 @@
 };
 use fleet::{Fleet, Outcome};
 use platform::Log;
-use protocol::{LogRecord, Offset, Slice, rank};
+use protocol::{LogRecord, LogSlice, Offset, rank};
 use serving::{Event, WorkerInfo};
 use settings::Service;
 use std::{
@@ -28,7 +28,7 @@
 /// What one round of reading came to.
 enum Round {
     /// Records that come next, or none for now.
-    Read(Slice),
+    Read(LogSlice),
     /// Nobody could be reached.
     Nobody,
 }
@@ -133,7 +133,7 @@
 }
 
 /// Reads from the first peer that is ahead: those of the own hall before others.
-fn relayed(ctx: &Context, peers: &PeerClient, next: Offset) -> Option<Slice> {
+fn relayed(ctx: &Context, peers: &PeerClient, next: Offset) -> Option<LogSlice> {
     let ahead: Vec<String> = ctx
         .peers
         .live()
--- a/crates/havenladder/src/duties/peers.rs
+++ b/crates/havenladder/src/duties/peers.rs
@@ -49,7 +49,7 @@
     }
 }
 
-fn relay(ctx: &Context, query: &str) -> protocol::Slice {
+fn relay(ctx: &Context, query: &str) -> protocol::LogSlice {
     let from = query
         .strip_prefix("from=")
         .and_then(|from| from.parse().ok());
--- a/crates/havenladder/src/fleet_cell.rs
+++ b/crates/havenladder/src/fleet_cell.rs
@@ -2,7 +2,7 @@
 
 use crate::sync::{lock, read, write};
 use fleet::{Fleet, Outcome};
-use protocol::{LogRecord, Offset, Slice};
+use protocol::{LogRecord, LogSlice, Offset};
 use std::{
     collections::VecDeque,
     sync::{Condvar, Mutex, RwLock, RwLockReadGuard},
@@ -82,7 +82,7 @@
     }
 
     /// Returns records from `from` on for a peer, waiting up to `wait` for the first.
-    pub fn slice(&self, from: Offset, wait: Duration) -> Slice {
+    pub fn slice(&self, from: Offset, wait: Duration) -> LogSlice {
         self.wait(Instant::now() + wait, |next| next > from);
         let next = self.get().next;
         let tail = lock(&self.tail);
@@ -93,7 +93,7 @@
             .filter(|record| record.offset >= from)
             .cloned()
             .collect();
-        Slice {
+        LogSlice {
             oldest,
             next,
             records,
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -5,7 +5,7 @@
     log::{Appended, Log},
     vms::{VmCall, VmInfo, Vms},
 };
-use protocol::{HallId, Offset, Slice, decode};
+use protocol::{HallId, LogSlice, Offset, decode};
 use serde::de::DeserializeOwned;
 use std::{
     collections::BTreeMap,
@@ -97,7 +97,7 @@
         json(accepted(answer)?)
     }
 
-    fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<Slice, CallError> {
+    fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<LogSlice, CallError> {
         let path = format!("/log/{stream}?from={from}&wait_ms={}", wait.as_millis());
         let mut answer = accepted(self.get(&path, wait)?)?;
         decode(&bytes(&mut answer)?).map_err(|error| CallError::AnswerLost(error.to_string()))
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -1,7 +1,7 @@
 //! The platform's append-only log service.
 
 use crate::error::CallError;
-use protocol::{Offset, Slice};
+use protocol::{LogSlice, Offset};
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, SystemTime};
 
@@ -26,7 +26,7 @@
     /// # Errors
     ///
     /// Fails when the log cannot be reached.
-    fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<Slice, CallError>;
+    fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<LogSlice, CallError>;
 
     /// Returns the offset of the first record that the log took at `at` or later.
     ///
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use codec::{CodecError, decode, encode};
 pub use ids::{EntryId, HallId, Offset, PoolId, RackId, RecordId, ServiceId, VmId};
-pub use log::{LogRecord, Slice};
+pub use log::{LogRecord, LogSlice};
 pub use peer::{
     BurnCounts, BurnReply, BurnWindows, Capacity, HEADER_FORWARDED, HEADER_KEY, Loss, PeerStatus,
     SnapshotReply,
--- a/crates/protocol/src/log.rs
+++ b/crates/protocol/src/log.rs
@@ -18,7 +18,7 @@
 
 /// A run of records, with what a reader needs to see a gap.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Slice {
+pub struct LogSlice {
     /// The oldest offset that is still kept.
     pub oldest: Offset,
     /// The offset that the next append will get.
@@ -27,7 +27,7 @@
     pub records: Vec<LogRecord>,
 }
 
-impl Slice {
+impl LogSlice {
     /// Tells whether records between `from` and this slice have been forgotten by the log.
     pub fn has_gap(&self, from: Offset) -> bool {
         self.oldest > from
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,6 +1,6 @@
 //! The stand-in's append-only log.
 
-use protocol::{LogRecord, Offset, Slice};
+use protocol::{LogRecord, LogSlice, Offset};
 use std::{
     collections::{HashMap, VecDeque},
     time::{Duration, Instant, SystemTime},
@@ -66,7 +66,7 @@
     }
 
     /// Reads records from `from` on.
-    pub fn read(&mut self, name: &str, from: Offset) -> Slice {
+    pub fn read(&mut self, name: &str, from: Offset) -> LogSlice {
         let keep = self.keep;
         let stream = self.streams.entry(name.to_owned()).or_default();
         stream.forget(SystemTime::now(), keep);
@@ -84,7 +84,7 @@
             })
             .cloned()
             .collect();
-        Slice {
+        LogSlice {
             oldest: stream.oldest,
             next: stream.next(),
             records,
