--- a/crates/havenladder/src/duties/steward.rs
+++ b/crates/havenladder/src/duties/steward.rs
@@ -135,7 +135,7 @@
 }
 
 fn work(ctx: &Context, members: &BTreeMap<EntryId, HallId>, task: &Task) {
-    let info = match ctx.platform.look(&task.id) {
+    let info = match ctx.platform.fetch(&task.id) {
         Ok(info) => info,
         Err(error) => {
             tracing::warn!(vm = %task.id, %error, "could not look at the VM");
--- a/crates/havenladder/src/duties/steward/strays.rs
+++ b/crates/havenladder/src/duties/steward/strays.rs
@@ -30,7 +30,7 @@
 /// Ends a drain that nothing asks for any more, and tells a worker which pool it serves. The
 /// token is the VM's version, so that a newer grant's calls win over this one.
 pub fn settle_stray(ctx: &Context, id: &str, vm: &Vm) {
-    let Ok(Some(info)) = ctx.platform.look(id) else {
+    let Ok(Some(info)) = ctx.platform.fetch(id) else {
         return;
     };
     if !is_stray(&info, vm) {
--- a/crates/havenladder/src/duties/watch.rs
+++ b/crates/havenladder/src/duties/watch.rs
@@ -18,7 +18,7 @@
     rt::TokioExecutor,
 };
 use platform::{
-    ListState, VmInfo, Vms,
+    VmInfo, VmLifecycle, Vms,
     task::{USAGE, Usage},
 };
 use protocol::{HallId, VmId, ranked};
@@ -187,7 +187,7 @@
 fn note_leaving(ctx: &Context, listed: &[VmInfo]) {
     let leaving: BTreeSet<VmId> = listed
         .iter()
-        .filter(|vm| vm.hall == ctx.config.entry.hall && vm.state == ListState::Leaving)
+        .filter(|vm| vm.hall == ctx.config.entry.hall && vm.state == VmLifecycle::Leaving)
         .map(|vm| vm.id.clone())
         .collect();
     ctx.sightings.set_leaving(&leaving);
--- a/crates/havenladder/src/duties/watch/report.rs
+++ b/crates/havenladder/src/duties/watch/report.rs
@@ -2,7 +2,7 @@
 
 use crate::{context::Context, sightings::Sighting};
 use fleet::{Health, Observation, Seen, Vm};
-use platform::{ListState, VmInfo};
+use platform::{VmInfo, VmLifecycle};
 use protocol::{EntryId, HallId, VmId, first_in_hall, ranked};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -72,7 +72,7 @@
     if sighting.is_some_and(Sighting::is_suspect) {
         return Some(Seen::Down);
     }
-    if info.state == ListState::Leaving {
+    if info.state == VmLifecycle::Leaving {
         return Some(Seen::Leaving);
     }
     let known_boot = vm.map_or(0, |vm| vm.boot);
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -136,7 +136,7 @@
         Ok(vms_now)
     }
 
-    fn look(&self, vm: &str) -> Result<Option<VmInfo>, CallError> {
+    fn fetch(&self, vm: &str) -> Result<Option<VmInfo>, CallError> {
         let answer = self.get(&format!("/vms/{vm}"), Duration::ZERO)?;
         if answer.status() == StatusCode::NOT_FOUND {
             return Ok(None);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -13,4 +13,4 @@
 pub use error::{CallError, Certainty};
 pub use http::HttpPlatform;
 pub use log::{Appended, Log};
-pub use vms::{ListState, VmCall, VmInfo, Vms};
+pub use vms::{VmCall, VmInfo, VmLifecycle, Vms};
--- a/crates/platform/src/vms.rs
+++ b/crates/platform/src/vms.rs
@@ -7,7 +7,7 @@
 /// Whether the platform will keep a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ListState {
+pub enum VmLifecycle {
     /// It stays.
     Live,
     /// The platform will take it away soon.
@@ -30,7 +30,7 @@
     /// How often it has booted.
     pub boot: u64,
     /// Whether the platform will keep it.
-    pub state: ListState,
+    pub state: VmLifecycle,
     /// Whether its worker answers the platform.
     pub up: bool,
     /// Whether its worker refuses new tasks.
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// Fails when the platform cannot be reached.
-    fn look(&self, vm: &str) -> Result<Option<VmInfo>, CallError>;
+    fn fetch(&self, vm: &str) -> Result<Option<VmInfo>, CallError>;
 
     /// Changes a VM.
     ///
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -7,7 +7,7 @@
     vm::{Effect, Machine},
     worker,
 };
-use platform::{Appended, ListState, VmCall, VmInfo};
+use platform::{Appended, VmCall, VmInfo, VmLifecycle};
 use protocol::encode;
 use std::{
     collections::BTreeMap,
@@ -127,7 +127,7 @@
         addr: addr.to_string(),
         slots: shared.lock().plan.slots,
         boot: 1,
-        state: ListState::Live,
+        state: VmLifecycle::Live,
         up: true,
         drained: false,
         running: 0,
@@ -362,7 +362,7 @@
         machine.failing = failing > 0;
     }
     if call.query.contains_key("leaving") {
-        machine.info.state = ListState::Leaving;
+        machine.info.state = VmLifecycle::Leaving;
     }
     if let Some(time) = call.number("down_ms") {
         machine.fail(&mut state.ledger);
--- a/crates/standin/src/vm.rs
+++ b/crates/standin/src/vm.rs
@@ -1,7 +1,7 @@
 //! The stand-in's VMs: what a call or a fault makes of one.
 
 use crate::ledger::{Ledger, RunEnd, VmEvent, What, now_ms};
-use platform::{ListState, VmCall, VmInfo};
+use platform::{VmCall, VmInfo, VmLifecycle};
 use std::{
     collections::{HashMap, HashSet},
     time::Duration,
@@ -101,7 +101,7 @@
     pub fn restore(&mut self, ledger: &mut Ledger, what: What) {
         self.info.up = true;
         self.info.boot += 1;
-        self.info.state = ListState::Live;
+        self.info.state = VmLifecycle::Live;
         self.note(ledger, what);
         self.set_drained(ledger, false);
         self.power.send_replace(true);
