--- a/crates/havenladder/src/propose.rs
+++ b/crates/havenladder/src/propose.rs
@@ -74,7 +74,7 @@
     let mut maybe_taken = false;
     loop {
         match ctx.platform.append(FLEET, &data) {
-            Ok(_) | Err(CallError::AnswerLost(_)) => {
+            Ok(_) | Err(CallError::ResponseLost(_)) => {
                 maybe_taken = true;
                 if let Some(decided) = read_back(ctx, record.id, deadline) {
                     return Ok(decided);
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -17,7 +17,7 @@
     Unreachable(String),
     /// The connection broke, or the answer came too late or in a wrong form.
     #[error("the platform's answer was lost: {0}")]
-    AnswerLost(String),
+    ResponseLost(String),
     /// The platform refused the call.
     #[error("the platform refused: {0}")]
     Refused(String),
@@ -28,7 +28,7 @@
     pub fn certainty(&self) -> Certainty {
         match self {
             Self::Unreachable(_) | Self::Refused(_) => Certainty::NoEffect,
-            Self::AnswerLost(_) => Certainty::Unknown,
+            Self::ResponseLost(_) => Certainty::Unknown,
         }
     }
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -100,7 +100,7 @@
     fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<LogSlice, CallError> {
         let path = format!("/log/{stream}?from={from}&wait_ms={}", wait.as_millis());
         let mut answer = accepted(self.get(&path, wait)?)?;
-        decode(&bytes(&mut answer)?).map_err(|error| CallError::AnswerLost(error.to_string()))
+        decode(&bytes(&mut answer)?).map_err(|error| CallError::ResponseLost(error.to_string()))
     }
 
     fn offset_at(&self, stream: &str, at: SystemTime) -> Result<Offset, CallError> {
@@ -162,12 +162,12 @@
     if status.is_client_error() {
         return Err(CallError::Refused(format!("{status}: {text}")));
     }
-    Err(CallError::AnswerLost(format!("{status}: {text}")))
+    Err(CallError::ResponseLost(format!("{status}: {text}")))
 }
 
 fn json<T: DeserializeOwned>(mut answer: Response<Body>) -> Result<T, CallError> {
     let bytes = bytes(&mut answer)?;
-    serde_json::from_slice(&bytes).map_err(|error| CallError::AnswerLost(error.to_string()))
+    serde_json::from_slice(&bytes).map_err(|error| CallError::ResponseLost(error.to_string()))
 }
 
 fn bytes(answer: &mut Response<Body>) -> Result<Vec<u8>, CallError> {
@@ -176,7 +176,7 @@
         .with_config()
         .limit(ANSWER_LIMIT)
         .read_to_vec()
-        .map_err(|error| CallError::AnswerLost(error.to_string()))
+        .map_err(|error| CallError::ResponseLost(error.to_string()))
 }
 
 /// Only a connection that never stood is certain to have had no effect.
@@ -187,6 +187,6 @@
         Error::Io(io) if io.kind() == std::io::ErrorKind::ConnectionRefused => {
             CallError::Unreachable(error.to_string())
         }
-        _ => CallError::AnswerLost(error.to_string()),
+        _ => CallError::ResponseLost(error.to_string()),
     }
 }
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -18,7 +18,7 @@
     ///
     /// # Errors
     ///
-    /// After [`CallError::AnswerLost`] the record may be in the log, or get there later.
+    /// After [`CallError::ResponseLost`] the record may be in the log, or get there later.
     fn append(&self, stream: &str, data: &[u8]) -> Result<Appended, CallError>;
 
     /// Reads records from `from` on; waits up to `wait` for the first one.
--- a/crates/platform/src/vms.rs
+++ b/crates/platform/src/vms.rs
@@ -99,6 +99,6 @@
     ///
     /// # Errors
     ///
-    /// After [`CallError::AnswerLost`] the call may have taken effect, or may do so later.
+    /// After [`CallError::ResponseLost`] the call may have taken effect, or may do so later.
     fn call(&self, vm: &str, call: &VmCall) -> Result<(), CallError>;
 }
