--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -1,15 +1,15 @@
-//! The identifiers that every package shares.
+//! The identifiers that all packages share.
 
-/// Name of one VM, as the platform lists it.
+/// Name of a VM, as listed by the platform.
 pub type VmId = String;
 
-/// Name of one hall: a data centre with its own entries and targets.
+/// Name of a data centre, which has its own entries and targets.
 pub type HallId = String;
 
-/// Name of one rack inside a hall; racks of different halls never share a name.
+/// Name of a rack in a data centre. Rack names are unique across data centres.
 pub type RackId = String;
 
-/// Name of one entry process.
+/// Name of an entry process.
 pub type EntryId = String;
 
 /// Path of a pool in the tree of settings, as `place/pool`.
@@ -18,8 +18,8 @@
 /// Path of a service in the tree of settings, as `place/pool/service`.
 pub type ServiceId = String;
 
-/// Place of a record in one stream of the platform's log, counted from 0.
+/// Position of a record in one stream of the platform's log, counted from 0.
 pub type Offset = u64;
 
-/// Unique id that an appender gives a record, so that a second copy is known as one.
+/// Unique id that the writer assigns to a record, by which duplicates are detected.
 pub type RecordId = ulid::Ulid;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the processes of havenladder say to each other, and the codec they say it in.
+//! The messages that havenladder's processes exchange, and their codec.
 //!
-//! Nothing in here knows a socket, a clock or the platform's wire form.
+//! This package doesn't depend on sockets, clocks or the platform's wire format.
 
 mod codec;
 mod ids;
--- a/crates/protocol/src/log.rs
+++ b/crates/protocol/src/log.rs
@@ -1,4 +1,4 @@
-//! Records of the platform's log as they travel between processes.
+//! Records of the platform's log, as processes exchange them.
 
 use crate::Offset;
 use serde::{Deserialize, Serialize};
@@ -7,28 +7,28 @@
 /// One record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// The record's place in its stream.
+    /// The record's position in its stream.
     pub offset: Offset,
-    /// When the platform took the record, by the platform's clock; never falls along a stream.
+    /// When the platform accepted the record, by the platform's clock. Times never decrease along a stream.
     pub at: SystemTime,
-    /// The appender's bytes, unchanged.
+    /// The writer's bytes, unchanged.
     #[serde(with = "serde_bytes")]
     pub data: Vec<u8>,
 }
 
-/// A run of records, with what a reader needs to see a gap.
+/// Consecutive records of a stream, with the bounds by which a reader detects a gap.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogSlice {
-    /// The oldest offset that is still kept.
+    /// The oldest offset that the log still keeps.
     pub oldest: Offset,
-    /// The offset that the next append will get.
+    /// The offset that the next appended record will get.
     pub next: Offset,
-    /// The records asked for, in order and without holes.
+    /// The requested records, in order and without gaps.
     pub records: Vec<LogRecord>,
 }
 
 impl LogSlice {
-    /// Tells whether records between `from` and this slice have been forgotten by the log.
+    /// Returns whether the log has discarded records between `from` and this slice.
     pub fn has_gap(&self, from: Offset) -> bool {
         self.oldest > from
     }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -7,93 +7,93 @@
 /// Header that carries the shared key of peers and operators.
 pub const HEADER_KEY: &str = "havenladder-key";
 
-/// Header that marks a request which a peer has passed on, so that it is not passed on again.
+/// Header that marks a request as forwarded by a peer, so that it is not forwarded again.
 pub const HEADER_FORWARDED: &str = "havenladder-forwarded";
 
-/// Room that an entry sees for one service in its own hall.
+/// Capacity for one service in an entry's data centre, as known to that entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
-    /// Slots of workers that take new work.
+    /// Slots of workers that accept new tasks.
     pub slots: u32,
-    /// Slots of those that this entry knows to be taken, and requests that wait.
+    /// Those of the slots that are known to be in use, plus the requests that are waiting.
     pub taken: u32,
 }
 
 impl Capacity {
-    /// Slots that are free for new work.
+    /// Returns the number of slots that are free for new tasks.
     pub fn free(self) -> u32 {
         self.slots.saturating_sub(self.taken)
     }
 }
 
-/// What an entry tells its peers about itself a few times a second.
+/// Status that an entry sends to its peers a few times a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Who speaks.
+    /// The entry that sends the status.
     pub entry: EntryId,
-    /// The hall that the entry stands in.
+    /// The data centre of the entry.
     pub hall: HallId,
-    /// The next offset of `fleet` that the entry will apply; all before it are in force there.
+    /// The next offset of the stream `fleet` that the entry will apply. All earlier records are in force there.
     pub next: Offset,
-    /// Whether the entry reached the platform's log lately.
+    /// Whether the entry has reached the platform's log recently.
     #[serde(rename = "platform")]
     pub reaches_platform: bool,
-    /// Whether the entry is about to stop and wants no more work.
+    /// Whether the entry is about to stop and accepts no new work.
     pub leaving: bool,
-    /// Room for each service in the entry's hall.
+    /// Capacity for each service in the entry's data centre.
     #[serde(rename = "room")]
     pub capacity: BTreeMap<ServiceId, Capacity>,
 }
 
-/// A snapshot as one peer hands it to another.
+/// A snapshot that one peer sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotReply {
-    /// The snapshot's own encoding; the fleet package checks it.
+    /// The snapshot in its own encoding, which the fleet package validates.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
-    /// Records after the snapshot that the peer still holds.
+    /// The records after the snapshot that the peer still has.
     pub tail: Vec<LogRecord>,
 }
 
-/// Why a request was lost, from the view of the service's objective.
+/// Why a request counts as lost for the service's objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Loss {
-    /// Refused because it could not be done in time.
+    /// The request was refused because it could not be completed in time.
     Overload,
-    /// No worker took new work.
+    /// No worker accepted new tasks.
     NoWorker,
-    /// The deadline passed before an answer came.
+    /// The deadline passed before a response arrived.
     Late,
-    /// A worker answered with a failure, or what it sent was cut short.
+    /// A worker responded with a failure, or its response was truncated.
     WorkerFailed,
-    /// Nobody can tell whether the worker ran the request.
+    /// It is unknown whether the worker ran the request.
     Unknown,
     /// The platform's log could not be reached for a claim.
     LogDown,
 }
 
-/// Requests of one service in one span of time.
+/// Numbers of requests of one service in one period of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BurnCounts {
-    /// Requests done once, whole and in time.
+    /// Requests that were completed once, in full and in time.
     pub good: u64,
-    /// The others, by cause.
+    /// Requests that were lost, by cause.
     pub lost: BTreeMap<Loss, u64>,
 }
 
 impl BurnCounts {
-    /// Requests that were not good.
+    /// Returns the number of lost requests.
     pub fn bad(&self) -> u64 {
         self.lost.values().sum()
     }
 
-    /// All requests that count.
+    /// Returns the number of all requests that count towards the objective.
     pub fn total(&self) -> u64 {
         self.good + self.bad()
     }
 
-    /// Adds another cell to this one.
+    /// Adds other counts to these.
     pub fn add(&mut self, other: &Self) {
         self.good += other.good;
         for (loss, count) in &other.lost {
@@ -102,20 +102,20 @@
     }
 }
 
-/// Sums of one service over the windows of the burn report.
+/// Counts of one service for each window of the burn report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BurnWindows {
-    /// One cell for each window, in the order of the report's windows.
+    /// The counts of each window, in the order of the report's windows.
     pub windows: Vec<BurnCounts>,
 }
 
-/// What one entry has counted for the burn report.
+/// The counts of one entry for the burn report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BurnReply {
-    /// Who counted.
+    /// The entry that counted.
     pub entry: EntryId,
-    /// When the entry began to count; earlier requests are not in the sums.
+    /// When the entry started to count. Earlier requests are not included.
     pub since: SystemTime,
-    /// The sums by service.
+    /// The counts by service.
     pub services: BTreeMap<ServiceId, BurnWindows>,
 }
--- a/crates/protocol/src/rendezvous.rs
+++ b/crates/protocol/src/rendezvous.rs
@@ -1,10 +1,10 @@
-//! Rendezvous hashing: who of the live entries does a piece of work, without asking anybody.
+//! Rendezvous hashing: determines without communication which of the live entries does a piece of work.
 
 use crate::{EntryId, HallId};
 use std::{cmp::Reverse, collections::BTreeMap};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Weight of `node` for `key`; the highest weight wins.
+/// Returns the weight of `node` for `key`. The node with the highest weight is preferred.
 fn weight(node: &str, key: &str) -> u64 {
     let mut bytes = Vec::with_capacity(node.len() + key.len() + 1);
     bytes.extend_from_slice(node.as_bytes());
@@ -27,7 +27,7 @@
     order
 }
 
-/// Returns the first for `key` among the members that stand in `hall`; `None` if it has none.
+/// Returns the preferred member for `key` among those in the data centre `hall`, or `None` if there is none.
 pub fn first_in_hall<'a>(
     members: &'a BTreeMap<EntryId, HallId>,
     hall: &str,
@@ -40,7 +40,8 @@
     ranked(in_hall, key).first().copied()
 }
 
-/// Returns the rank of `node` among `nodes` for `key`, 0 being first, or `None` if it is not one.
+/// Returns the rank of `node` among `nodes` for `key`, where 0 is the most preferred, or `None` if `node` is not one
+/// of them.
 pub fn rank<'a>(nodes: impl IntoIterator<Item = &'a str>, node: &str, key: &str) -> Option<usize> {
     ranked(nodes, key).iter().position(|other| *other == node)
 }
