--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,21 +1,21 @@
-//! What can go wrong with a call to the platform, and what is known of its effect then.
+//! Failures of calls to the platform, and what is known of the effect of a failed call.
 
-/// Whether a call that failed may have taken effect.
+/// Whether a failed call may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Certainty {
-    /// It has had no effect.
+    /// The call has had no effect.
     NoEffect,
-    /// Nobody can tell.
+    /// It is unknown whether the call has had an effect.
     Unknown,
 }
 
 /// Why a call to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The platform could not be reached at all.
+    /// The platform could not be reached.
     #[error("the platform could not be reached: {0}")]
     Unreachable(String),
-    /// The connection broke, or the answer came too late or in a wrong form.
+    /// The connection broke, or the response came too late or was malformed.
     #[error("the platform's answer was lost: {0}")]
     ResponseLost(String),
     /// The platform refused the call.
@@ -24,7 +24,7 @@
 }
 
 impl CallError {
-    /// Tells what is known of the call's effect.
+    /// Returns what is known of the call's effect.
     pub fn certainty(&self) -> Certainty {
         match self {
             Self::Unreachable(_) | Self::Refused(_) => Certainty::NoEffect,
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -20,32 +20,32 @@
     },
 };
 
-/// Time that any call may take, beside what it asks the platform to wait.
+/// Timeout of a call, in addition to the time that the platform is asked to wait.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time in which a connection must stand.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The largest answer that is read.
-const ANSWER_LIMIT: u64 = 64 << 20;
+/// Maximum size of a response in bytes.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// A list of VMs with the tag by which the platform knows whether it has changed.
+/// A list of VMs, with the tag by which the platform recognizes whether the list has changed.
 #[derive(Debug)]
-struct Listed {
+struct CachedList {
     tag: String,
     vms: Vec<VmInfo>,
 }
 
-/// The platform, met over HTTP at one address.
+/// Client of the platform at one HTTP address.
 #[derive(Debug)]
 pub struct HttpPlatform {
     base: String,
     agent: Agent,
-    listed: Mutex<BTreeMap<HallId, Listed>>,
+    cached: Mutex<BTreeMap<HallId, CachedList>>,
 }
 
 impl HttpPlatform {
-    /// Makes a client for the platform at `addr`, an IP address with a port.
+    /// Creates a client of the platform at `addr`, an IP address with a port.
     pub fn new(addr: &str) -> Self {
         let config = Agent::config_builder()
             .timeout_connect(Some(CONNECT_TIMEOUT))
@@ -55,7 +55,7 @@
         Self {
             base: format!("http://{addr}"),
             agent: config.into(),
-            listed: Mutex::default(),
+            cached: Mutex::default(),
         }
     }
 
@@ -93,14 +93,14 @@
 
 impl Log for HttpPlatform {
     fn append(&self, stream: &str, data: &[u8]) -> Result<Appended, CallError> {
-        let answer = self.post(&format!("/log/{stream}"), data)?;
-        json(accepted(answer)?)
+        let response = self.post(&format!("/log/{stream}"), data)?;
+        json(check_status(response)?)
     }
 
     fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<LogSlice, CallError> {
         let path = format!("/log/{stream}?from={from}&wait_ms={}", wait.as_millis());
-        let mut answer = accepted(self.get(&path, wait)?)?;
-        decode(&bytes(&mut answer)?).map_err(|error| CallError::ResponseLost(error.to_string()))
+        let mut response = check_status(self.get(&path, wait)?)?;
+        decode(&bytes(&mut response)?).map_err(|error| CallError::ResponseLost(error.to_string()))
     }
 
     fn offset_at(&self, stream: &str, at: SystemTime) -> Result<Offset, CallError> {
@@ -109,77 +109,82 @@
             .unwrap_or_default()
             .as_millis();
         let path = format!("/log/{stream}/at?ms={millis}");
-        let found: Appended = json(accepted(self.get(&path, Duration::ZERO)?)?)?;
+        let found: Appended = json(check_status(self.get(&path, Duration::ZERO)?)?)?;
         Ok(found.offset)
     }
 }
 
 impl Vms for HttpPlatform {
     fn list(&self, hall: &str) -> Result<Vec<VmInfo>, CallError> {
-        let mut listed = self.listed.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = listed.get(hall);
-        let answer = self.get_if_changed(
+        let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
+        let known = cached.get(hall);
+        let response = self.get_if_changed(
             &format!("/vms?hall={hall}"),
             known.map_or("", |known| known.tag.as_str()),
         )?;
         if let Some(known) = known
-            && answer.status() == StatusCode::NOT_MODIFIED
+            && response.status() == StatusCode::NOT_MODIFIED
         {
             return Ok(known.vms.clone());
         }
-        let answer = accepted(answer)?;
-        let tag = answer.headers().get(ETAG).and_then(|tag| tag.to_str().ok());
+        let response = check_status(response)?;
+        let tag = response
+            .headers()
+            .get(ETAG)
+            .and_then(|tag| tag.to_str().ok());
         let tag = tag.unwrap_or_default().to_owned();
-        let vms: Vec<VmInfo> = json(answer)?;
-        let vms_now = vms.clone();
-        listed.insert(hall.to_owned(), Listed { tag, vms });
-        Ok(vms_now)
+        let vms: Vec<VmInfo> = json(response)?;
+        let current = vms.clone();
+        cached.insert(hall.to_owned(), CachedList { tag, vms });
+        Ok(current)
     }
 
     fn fetch(&self, vm: &str) -> Result<Option<VmInfo>, CallError> {
-        let answer = self.get(&format!("/vms/{vm}"), Duration::ZERO)?;
-        if answer.status() == StatusCode::NOT_FOUND {
+        let response = self.get(&format!("/vms/{vm}"), Duration::ZERO)?;
+        if response.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        json(accepted(answer)?).map(Some)
+        json(check_status(response)?).map(Some)
     }
 
     fn call(&self, vm: &str, call: &VmCall) -> Result<(), CallError> {
         let body =
             serde_json::to_vec(call).map_err(|error| CallError::Refused(error.to_string()))?;
-        accepted(self.post(&format!("/vms/{vm}"), &body)?)?;
+        check_status(self.post(&format!("/vms/{vm}"), &body)?)?;
         Ok(())
     }
 }
 
-/// Sorts an answer: a client error is a refusal, and a server error leaves everything open.
-fn accepted(mut answer: Response<Body>) -> Result<Response<Body>, CallError> {
-    let status = answer.status();
+/// Returns a successful response. A client error counts as a refusal, while after a server error it is unknown
+/// whether the call has had an effect.
+fn check_status(mut response: Response<Body>) -> Result<Response<Body>, CallError> {
+    let status = response.status();
     if status.is_success() {
-        return Ok(answer);
+        return Ok(response);
     }
-    let text = answer.body_mut().read_to_string().unwrap_or_default();
+    let text = response.body_mut().read_to_string().unwrap_or_default();
     if status.is_client_error() {
         return Err(CallError::Refused(format!("{status}: {text}")));
     }
     Err(CallError::ResponseLost(format!("{status}: {text}")))
 }
 
-fn json<T: DeserializeOwned>(mut answer: Response<Body>) -> Result<T, CallError> {
-    let bytes = bytes(&mut answer)?;
+fn json<T: DeserializeOwned>(mut response: Response<Body>) -> Result<T, CallError> {
+    let bytes = bytes(&mut response)?;
     serde_json::from_slice(&bytes).map_err(|error| CallError::ResponseLost(error.to_string()))
 }
 
-fn bytes(answer: &mut Response<Body>) -> Result<Vec<u8>, CallError> {
-    answer
+fn bytes(response: &mut Response<Body>) -> Result<Vec<u8>, CallError> {
+    response
         .body_mut()
         .with_config()
-        .limit(ANSWER_LIMIT)
+        .limit(MAX_RESPONSE_BYTES)
         .read_to_vec()
         .map_err(|error| CallError::ResponseLost(error.to_string()))
 }
 
-/// Only a connection that never stood is certain to have had no effect.
+/// Converts an error of the HTTP client. A call is certain to have had no effect only if no connection was
+/// established.
 fn call_error(error: Error) -> CallError {
     match &error {
         Error::ConnectionFailed | Error::HostNotFound => CallError::Unreachable(error.to_string()),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,7 @@
-//! The edges towards the platform: its log, its list of VMs, the calls that change a VM, and the
-//! names of the task interface of its workers.
+//! The interface to the platform: its log, its list of VMs, the calls that change a VM, and the names of its workers'
+//! task interface.
 //!
-//! The traits are what the rest of the system knows; the wire form behind them stays in here, so
-//! that another one fits.
+//! Other packages only depend on the traits. The wire format is private to this package, so that it can be replaced.
 
 mod error;
 mod http;
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, SystemTime};
 
-/// What the log answers to an append.
+/// Response of the log to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Appended {
-    /// The record's place in the stream.
+    /// The record's position in the stream.
     pub offset: Offset,
 }
 
@@ -18,20 +18,20 @@
     ///
     /// # Errors
     ///
-    /// After [`CallError::ResponseLost`] the record may be in the log, or get there later.
+    /// After [`CallError::ResponseLost`] the record may be in the log, or may still be added later.
     fn append(&self, stream: &str, data: &[u8]) -> Result<Appended, CallError>;
 
-    /// Reads records from `from` on; waits up to `wait` for the first one.
+    /// Reads records from `from` on, and waits up to `wait` for the first one.
     ///
     /// # Errors
     ///
-    /// Fails when the log cannot be reached.
+    /// Fails if the log cannot be reached.
     fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<LogSlice, CallError>;
 
-    /// Returns the offset of the first record that the log took at `at` or later.
+    /// Returns the offset of the first record that the log accepted at `at` or later.
     ///
     /// # Errors
     ///
-    /// Fails when the log cannot be reached.
+    /// Fails if the log cannot be reached.
     fn offset_at(&self, stream: &str, at: SystemTime) -> Result<Offset, CallError>;
 }
--- a/crates/platform/src/task.rs
+++ b/crates/platform/src/task.rs
@@ -1,12 +1,12 @@
 //! Names of the task interface that the platform's workers offer over HTTP.
 //!
-//! A task is posted to `/tasks/<attempt>`; its answer is the response. A worker runs an attempt
-//! at most once. A refusal is certain, the task was not begun, but for [`REFUSED_SEEN`].
+//! A task is posted to `/tasks/<attempt>`, and the HTTP response carries its result. A worker runs an attempt at most
+//! once. A refusal guarantees that the task was not started, except with the value [`REFUSED_SEEN`].
 
-/// Path below which tasks live.
+/// Path prefix of tasks.
 pub const TASKS: &str = "/tasks/";
 
-/// Path at which a worker reports its [`Usage`]; the report lags.
+/// Path at which a worker reports its [`Usage`]. The report may be out of date.
 pub const USAGE: &str = "/usage";
 
 /// Request header: the service that the task belongs to.
@@ -15,25 +15,25 @@
 /// Request header: the pool for which the task is placed.
 pub const HEADER_POOL: &str = "task-pool";
 
-/// Request header: end of the task's lease, in milliseconds since 1970; the worker stops it then.
+/// Request header: end of the task's lease, in milliseconds since 1970. The worker stops the task at that time.
 pub const HEADER_LEASE: &str = "task-lease";
 
-/// Request header: the request that the task is for, the same on every attempt and in all logs.
+/// Request header: the request that the task belongs to, which is the same for all attempts and in all logs.
 pub const HEADER_REQUEST: &str = "task-request";
 
-/// Response header: the attempt that is answered.
+/// Response header: the attempt that the response belongs to.
 pub const HEADER_ID: &str = "task-id";
 
-/// Response header of a refusal: why the task was not begun.
+/// Response header of a refusal: why the task was not started.
 pub const HEADER_REFUSED: &str = "task-refused";
 
-/// Value of [`HEADER_REFUSED`] when the worker has met the attempt before: a copy of it may run.
+/// Value of [`HEADER_REFUSED`] if the worker has received the attempt before, so that a copy of it may be running.
 pub const REFUSED_SEEN: &str = "seen";
 
-/// What a worker reports of itself.
+/// A worker's report of its own state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Usage {
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
     /// Whether new tasks are refused.
     pub draining: bool,
--- a/crates/platform/src/vms.rs
+++ b/crates/platform/src/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs and the calls that change one.
+//! The platform's list of VMs and the calls that change a VM.
 
 use crate::error::CallError;
 use protocol::{HallId, Offset, PoolId, RackId, VmId};
@@ -8,91 +8,91 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmLifecycle {
-    /// It stays.
+    /// The platform keeps the VM.
     Live,
-    /// The platform will take it away soon.
+    /// The platform will remove the VM soon.
     Leaving,
 }
 
-/// One VM as the platform shows it.
+/// A VM as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmInfo {
-    /// Its name.
+    /// The VM's name.
     pub id: VmId,
-    /// Its hall.
+    /// The VM's data centre.
     pub hall: HallId,
-    /// Its rack.
+    /// The VM's rack.
     pub rack: RackId,
-    /// Where its worker listens, as an IP address with a port.
+    /// The address of the VM's worker, as an IP address with a port.
     pub addr: String,
-    /// Tasks that its worker runs at once.
+    /// Number of tasks that the worker can run at the same time.
     pub slots: u32,
-    /// How often it has booted.
+    /// How often the VM has booted.
     pub boot: u64,
-    /// Whether the platform will keep it.
+    /// Whether the platform will keep the VM.
     pub state: VmLifecycle,
-    /// Whether its worker answers the platform.
+    /// Whether the worker responds to the platform.
     pub up: bool,
-    /// Whether its worker refuses new tasks.
+    /// Whether the worker refuses new tasks.
     pub drained: bool,
-    /// Tasks that its worker runs.
+    /// Number of tasks that the worker is running.
     pub running: u32,
-    /// The pool that its worker takes tasks for; empty for any.
+    /// The pool whose tasks the worker accepts, or an empty string if it accepts those of any pool.
     pub pool: PoolId,
-    /// The highest fencing token that a call has carried.
+    /// The highest fencing token that any call for the VM has carried.
     pub token: Offset,
 }
 
-/// A call that changes a VM. Each carries a fencing token: the platform refuses one that is lower
-/// than the highest it has seen for the VM.
+/// A call that changes a VM. The platform refuses a call whose fencing token is lower than the highest it has seen
+/// for the VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "call")]
 pub enum VmCall {
-    /// Refuse new tasks; those that run are finished.
+    /// Refuses new tasks and lets running tasks finish.
     Drain {
         /// The fencing token.
         token: Offset,
     },
-    /// Take new tasks again.
+    /// Accepts new tasks again.
     Undrain {
         /// The fencing token.
         token: Offset,
     },
-    /// Reboot, if the VM has booted just so often.
+    /// Reboots the VM if its boot count is the given one.
     Reboot {
         /// The fencing token.
         token: Offset,
-        /// The count of boots that the caller knows.
+        /// The boot count that the caller knows.
         boot: u64,
     },
-    /// Take the VM back.
+    /// Returns the VM to the platform.
     Release {
         /// The fencing token.
         token: Offset,
     },
-    /// Take tasks of another pool, and end the drain.
+    /// Assigns the VM to another pool and ends its drain.
     Assign {
         /// The fencing token.
         token: Offset,
-        /// The pool.
+        /// The name of the pool.
         pool: PoolId,
     },
 }
 
 /// The platform's VMs.
 pub trait Vms: Send + Sync {
-    /// Lists the VMs of a hall; the list lags, and counts of running tasks in it are rough.
+    /// Lists the VMs of a data centre. The list may be out of date, and its counts of running tasks are approximate.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be reached.
+    /// Fails if the platform cannot be reached.
     fn list(&self, hall: &str) -> Result<Vec<VmInfo>, CallError>;
 
-    /// Reads one VM afresh; `None` when the platform has none of that name.
+    /// Reads the current state of one VM. Returns `None` if the platform has no VM of that name.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be reached.
+    /// Fails if the platform cannot be reached.
     fn fetch(&self, vm: &str) -> Result<Option<VmInfo>, CallError>;
 
     /// Changes a VM.
