--- a/crates/havenladder/src/entry/ends.rs
+++ b/crates/havenladder/src/entry/ends.rs
@@ -19,7 +19,7 @@
         } else if host.runs.contains_key(&(task, run)) {
             let noted = host.noted;
             warn!(%task, run, worker, number, noted, ?how, "end of a run that goes on is passed over");
-            owner.node.metrics.odd_end("passed-over");
+            owner.node.metrics.inconsistent_end("passed-over");
         }
     }
 }
@@ -28,7 +28,7 @@
 pub fn log_missing(owner: &Owner, worker: &str, runs: &[(TaskId, RunId)]) {
     for (task, run) in runs {
         warn!(%task, run, worker, "run is gone without an end");
-        owner.node.metrics.odd_end("vanished");
+        owner.node.metrics.inconsistent_end("vanished");
     }
 }
 
--- a/crates/havenladder/src/entry/metrics.rs
+++ b/crates/havenladder/src/entry/metrics.rs
@@ -33,7 +33,7 @@
     rounds: Histogram<f64>,
     lags: Histogram<f64>,
     foreign_entries: Counter<u64>,
-    odd_ends: Counter<u64>,
+    inconsistent_ends: Counter<u64>,
     restarted_workers: Counter<u64>,
     owners: Counter<u64>,
     suspensions: Counter<u64>,
@@ -83,7 +83,7 @@
             lags: seconds("havenladder_lag_seconds"),
             owners: meter.u64_counter("havenladder_ownerships").build(),
             foreign_entries: meter.u64_counter("havenladder_foreign_entries").build(),
-            odd_ends: meter.u64_counter("havenladder_odd_ends").build(),
+            inconsistent_ends: meter.u64_counter("havenladder_odd_ends").build(),
             restarted_workers: meter.u64_counter("havenladder_restarted_workers").build(),
             suspensions: meter.u64_counter("havenladder_suspensions").build(),
             unauthorized: meter.u64_counter("havenladder_barred_calls").build(),
@@ -158,8 +158,9 @@
     }
 
     /// Counts a run whose end contradicts its known state.
-    pub fn odd_end(&self, what: &'static str) {
-        self.odd_ends.add(1, &[KeyValue::new("what", what)]);
+    pub fn inconsistent_end(&self, what: &'static str) {
+        self.inconsistent_ends
+            .add(1, &[KeyValue::new("what", what)]);
     }
 
     /// Counts a worker that has restarted under its id.
