--- a/crates/havenladder/src/client.rs
+++ b/crates/havenladder/src/client.rs
@@ -1,7 +1,9 @@
 //! Calls to peers and operators' listeners, by `ureq`.
 
 use fleet::{Fleet, decode_snapshot};
-use protocol::{BurnReply, HEADER_KEY, LogRecord, Offset, Slice, SnapshotReply, Status, decode};
+use protocol::{
+    BurnReply, HEADER_KEY, LogRecord, LogSlice, Offset, PeerStatus, SnapshotReply, decode,
+};
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 use ureq::Agent;
@@ -38,12 +40,12 @@
     }
 
     /// Asks a peer for its status.
-    pub fn status(&self, addr: &str) -> Option<Status> {
+    pub fn status(&self, addr: &str) -> Option<PeerStatus> {
         self.get(addr, "/status")
     }
 
     /// Asks a peer for records from `from` on.
-    pub fn relay(&self, addr: &str, from: Offset) -> Option<Slice> {
+    pub fn relay(&self, addr: &str, from: Offset) -> Option<LogSlice> {
         self.get(addr, &format!("/relay?from={from}"))
     }
 
--- a/crates/havenladder/src/duties/follow.rs
+++ b/crates/havenladder/src/duties/follow.rs
@@ -9,7 +9,7 @@
 };
 use fleet::{Fleet, Outcome};
 use platform::Log;
-use protocol::{LogRecord, Offset, Slice, rank};
+use protocol::{LogRecord, LogSlice, Offset, rank};
 use serving::{Event, WorkerInfo};
 use settings::Service;
 use std::{
@@ -28,7 +28,7 @@
 /// What one round of reading came to.
 enum Round {
     /// Records that come next, or none for now.
-    Read(Slice),
+    Read(LogSlice),
     /// Nobody could be reached.
     Nobody,
 }
@@ -125,7 +125,7 @@
     let live = ctx.peers.live();
     let in_hall = live
         .iter()
-        .filter(|status| status.hall == *hall && status.platform && !status.leaving)
+        .filter(|status| status.hall == *hall && status.reaches_platform && !status.leaving)
         .map(|status| status.entry.as_str())
         .chain([ctx.config.entry.name.as_str()]);
     let rank = rank(in_hall, &ctx.config.entry.name, hall);
@@ -133,12 +133,12 @@
 }
 
 /// Reads from the first peer that is ahead: those of the own hall before others.
-fn relayed(ctx: &Context, peers: &PeerClient, next: Offset) -> Option<Slice> {
+fn relayed(ctx: &Context, peers: &PeerClient, next: Offset) -> Option<LogSlice> {
     let ahead: Vec<String> = ctx
         .peers
         .live()
         .into_iter()
-        .filter(|status| status.platform || status.next > next)
+        .filter(|status| status.reaches_platform || status.next > next)
         .map(|status| status.entry)
         .collect();
     let hall = &ctx.config.entry.hall;
--- a/crates/havenladder/src/duties/peers.rs
+++ b/crates/havenladder/src/duties/peers.rs
@@ -49,7 +49,7 @@
     }
 }
 
-fn relay(ctx: &Context, query: &str) -> protocol::Slice {
+fn relay(ctx: &Context, query: &str) -> protocol::LogSlice {
     let from = query
         .strip_prefix("from=")
         .and_then(|from| from.parse().ok());
@@ -132,7 +132,7 @@
             Some(Peer {
                 entry: status.entry,
                 addr: neighbour.editors.to_string(),
-                room: status.room,
+                room: status.capacity,
             })
         })
         .collect()
--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -188,7 +188,7 @@
 fn reject_unauthorized(node: &Node, head: &RequestHead, unauthorized: Unauthorized) -> Reply {
     let reason = unauthorized.reason();
     let version = node.in_force.borrow().version();
-    node.metrics.barred(reason);
+    node.metrics.unauthorized(reason);
     info!(method = %head.method, path = head.path, reason, version, "caller is not authorized");
     let body = serde_json::json!({ "error": reason }).to_string();
     let mut reply = reply(StatusCode::UNAUTHORIZED, body);
--- a/crates/havenladder/src/entry/losses.rs
+++ b/crates/havenladder/src/entry/losses.rs
@@ -1,4 +1,4 @@
-//! Gives workers up, and tells what was lost with each and how it came to its end.
+//! Abandons workers, and logs which runs were lost with each worker and how the worker ended.
 
 use super::owner::Owner;
 use clock::Instant;
@@ -6,50 +6,56 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// How many runs of a lost worker a line names: the youngest, since what begins ends a worker more often than what
-/// has gone on for seconds. A line for each of 25 runs would be the larger part of an owner's log.
-const NAMED: usize = 4;
+/// Maximum number of lost runs that a log line names. The youngest runs are named, because a run that has just
+/// started crashes a worker more often than one that has been running for seconds. One line for each of 25 runs would
+/// make up most of an owner's log.
+const MAX_NAMED_RUNS: usize = 4;
 
-/// Gives a worker up: its runs are free to be started elsewhere.
-pub fn give_up(owner: &Rc<Owner>, id: &str, loss: Loss) {
+/// Abandons a worker, which frees its runs to be started elsewhere.
+pub fn abandon_worker(owner: &Rc<Owner>, id: &str, loss: Loss) {
     let now = Instant::now();
     let lost = owner.cell.borrow_mut().lose_worker(id, loss, now);
     if let Some(lost) = lost {
-        tell(owner, id, &lost);
+        log_loss(owner, id, &lost);
     }
     owner.wake();
 }
 
-/// Gives up the runs of a worker whose lease has run out; the worker may only be cut off.
-pub fn give_up_runs(owner: &Rc<Owner>, id: &str) {
+/// Abandons the runs of a worker whose lease has expired. The worker itself may only be unreachable.
+pub fn abandon_runs(owner: &Rc<Owner>, id: &str) {
     let lost = owner.cell.borrow_mut().lapse_worker(id, Instant::now());
     if let Some(lost) = lost {
-        tell(owner, id, &lost);
+        log_loss(owner, id, &lost);
     }
     owner.wake();
 }
 
 /// Logs and counts the loss of a worker.
-fn tell(owner: &Owner, id: &str, lost: &LostWorker) {
+fn log_loss(owner: &Owner, id: &str, lost: &LostWorker) {
     owner
         .node
         .metrics
-        .lost_worker(name(lost.ending), lost.runs.len());
-    let youngest: Vec<String> = lost.runs.iter().take(NAMED).map(describe).collect();
+        .lost_worker(ending_name(lost.ending), lost.runs.len());
+    let youngest: Vec<String> = lost
+        .runs
+        .iter()
+        .take(MAX_NAMED_RUNS)
+        .map(describe)
+        .collect();
     info!(
         worker = id,
-        ending = name(lost.ending),
+        ending = ending_name(lost.ending),
         runs = lost.runs.len(),
         ?youngest,
         "worker lost"
     );
     for task in &lost.given_up {
-        owner.node.metrics.gave_up();
-        info!(%task, worker = id, "task ends its workers; its job is given up");
+        owner.node.metrics.failed_job();
+        info!(%task, worker = id, "task crashes its workers; its job has failed");
     }
 }
 
-/// A run and its age when its worker fell silent, in ms.
+/// Describes a run and its age in ms at the time when its worker became silent.
 fn describe(run: &LostRun) -> String {
     let LostRun {
         task,
@@ -64,8 +70,8 @@
     }
 }
 
-/// The name of an ending in logs and metrics.
-fn name(ending: Ending) -> &'static str {
+/// Returns the name of a worker's ending in logs and metrics.
+fn ending_name(ending: Ending) -> &'static str {
     match ending {
         Ending::Ordered => "ordered",
         Ending::Announced => "announced",
--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -1,10 +1,10 @@
-//! Carries out the owner's orders to workers.
+//! Sends the owner's orders to workers.
 
 use super::{
-    losses::give_up,
+    losses::abandon_worker,
     owner::{FencingToken, Owner, WORKER_LEASE_DURATION, max_lease_duration},
     resend::unless_overdue,
-    starts::{REPEATED, start},
+    starts::{RESEND_DELAY, start},
 };
 use adapter::{
     http::Connection,
@@ -16,22 +16,22 @@
 use tokio::{task, time};
 use tracing::info;
 
-/// Time until a stop is sent again that had no answer twice.
-const STOP_AGAIN: Duration = Duration::from_millis(250);
+/// Time until a stop is resent after two calls without a response.
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Sends orders, without waiting for their answers.
+/// Sends orders without waiting for the responses.
 pub fn send_all(owner: &Rc<Owner>, orders: Vec<Order>) {
     orders.into_iter().for_each(|order| send(owner, order));
 }
 
-/// Sends an order, without waiting for its answer.
+/// Sends an order without waiting for the response.
 fn send(owner: &Rc<Owner>, order: Order) {
     let owner = Rc::clone(owner);
     task::spawn_local(async move {
         match order {
             Order::Start { worker, task, run } => start(&owner, &worker, task, run).await,
             Order::Stop { worker, task, run } => stop(&owner, &worker, task, run).await,
-            Order::Ask { task, workers } => ask(&owner, task, &workers).await,
+            Order::Ask { task, workers } => request_permits(&owner, task, &workers).await,
             Order::Pace {
                 worker,
                 task,
@@ -44,8 +44,8 @@
     });
 }
 
-/// What the list says of a worker, if the cell has it.
-pub fn find(owner: &Owner, worker: &str) -> Option<Arc<WorkerInfo>> {
+/// Returns the listed details of a worker, if the cell knows the worker.
+pub fn find_worker(owner: &Owner, worker: &str) -> Option<Arc<WorkerInfo>> {
     owner
         .cell
         .borrow()
@@ -54,7 +54,7 @@
         .map(|w| Arc::clone(&w.info))
 }
 
-/// The end of a lease that begins now, on the worker's clock, if its clock is known.
+/// Returns the end of a lease that begins now, in the worker's clock, if that clock is known.
 pub fn lease_end(owner: &Owner, worker: &str) -> Option<ClockMs> {
     let now = Instant::now();
     let mut contacts = owner.contacts.borrow_mut();
@@ -65,10 +65,10 @@
     Some(clock + (now - read + lease).as_millis() as ClockMs)
 }
 
-/// Sends a stop until the worker has taken it, or it is not wanted any more.
+/// Sends a stop until the worker has accepted it or it is no longer wanted.
 async fn stop(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId) {
     while owner.is_alive() && owner.cell.borrow().wants_stop(worker, task, run) {
-        let Some(info) = find(owner, worker) else {
+        let Some(info) = find_worker(owner, worker) else {
             return;
         };
         let fence = owner.fencing_token(worker);
@@ -81,7 +81,7 @@
                 return;
             }
             Err(WorkerError::Replaced) => {
-                return give_up(owner, worker, Loss::Ended);
+                return abandon_worker(owner, worker, Loss::Ended);
             }
             Err(WorkerError::Refused(Refusal::Fenced))
                 if !owner.has_raised_token(worker, fence) =>
@@ -90,11 +90,12 @@
             }
             Err(error) => info!(task = %task, run, worker, %error, "stop failed"),
         }
-        time::sleep(STOP_AGAIN).await;
+        time::sleep(STOP_RETRY_INTERVAL).await;
     }
 }
 
-/// Sends a stop, and once more where no answer comes: a run is stopped once, and an answer may be lost.
+/// Sends a stop, and resends it if no response arrives. Stopping a run twice has no further effect, and a response
+/// may be lost.
 async fn send_stop(
     owner: &Owner,
     info: &WorkerInfo,
@@ -107,25 +108,25 @@
         workers.stop(info, task, run, fence, connection)
     };
     let mut first = pin!(stop(Connection::Kept));
-    if let Some(outcome) = unless_overdue(first.as_mut(), REPEATED).await {
+    if let Some(outcome) = unless_overdue(first.as_mut(), RESEND_DELAY).await {
         return outcome;
     }
     let mut second = pin!(stop(Connection::Fresh));
     tokio::select! {
         outcome = first.as_mut() => match outcome {
             Err(WorkerError::Call(_)) => second.await,
-            settled => settled,
+            decisive => decisive
         },
         outcome = second.as_mut() => match outcome {
             Err(WorkerError::Call(_)) => first.await,
-            settled => settled,
-        },
+            decisive => decisive
+        }
     }
 }
 
-/// Sends a change of pace, once: one that is lost is not sent again.
+/// Sends a change of pace once. It is not resent if it is lost.
 async fn pace(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId, percent: u64) {
-    let Some(info) = find(owner, worker) else {
+    let Some(info) = find_worker(owner, worker) else {
         return;
     };
     let outcome = owner
@@ -138,14 +139,14 @@
     }
 }
 
-/// Asks the service outside which of some workers may run a step.
-async fn ask(owner: &Rc<Owner>, task: TaskId, workers: &[WorkerId]) {
-    let answer = match &owner.node.advice {
+/// Asks the external permit service which of the given workers may run a step.
+async fn request_permits(owner: &Rc<Owner>, task: TaskId, workers: &[WorkerId]) {
+    let response = match &owner.node.advice {
         Some(advice) => advice.ask(task, workers).await,
         None => Ok(None),
     };
-    let good = answer.unwrap_or_else(|error| {
-        info!(%task, %error, "no answer to which workers may run a step");
+    let good = response.unwrap_or_else(|error| {
+        info!(%task, %error, "request for permits failed");
         None
     });
     info!(%task, asked = workers.len(), good = good.as_ref().map(Vec::len), "permits");
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -37,7 +37,7 @@
 /// record of this claim.
 pub fn start(node: &Rc<Node>, epoch: u64, before: Predecessor, since: Instant) -> Rc<Owner> {
     let owner = Rc::new(Owner::new(node, epoch, before, since, orders::send_all));
-    node.metrics.owned("gained");
+    node.metrics.ownership_changed("gained");
     info!(epoch, ?before, "owns the cell");
     *node.owner.borrow_mut() = Some(Rc::clone(&owner));
     task::spawn_local(run(Rc::clone(&owner)));
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -282,7 +282,7 @@
     /// Ends the owner, after which it neither decides nor gives orders.
     pub fn end(&self, why: &str) {
         if self.alive.replace(false) {
-            self.node.metrics.owned("lost");
+            self.node.metrics.ownership_changed("lost");
             info!(epoch = self.epoch, why, "owns the cell no longer");
             self.wake.notify_one();
             self.state_changed.notify_waiters();
--- a/crates/havenladder/src/entry/owner/requests.rs
+++ b/crates/havenladder/src/entry/owner/requests.rs
@@ -113,7 +113,7 @@
             }
         }
         if let Some(ms) = self.forecast(&submission) {
-            self.node.metrics.refused_hopeless();
+            self.node.metrics.rejected_too_late();
             info!(
                 job,
                 ms,
--- a/crates/havenladder/src/entry/wave_status.rs
+++ b/crates/havenladder/src/entry/wave_status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a wave: a record of how far it is.
+//! Publishes the status of waves for operators.
 
 use super::{
     owner::Owner,
@@ -10,16 +10,16 @@
 };
 use tracing::{info, warn};
 
-/// How often it is tried to tell how far a wave is, until the next look at it: once to learn where the log ends, once
-/// where an answer was lost.
-const TRIES: usize = 3;
+/// Maximum number of attempts to publish a status before the next round. Two of them allow for learning where the log
+/// ends and for a lost response.
+const MAX_ATTEMPTS: usize = 3;
 
-/// Tells operators how far a wave is; false if that was not taken, and is to be told again with the next look.
+/// Publishes the state of a wave. Returns false if that failed; the caller retries in the next round.
 pub async fn publish(owner: &Owner, wave: u64, state: WaveState) -> bool {
     let key = format!("{WAVE_KEY}{wave}");
     let value = write_wave(state);
     let body = frame_keyed([(key.as_str(), Some(value.as_ref()))]);
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let at = Condition::At(owner.status_end.get());
         let call = store_calls::append(
             &owner.node,
@@ -31,17 +31,22 @@
         match call.await {
             Ok(Appended::Done(end)) => {
                 owner.status_end.set(end);
-                info!(wave, ?state, "wave told");
+                info!(wave, ?state, "wave status published");
                 return true;
             }
-            // Others write there, too; or this record is there, and once more says the same.
+            // Other writers append here too, or this record was already appended, in which case repeating it is
+            // harmless.
             Ok(Appended::Moved(end)) => owner.status_end.set(end),
             outcome => {
-                warn!(wave, ?state, ?outcome, "wave not told");
+                warn!(wave, ?state, ?outcome, "wave status not published");
                 return false;
             }
         }
     }
-    warn!(wave, ?state, "wave not told: others write");
+    warn!(
+        wave,
+        ?state,
+        "wave status not published: other writers keep appending"
+    );
     false
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the processes of havenladder say to each other, and the codec they say it in.
+//! The messages that havenladder's processes exchange, and their codec.
 //!
-//! Nothing in here knows a socket, a clock or the platform's wire form.
+//! This package doesn't depend on sockets, clocks or the platform's wire format.
 
 mod codec;
 mod ids;
@@ -10,8 +10,9 @@
 
 pub use codec::{CodecError, decode, encode};
 pub use ids::{EntryId, HallId, Offset, PoolId, RackId, RecordId, ServiceId, VmId};
-pub use log::{LogRecord, Slice};
+pub use log::{LogRecord, LogSlice};
 pub use peer::{
-    BurnCell, BurnReply, BurnSum, HEADER_FORWARDED, HEADER_KEY, Loss, Room, SnapshotReply, Status,
+    BurnCounts, BurnReply, BurnWindows, Capacity, HEADER_FORWARDED, HEADER_KEY, Loss, PeerStatus,
+    SnapshotReply,
 };
 pub use rendezvous::{first_in_hall, rank, ranked};
