--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -1,7 +1,7 @@
 //! Budgets: how many slots of a pool are unavailable, and whether more may be.
 
 use crate::{
-    record::Errand,
+    record::GrantPurpose,
     state::{Fleet, Grant, Health, Step, Vm},
 };
 use protocol::{Offset, PoolId, VmId};
@@ -10,7 +10,7 @@
 
 /// Slots of one pool; each of its services has them all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Count {
+pub struct PoolCount {
     /// VMs that belong to the pool.
     pub vms: u32,
     /// Slots of all of them.
@@ -24,11 +24,11 @@
 }
 
 /// What one VM adds to one pool.
-type Part = (PoolId, Count);
+type Part = (PoolId, PoolCount);
 
 /// The budget that leaves least room in a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hold {
+pub struct TightestBudget {
     /// The service that sets it.
     pub service: Path,
     /// The budget, in slots.
@@ -36,12 +36,12 @@
 }
 
 /// Returns the tightest budget among the services of `pool`; `None` where it has no service.
-pub fn holds(fleet: &Fleet, pool: &str) -> Option<Hold> {
+pub fn tightest_budget(fleet: &Fleet, pool: &str) -> Option<TightestBudget> {
     let capacity = fleet.count(pool).slots;
     fleet
         .tree
         .services_of(pool)
-        .map(|path| Hold {
+        .map(|path| TightestBudget {
             service: path.clone(),
             budget: Service::resolve(&fleet.tree, path)
                 .unavailable
@@ -52,7 +52,7 @@
 
 impl Fleet {
     /// Returns the slots of `pool`.
-    pub fn count(&self, pool: &str) -> Count {
+    pub fn count(&self, pool: &str) -> PoolCount {
         self.counts.get(pool).copied().unwrap_or_default()
     }
 
@@ -61,8 +61,8 @@
     /// # Errors
     ///
     /// Returns the slots by which the pool is over that budget.
-    pub fn room(&self, pool: &str) -> Result<u32, u32> {
-        let Some(hold) = holds(self, pool) else {
+    pub fn headroom(&self, pool: &str) -> Result<u32, u32> {
+        let Some(hold) = tightest_budget(self, pool) else {
             return Ok(u32::MAX);
         };
         let unavailable = self.count(pool).unavailable;
@@ -120,7 +120,7 @@
         count.unavailable -= part.unavailable;
         count.gone -= part.gone;
         count.incoming -= part.incoming;
-        if *count == Count::default() {
+        if *count == PoolCount::default() {
             self.counts.remove(pool);
         }
     }
@@ -128,7 +128,7 @@
 
 /// What a VM adds to its own pool and, while it moves, to the one it is on its way to.
 fn parts(vm: &Vm) -> Vec<Part> {
-    let own = Count {
+    let own = PoolCount {
         vms: 1,
         slots: vm.slots,
         unavailable: if vm.is_available() { 0 } else { vm.slots },
@@ -137,15 +137,15 @@
     };
     let mut parts = vec![(vm.pool.clone(), own)];
     if let Some(Grant {
-        errand: Errand::Move { to },
+        purpose: GrantPurpose::Move { to },
         step,
         ..
     }) = &vm.grant
         && *step != Step::Returning
     {
-        let coming = Count {
+        let coming = PoolCount {
             incoming: 1,
-            ..Count::default()
+            ..PoolCount::default()
         };
         parts.push((to.clone(), coming));
     }
--- a/crates/fleet/src/fold.rs
+++ b/crates/fleet/src/fold.rs
@@ -1,9 +1,9 @@
 //! The fold: one record after the other, the same outcome in every process.
 
 use crate::{
-    LONGEST_EXPIRY,
+    MAX_RECORD_EXPIRY,
     record::{Change, Outcome, Reason, Record},
-    state::{Fleet, Mark},
+    state::{Fleet, RecordOrigin},
 };
 use protocol::{LogRecord, Offset, RecordId, decode};
 use std::time::SystemTime;
@@ -43,7 +43,7 @@
     }
 
     /// Returns what was decided about a record that was taken lately.
-    pub fn outcome(&self, id: RecordId) -> Option<(&Mark, &[Outcome])> {
+    pub fn outcome(&self, id: RecordId) -> Option<(&RecordOrigin, &[Outcome])> {
         let mark = self.recent.get(&id)?;
         let outcomes = self.outcomes.get(&id)?;
         Some((mark, outcomes))
@@ -74,7 +74,7 @@
         if self.at > record.expires {
             return Some(Reason::Late);
         }
-        if record.expires > self.at + LONGEST_EXPIRY {
+        if record.expires > self.at + MAX_RECORD_EXPIRY {
             return Some(Reason::BadDeadline);
         }
         None
@@ -95,7 +95,7 @@
     }
 
     fn remember(&mut self, context: &Context, record: &Record, outcomes: &[Outcome]) {
-        let mark = Mark {
+        let mark = RecordOrigin {
             offset: context.offset,
             by: record.by.clone(),
             at: context.at,
--- a/crates/fleet/src/grant.rs
+++ b/crates/fleet/src/grant.rs
@@ -1,11 +1,11 @@
 //! Grants: leave to take a VM out of service, charged to the budgets until the VM is back.
 
 use crate::{
-    CLOCK_SKEW, LONGEST_LEASE,
-    budget::holds,
+    MAX_CLOCK_SKEW, MAX_LEASE,
+    budget::tightest_budget,
     fold::Context,
-    record::{Errand, GrantRequest, LeaseRequest, Outcome, Reason},
-    state::{Fleet, Grant, Health, SPARE, Step, Vm},
+    record::{GrantPurpose, GrantRequest, LeaseRequest, Outcome, Reason},
+    state::{Fleet, Grant, Health, SPARE_POOL, Step, Vm},
 };
 use protocol::Offset;
 use settings::admits_hall;
@@ -21,7 +21,7 @@
         self.change_vm(&request.vm, offset, |vm| {
             vm.grant = Some(Grant {
                 id: offset,
-                errand: request.errand.clone(),
+                purpose: request.purpose.clone(),
                 holder: request.holder.clone(),
                 deadline: request.deadline,
                 token: offset,
@@ -41,7 +41,7 @@
             return Outcome::Rejected(Reason::BadDeadline);
         }
         let renews = grant.holder == request.holder && context.at <= grant.deadline;
-        let takes_over = context.at > grant.deadline + CLOCK_SKEW;
+        let takes_over = context.at > grant.deadline + MAX_CLOCK_SKEW;
         if !renews && !takes_over {
             let holder = grant.holder.clone();
             return Outcome::Rejected(Reason::Held { holder });
@@ -65,7 +65,7 @@
             let holder = grant.holder.clone();
             return Outcome::Rejected(Reason::Held { holder });
         }
-        if grant.step != Step::Draining || grant.errand == Errand::Drain {
+        if grant.step != Step::Draining || grant.purpose == GrantPurpose::Drain {
             return wrong_step(vm);
         }
         // The new token shuts out copies of the drain call that are still on their way.
@@ -89,11 +89,11 @@
             }
             Step::Begun => {}
         }
-        match grant.errand.clone() {
-            Errand::Reboot if boot > grant.boot => self.finish_reboot(context, vm, boot),
-            Errand::Release => self.remove_vm(vm),
-            Errand::Move { to } => self.finish_move(context, vm, &to),
-            Errand::Reboot | Errand::Drain => return wrong_step(vm),
+        match grant.purpose.clone() {
+            GrantPurpose::Reboot if boot > grant.boot => self.finish_reboot(context, vm, boot),
+            GrantPurpose::Release => self.remove_vm(vm),
+            GrantPurpose::Move { to } => self.finish_move(context, vm, &to),
+            GrantPurpose::Reboot | GrantPurpose::Drain => return wrong_step(vm),
         }
         self.prune_gone();
         Outcome::Applied
@@ -119,7 +119,7 @@
 
     /// Returns the first budget that would be overrun with `vm` out of service as well.
     pub fn over_budget(&self, vm: &Vm) -> Option<Reason> {
-        let hold = holds(self, &vm.pool)?;
+        let hold = tightest_budget(self, &vm.pool)?;
         let added = if vm.is_available() { vm.slots } else { 0 };
         let wanted = self.count(&vm.pool).unavailable + added;
         (wanted > hold.budget).then_some(Reason::OverBudget {
@@ -144,7 +144,7 @@
         if !is_lease(context.at, request.deadline) {
             return Some(Reason::BadDeadline);
         }
-        if let Errand::Move { to } = &request.errand
+        if let GrantPurpose::Move { to } = &request.purpose
             && let Some(reason) = self.refuse_move(vm, to)
         {
             return Some(reason);
@@ -167,7 +167,7 @@
         if pool == vm.pool {
             return false;
         }
-        pool == SPARE
+        pool == SPARE_POOL
             || (self.tree.pools().any(|known| known == pool)
                 && admits_hall(&self.tree, pool, &vm.hall))
     }
@@ -210,7 +210,7 @@
 }
 
 fn is_lease(at: SystemTime, deadline: SystemTime) -> bool {
-    deadline > at && deadline <= at + LONGEST_LEASE
+    deadline > at && deadline <= at + MAX_LEASE
 }
 
 fn no_grant(vm: &str, grant: Offset) -> Outcome {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -30,23 +30,25 @@
 pub use answer_time::{AnswerTime, next_wait};
 pub use backoff::Backoff;
 pub use bound::{Whereabouts, room_to_go};
-pub use budget::{Count, Hold, holds};
+pub use budget::{PoolCount, TightestBudget, tightest_budget};
 pub use feed::{
     Address, Admission, FOLLOWERS, Followers, PLACE_EXPIRY, READERS, Readers, STALE, Seeker, Source,
 };
 pub use first_sent::{FirstSent, Place};
-pub use moves::{Room, Wanted, least_moves, next_moves};
-pub use plan::{Action, Evidence, Sight, View, free_token, next_action, plan};
+pub use moves::{BudgetHeadroom, ProposedGrant, min_moves, next_moves};
+pub use plan::{Action, Evidence, Sight, View, next_action, plan, token_without_grant};
 pub use rate::RateLimit;
 pub use reach::{CONFIRMED, CUT_OFF, QUIET, RENEWED, Reach};
 pub use record::{
-    Change, Errand, GrantRequest, LeaseRequest, Observation, Outcome, PathChange, Reason, Record,
-    Seen, WaveChange,
+    Change, GrantPurpose, GrantRequest, LeaseRequest, Observation, Outcome, PathChange, Reason,
+    Record, Seen, WaveChange,
 };
 pub use silence::{Hearing, is_away, is_turned_away};
 pub use sizing::{IdleVm, LooseVm, PoolDemand, Resize, Shift, SizingLimits, lacks_vms, resize};
 pub use snapshot::{Chunk, SnapshotError, assemble, chunks, decode_snapshot, encode_snapshot};
-pub use state::{Fleet, Grant, Health, Mark, SPARE, Step, Vm, Wave, WaveId, WaveState};
+pub use state::{
+    Fleet, Grant, Health, RecordOrigin, SPARE_POOL, Step, Vm, Wave, WaveId, WaveState,
+};
 pub use tenure::{
     ANSWERING_EXPIRY, Claim, DEFERENCE, EXPIRY, Holder, MilliCpu, SETTLED, SILENT_EXPIRY, Tenure,
     outranks,
@@ -57,10 +59,10 @@
 use std::time::Duration;
 
 /// How far two clocks may differ; a lease is taken over only this long after its deadline.
-pub const CLOCK_SKEW: Duration = Duration::from_secs(2);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(2);
 
 /// The longest lease that a grant may have.
-pub const LONGEST_LEASE: Duration = Duration::from_secs(600);
+pub const MAX_LEASE: Duration = Duration::from_secs(600);
 
 /// The longest time for which a record may ask to be taken.
-pub const LONGEST_EXPIRY: Duration = Duration::from_secs(120);
+pub const MAX_RECORD_EXPIRY: Duration = Duration::from_secs(120);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -3,7 +3,7 @@
 use crate::{
     fold::Context,
     record::{Observation, Outcome, Reason, Seen},
-    state::{Fleet, Health, SPARE, Vm},
+    state::{Fleet, Health, SPARE_POOL, Vm},
 };
 use protocol::{PoolId, VmId};
 use settings::admits_hall;
@@ -118,14 +118,14 @@
         self.tree
             .pools()
             .filter(|pool| admits_hall(&self.tree, pool, hall))
-            .map(|pool| (self.asked(pool).saturating_sub(self.expected(pool)), pool))
+            .map(|pool| (self.desired(pool).saturating_sub(self.expected(pool)), pool))
             .filter(|(lack, _)| *lack > 0)
             .max_by_key(|(lack, pool)| (*lack, Reverse(*pool)))
-            .map_or_else(|| SPARE.to_owned(), |(_, pool)| pool.clone())
+            .map_or_else(|| SPARE_POOL.to_owned(), |(_, pool)| pool.clone())
     }
 
     /// Returns the number of VMs that a pool asks for.
-    pub fn asked(&self, pool: &str) -> u32 {
+    pub fn desired(&self, pool: &str) -> u32 {
         self.tree
             .nodes
             .get(pool)
@@ -151,7 +151,7 @@
             .iter()
             .filter(|(_, count)| count.gone > 0)
             .map(|(pool, _)| pool.clone())
-            .filter(|pool| self.present(pool) >= self.asked(pool))
+            .filter(|pool| self.present(pool) >= self.desired(pool))
             .collect();
         for pool in replaced {
             for vm in self.gone_vms(&pool) {
--- a/crates/fleet/src/moves.rs
+++ b/crates/fleet/src/moves.rs
@@ -1,8 +1,8 @@
 //! Moves between pools: the fewest that reach the asked-for sizes, never below a budget.
 
 use crate::{
-    record::Errand,
-    state::{Fleet, SPARE, Step, Vm},
+    record::GrantPurpose,
+    state::{Fleet, SPARE_POOL, Step, Vm},
 };
 use protocol::{Offset, PoolId, VmId};
 use settings::admits_hall;
@@ -10,22 +10,22 @@
 
 /// A VM that should be taken out of service, and what for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct ProposedGrant {
     /// The VM.
     pub vm: VmId,
     /// Its version that the wish is based on.
     pub base: Offset,
     /// What for.
-    pub errand: Errand,
+    pub purpose: GrantPurpose,
 }
 
 /// Room in the budgets, used up as a plan grows.
-pub struct Room<'f> {
+pub struct BudgetHeadroom<'f> {
     fleet: &'f Fleet,
     left: BTreeMap<&'f str, u32>,
 }
 
-impl<'f> Room<'f> {
+impl<'f> BudgetHeadroom<'f> {
     /// Begins with the room that the fleet has.
     pub fn new(fleet: &'f Fleet) -> Self {
         Self {
@@ -40,7 +40,7 @@
         let left = self
             .left
             .entry(&vm.pool)
-            .or_insert_with(|| fleet.room(&vm.pool).unwrap_or_default());
+            .or_insert_with(|| fleet.headroom(&vm.pool).unwrap_or_default());
         match left.checked_sub(vm.slots) {
             Some(rest) => {
                 *left = rest;
@@ -68,16 +68,16 @@
             .grants()
             .filter(|(_, _, grant)| grant.step != Step::Returning)
         {
-            match &grant.errand {
-                Errand::Move { .. } | Errand::Release => lower(&mut will, &vm.pool),
-                Errand::Reboot | Errand::Drain => {}
+            match &grant.purpose {
+                GrantPurpose::Move { .. } | GrantPurpose::Release => lower(&mut will, &vm.pool),
+                GrantPurpose::Reboot | GrantPurpose::Drain => {}
             }
         }
         Self { will }
     }
 
     fn lack(&self, fleet: &Fleet, pool: &str) -> u32 {
-        fleet.asked(pool).saturating_sub(self.will[pool])
+        fleet.desired(pool).saturating_sub(self.will[pool])
     }
 
     fn has_surplus(&self, fleet: &Fleet) -> bool {
@@ -88,7 +88,7 @@
     /// VMs that a pool has over what it asks for; a pool that asks for nothing keeps its VMs.
     fn surplus(&self, fleet: &Fleet, pool: &str) -> u32 {
         let will = self.will.get(pool).copied().unwrap_or_default();
-        if pool == SPARE {
+        if pool == SPARE_POOL {
             return will;
         }
         let asked = fleet.tree.nodes.get(pool).and_then(|node| node.vms);
@@ -112,7 +112,7 @@
 /// A VM goes straight from a pool with too many to one with too few. Pools that admit the fewest
 /// halls choose first, spare VMs go before those of other pools, and a hall where the pool has
 /// the fewest VMs goes before one where it has many.
-pub fn next_moves<'f>(fleet: &'f Fleet, room: &mut Room<'f>) -> Vec<Wanted> {
+pub fn next_moves<'f>(fleet: &'f Fleet, headroom: &mut BudgetHeadroom<'f>) -> Vec<ProposedGrant> {
     let mut sizes = Sizes::new(fleet);
     if !sizes.has_surplus(fleet) {
         return Vec::new();
@@ -126,17 +126,17 @@
             let next = candidates
                 .into_iter()
                 .filter(|(id, _)| !taken.contains(id))
-                .find(|(_, vm)| room.take(vm));
+                .find(|(_, vm)| headroom.take(vm));
             let Some((id, vm)) = next else {
                 break;
             };
             taken.push(id);
             *spread.entry(&vm.hall).or_default() += 1;
             shift(&mut sizes.will, &vm.pool, pool);
-            wanted.push(Wanted {
+            wanted.push(ProposedGrant {
                 vm: id.clone(),
                 base: vm.version,
-                errand: Errand::Move { to: pool.clone() },
+                purpose: GrantPurpose::Move { to: pool.clone() },
             });
         }
     }
@@ -144,7 +144,7 @@
 }
 
 /// Returns the least number of moves that reaches the asked-for sizes as far as VMs allow.
-pub fn least_moves(fleet: &Fleet) -> u32 {
+pub fn min_moves(fleet: &Fleet) -> u32 {
     let sizes = Sizes::new(fleet);
     let lack: u32 = fleet.tree.pools().map(|pool| sizes.lack(fleet, pool)).sum();
     let surplus: u32 = sizes
@@ -196,7 +196,7 @@
         .collect();
     found.sort_by_key(|(id, vm)| {
         let in_hall = spread.get(vm.hall.as_str()).copied().unwrap_or_default();
-        (vm.pool != SPARE, in_hall, &vm.pool, *id)
+        (vm.pool != SPARE_POOL, in_hall, &vm.pool, *id)
     });
     found
 }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -1,9 +1,9 @@
 //! What an entry should propose and do next, from the agreed state and what it sees itself.
 
 use crate::{
-    CLOCK_SKEW,
-    moves::{Room, Wanted, next_moves},
-    record::{Change, Errand, GrantRequest, LeaseRequest, WaveChange},
+    MAX_CLOCK_SKEW,
+    moves::{BudgetHeadroom, ProposedGrant, next_moves},
+    record::{Change, GrantPurpose, GrantRequest, LeaseRequest, WaveChange},
     state::{Fleet, Grant, Health, Step, Vm, WaveState},
     wave::{next_reboots, progress},
 };
@@ -59,7 +59,7 @@
     fleet
         .grants()
         .filter(|(_, _, grant)| grant.has_lease())
-        .filter(|(_, _, grant)| view.now > grant.deadline + CLOCK_SKEW)
+        .filter(|(_, _, grant)| view.now > grant.deadline + MAX_CLOCK_SKEW)
         .filter(|(id, vm, _)| view.holder(id, vm).as_deref() == Some(view.entry))
         .map(|(id, _, grant)| {
             Change::Lease(LeaseRequest {
@@ -77,7 +77,7 @@
     let mut excess: BTreeMap<&PoolId, u32> = fleet
         .counts
         .keys()
-        .filter_map(|pool| Some((pool, fleet.room(pool).err()?)))
+        .filter_map(|pool| Some((pool, fleet.headroom(pool).err()?)))
         .collect();
     if excess.is_empty() {
         return Vec::new();
@@ -92,7 +92,7 @@
         }
         if grant.step == Step::Returning {
             *over = over.saturating_sub(vm.slots);
-        } else if grant.step == Step::Draining && grant.errand != Errand::Drain {
+        } else if grant.step == Step::Draining && grant.purpose != GrantPurpose::Drain {
             *over = over.saturating_sub(vm.slots);
             changes.push(Change::Undo {
                 vm: id.clone(),
@@ -105,11 +105,11 @@
 
 /// New grants for moves and waves, as the budgets allow.
 fn grants(fleet: &Fleet, view: &View<'_>) -> Vec<Change> {
-    let mut room = Room::new(fleet);
-    let moves = next_moves(fleet, &mut room);
+    let mut headroom = BudgetHeadroom::new(fleet);
+    let moves = next_moves(fleet, &mut headroom);
     let moving: Vec<_> = moves.iter().map(|wanted| wanted.vm.clone()).collect();
     let mut wanted = moves;
-    let reboots = next_reboots(fleet, &mut room);
+    let reboots = next_reboots(fleet, &mut headroom);
     wanted.extend(
         reboots
             .into_iter()
@@ -123,12 +123,12 @@
         .collect()
 }
 
-fn request(fleet: &Fleet, view: &View<'_>, wanted: Wanted) -> Option<GrantRequest> {
+fn request(fleet: &Fleet, view: &View<'_>, wanted: ProposedGrant) -> Option<GrantRequest> {
     let holder = view.holder(&wanted.vm, &fleet.vms[&wanted.vm])?;
     Some(GrantRequest {
         vm: wanted.vm,
         base: wanted.base,
-        errand: wanted.errand,
+        purpose: wanted.purpose,
         holder,
         deadline: view.now + view.lease,
     })
@@ -229,7 +229,7 @@
         return Action::Drain;
     }
     let idle = sight.running == 0;
-    if grant.errand == Errand::Drain || !idle || is_short(fleet, vm, unseen) {
+    if grant.purpose == GrantPurpose::Drain || !idle || is_short(fleet, vm, unseen) {
         return Action::Wait;
     }
     Action::Begin
@@ -237,39 +237,41 @@
 
 fn without_vm(grant: &Grant) -> Action {
     match grant.step {
-        Step::Begun if grant.errand == Errand::Release => Action::Finish(grant.boot),
+        Step::Begun if grant.purpose == GrantPurpose::Release => Action::Finish(grant.boot),
         Step::Returning => Action::Finish(grant.boot),
         Step::Begun | Step::Draining => Action::Wait,
     }
 }
 
 fn after_begin(grant: &Grant, sight: &Sight) -> Action {
-    match &grant.errand {
+    match &grant.purpose {
         // A VM that is not up is on its way; a second call could only hit the boot after that.
-        Errand::Reboot if !sight.up => Action::Wait,
-        Errand::Reboot if sight.boot == grant.boot => Action::Reboot(grant.boot),
-        Errand::Reboot => Action::Finish(sight.boot),
-        Errand::Release => Action::Release,
-        Errand::Move { to } if sight.pool != *to => Action::Assign(to.clone()),
-        Errand::Move { .. } => Action::Finish(sight.boot),
-        Errand::Drain => Action::Wait,
+        GrantPurpose::Reboot if !sight.up => Action::Wait,
+        GrantPurpose::Reboot if sight.boot == grant.boot => Action::Reboot(grant.boot),
+        GrantPurpose::Reboot => Action::Finish(sight.boot),
+        GrantPurpose::Release => Action::Release,
+        GrantPurpose::Move { to } if sight.pool != *to => Action::Assign(to.clone()),
+        GrantPurpose::Move { .. } => Action::Finish(sight.boot),
+        GrantPurpose::Drain => Action::Wait,
     }
 }
 
 /// Tells whether failures that are not in the log yet would put the pool over its budget.
 fn is_short(fleet: &Fleet, vm: &Vm, unseen: u32) -> bool {
-    fleet.room(&vm.pool).map_or(true, |room| room < unseen)
+    fleet
+        .headroom(&vm.pool)
+        .map_or(true, |headroom| headroom < unseen)
 }
 
 impl Grant {
     /// Tells whether only the holder may act, and only until its deadline. Ending a drain does no
     /// harm whoever does it, and an operator's drain lasts until an operator says otherwise.
     pub fn has_lease(&self) -> bool {
-        self.errand != Errand::Drain && self.step != Step::Returning
+        self.purpose != GrantPurpose::Drain && self.step != Step::Returning
     }
 }
 
 /// Returns the token for a call that needs no grant, such as the end of a drain.
-pub fn free_token(vm: &Vm) -> Offset {
+pub fn token_without_grant(vm: &Vm) -> Offset {
     vm.version
 }
--- a/crates/fleet/src/publish.rs
+++ b/crates/fleet/src/publish.rs
@@ -3,7 +3,7 @@
 use crate::{
     fold::Context,
     record::{Outcome, PathChange, Reason},
-    state::{Fleet, Mark},
+    state::{Fleet, RecordOrigin},
 };
 use settings::Tree;
 
@@ -19,7 +19,7 @@
         }
         self.tree = wanted;
         for change in changes {
-            let mark = Mark {
+            let mark = RecordOrigin {
                 offset: context.offset,
                 by: context.by.clone(),
                 at: context.at,
@@ -70,7 +70,7 @@
             .iter()
             .filter(|(_, count)| count.vms > 0)
             .map(|(pool, _)| pool)
-            .find(|pool| pool.as_str() != crate::SPARE && !tree.nodes.contains_key(*pool))?;
+            .find(|pool| pool.as_str() != crate::SPARE_POOL && !tree.nodes.contains_key(*pool))?;
         Some(Reason::PoolInUse { pool: pool.clone() })
     }
 }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -111,7 +111,7 @@
 /// What a VM is taken out of service for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Errand {
+pub enum GrantPurpose {
     /// Maintenance: a reboot.
     Reboot,
     /// Handing the VM back.
@@ -133,7 +133,8 @@
     /// The VM's version that the wish is based on.
     pub base: Offset,
     /// What for.
-    pub errand: Errand,
+    #[serde(rename = "errand")]
+    pub purpose: GrantPurpose,
     /// The entry that will carry it out.
     pub holder: EntryId,
     /// When the holder's lease ends.
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,8 +1,8 @@
 //! The state that the fold keeps.
 
 use crate::{
-    budget::Count,
-    record::{Errand, Outcome},
+    budget::PoolCount,
+    record::{GrantPurpose, Outcome},
 };
 use protocol::{EntryId, HallId, Offset, PoolId, RackId, RecordId, VmId};
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 };
 
 /// The pool of VMs that no other pool asks for; it has no services.
-pub const SPARE: &str = "spare";
+pub const SPARE_POOL: &str = "spare";
 
 /// A wave's id: the offset of the record that started it.
 pub type WaveId = Offset;
@@ -29,17 +29,17 @@
     /// The settings.
     pub tree: Tree,
     /// Version of each path of the settings, also of removed ones.
-    pub versions: BTreeMap<Path, Mark>,
+    pub versions: BTreeMap<Path, RecordOrigin>,
     /// The VMs.
     pub vms: BTreeMap<VmId, Vm>,
     /// Slots by pool, kept in step with `vms`.
-    pub counts: BTreeMap<PoolId, Count>,
+    pub counts: BTreeMap<PoolId, PoolCount>,
     /// VMs that have a grant, kept in step with `vms`: a few of many.
     pub granted: BTreeSet<VmId>,
     /// The waves, also those that have ended lately.
     pub waves: BTreeMap<WaveId, Wave>,
     /// Records that a second copy may still follow, with when that ends and what was decided.
-    pub recent: BTreeMap<RecordId, Mark>,
+    pub recent: BTreeMap<RecordId, RecordOrigin>,
     /// The same ids by the end of their time.
     pub expiring: BTreeMap<(SystemTime, RecordId), ()>,
     /// What was decided about each recent record.
@@ -76,7 +76,7 @@
 
 /// Which record did something, and who appended it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct RecordOrigin {
     /// The record's offset.
     pub offset: Offset,
     /// Who appended it.
@@ -137,7 +137,8 @@
     /// The offset of the grant: its id.
     pub id: Offset,
     /// What for.
-    pub errand: Errand,
+    #[serde(rename = "errand")]
+    pub purpose: GrantPurpose,
     /// The entry that carries it out.
     pub holder: EntryId,
     /// When the holder's lease ends.
--- a/crates/fleet/src/wave.rs
+++ b/crates/fleet/src/wave.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     fold::Context,
-    moves::{Room, Wanted},
-    record::{Errand, Outcome, Reason, WaveChange},
+    moves::{BudgetHeadroom, ProposedGrant},
+    record::{GrantPurpose, Outcome, Reason, WaveChange},
     state::{Fleet, Health, Vm, Wave, WaveId, WaveState},
 };
 use protocol::{RackId, VmId};
@@ -54,7 +54,7 @@
 /// VMs are taken rack by rack, so that a rack that is lost in the middle of a wave hits VMs that
 /// are charged already; within a rack the largest come first, so that small ones fill what is
 /// left of a budget at the end.
-pub fn next_reboots<'f>(fleet: &'f Fleet, room: &mut Room<'f>) -> Vec<Wanted> {
+pub fn next_reboots<'f>(fleet: &'f Fleet, headroom: &mut BudgetHeadroom<'f>) -> Vec<ProposedGrant> {
     let waves: Vec<&Wave> = fleet
         .waves
         .values()
@@ -76,11 +76,11 @@
     });
     waiting
         .into_iter()
-        .filter(|(_, vm)| room.take(vm))
-        .map(|(id, vm)| Wanted {
+        .filter(|(_, vm)| headroom.take(vm))
+        .map(|(id, vm)| ProposedGrant {
             vm: id.clone(),
             base: vm.version,
-            errand: Errand::Reboot,
+            purpose: GrantPurpose::Reboot,
         })
         .collect()
 }
--- a/crates/fleet/tests/bench/mod.rs
+++ b/crates/fleet/tests/bench/mod.rs
@@ -8,8 +8,8 @@
 )]
 
 use havenladder_fleet::{
-    Change, Errand, Fleet, GrantRequest, Observation, Outcome, PathChange, Reason, Record, Seen,
-    View, plan,
+    Change, Fleet, GrantPurpose, GrantRequest, Observation, Outcome, PathChange, Reason, Record,
+    Seen, View, plan,
 };
 use protocol::{LogRecord, RecordId, encode};
 use settings::read_tree;
@@ -105,11 +105,11 @@
         self.apply(&record)
     }
 
-    pub fn grant(&mut self, vm: &str, errand: Errand) -> Outcome {
+    pub fn grant(&mut self, vm: &str, purpose: GrantPurpose) -> Outcome {
         let request = GrantRequest {
             vm: vm.into(),
             base: self.fleet.vms[vm].version,
-            errand,
+            purpose,
             holder: "holder".into(),
             deadline: self.at + Duration::from_secs(20),
         };
--- a/crates/fleet/tests/fold.rs
+++ b/crates/fleet/tests/fold.rs
@@ -6,8 +6,8 @@
 
 use bench::{Bench, SETTINGS, rejected};
 use havenladder_fleet::{
-    Change, Errand, Fleet, LeaseRequest, Outcome, PathChange, Reason, Room, Seen, WaveChange,
-    assemble, chunks, decode_snapshot, encode_snapshot, next_reboots,
+    BudgetHeadroom, Change, Fleet, GrantPurpose, LeaseRequest, Outcome, PathChange, Reason, Seen,
+    WaveChange, assemble, chunks, decode_snapshot, encode_snapshot, next_reboots,
 };
 use protocol::{LogRecord, RecordId, decode, encode};
 use std::time::{Duration, UNIX_EPOCH};
@@ -93,8 +93,8 @@
         .filter(|(_, vm)| vm.pool == "place/one")
         .map(|(id, _)| id.clone())
         .collect();
-    assert_eq!(bench.grant(&one[0], Errand::Reboot), Outcome::Applied);
-    let outcome = bench.grant(&one[1], Errand::Reboot);
+    assert_eq!(bench.grant(&one[0], GrantPurpose::Reboot), Outcome::Applied);
+    let outcome = bench.grant(&one[1], GrantPurpose::Reboot);
     assert!(matches!(
         rejected(&outcome),
         Reason::OverBudget {
@@ -108,7 +108,7 @@
         grant: bench.id(&one[0]),
     };
     assert_eq!(bench.tell(undo), Outcome::Applied);
-    let outcome = bench.grant(&one[1], Errand::Reboot);
+    let outcome = bench.grant(&one[1], GrantPurpose::Reboot);
     assert!(
         matches!(rejected(&outcome), Reason::OverBudget { .. }),
         "still returning"
@@ -121,7 +121,7 @@
     assert_eq!(bench.tell(finish), Outcome::Applied);
     let down = bench.saw(&one[2], Seen::Down);
     assert_eq!(bench.tell(Change::Observe(vec![down])), Outcome::Applied);
-    let outcome = bench.grant(&one[1], Errand::Reboot);
+    let outcome = bench.grant(&one[1], GrantPurpose::Reboot);
     assert!(
         matches!(rejected(&outcome), Reason::OverBudget { .. }),
         "one is down"
@@ -131,7 +131,7 @@
 #[test]
 fn a_lease_is_taken_over_only_after_its_deadline_and_the_skew() {
     let mut bench = Bench::new(8);
-    bench.grant("vm-0", Errand::Reboot);
+    bench.grant("vm-0", GrantPurpose::Reboot);
     let lease = |bench: &Bench| {
         Change::Lease(LeaseRequest {
             vm: "vm-0".into(),
@@ -159,7 +159,7 @@
 #[test]
 fn what_has_begun_cannot_be_undone_and_ends_on_evidence_only() {
     let mut bench = Bench::new(8);
-    bench.grant("vm-0", Errand::Reboot);
+    bench.grant("vm-0", GrantPurpose::Reboot);
     let grant = bench.id("vm-0");
     let finish = |boot| Change::Finish {
         vm: "vm-0".into(),
@@ -208,13 +208,13 @@
     bench.tell(Change::Wave(WaveChange::Start {
         scope: "place".into(),
     }));
-    let wanted = next_reboots(&bench.fleet, &mut Room::new(&bench.fleet));
+    let wanted = next_reboots(&bench.fleet, &mut BudgetHeadroom::new(&bench.fleet));
     assert_eq!(wanted.len(), 2, "one VM of each pool");
     bench.at += Duration::from_secs(1);
     let restarted = wanted[0].vm.clone();
     let seen = bench.up(&restarted, 2);
     bench.tell(Change::Observe(vec![seen]));
-    let wanted = next_reboots(&bench.fleet, &mut Room::new(&bench.fleet));
+    let wanted = next_reboots(&bench.fleet, &mut BudgetHeadroom::new(&bench.fleet));
     assert!(wanted.iter().all(|wanted| wanted.vm != restarted));
 }
 
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -6,7 +6,7 @@
 
 use bench::{Bench, SETTINGS, rejected};
 use havenladder_fleet::{
-    Change, Errand, Health, Outcome, Reason, Room, Seen, least_moves, next_moves,
+    BudgetHeadroom, Change, GrantPurpose, Health, Outcome, Reason, Seen, min_moves, next_moves,
 };
 
 #[test]
@@ -58,8 +58,8 @@
             .replacen("\"vms\": 4", "\"vms\": 6", 1)
             .replacen("\"vms\": 4", "\"vms\": 3", 1);
     bench.publish(&sizes);
-    assert_eq!(least_moves(&bench.fleet), 2);
-    let moves = next_moves(&bench.fleet, &mut Room::new(&bench.fleet));
+    assert_eq!(min_moves(&bench.fleet), 2);
+    let moves = next_moves(&bench.fleet, &mut BudgetHeadroom::new(&bench.fleet));
     assert_eq!(moves.len(), 2);
     assert_eq!(
         bench.fleet.vms[&moves[0].vm].pool, "spare",
@@ -71,7 +71,7 @@
 fn planners_that_do_not_know_of_each_other_move_no_more_than_is_lacking() {
     let mut bench = Bench::new(10);
     bench.publish(&SETTINGS.replacen("\"vms\": 4", "\"vms\": 5", 1));
-    let to = Errand::Move {
+    let to = GrantPurpose::Move {
         to: "place/one".into(),
     };
     let spares: Vec<String> = bench
@@ -101,7 +101,7 @@
         .unwrap()
         .0
         .clone();
-    let to = Errand::Move {
+    let to = GrantPurpose::Move {
         to: "place/one".into(),
     };
     assert_eq!(bench.grant(&spare, to), Outcome::Applied);
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -5,8 +5,8 @@
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
 use havenladder_fleet::{
-    Change, Errand, Fleet, Health, Observation, PathChange, Record, Room, Seen, Step, View,
-    WaveChange, WaveState, holds, least_moves, plan,
+    BudgetHeadroom, Change, Fleet, GrantPurpose, Health, Observation, PathChange, Record, Seen,
+    Step, View, WaveChange, WaveState, min_moves, plan, tightest_budget,
 };
 use protocol::{EntryId, HallId, LogRecord, RecordId, encode};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -155,15 +155,15 @@
     /// Lets time pass and carries out what was granted.
     fn pass(&mut self, faults: Faults) {
         self.now += TICK;
-        let granted: Vec<(String, u64, Step, u64, Errand)> = self
+        let granted: Vec<(String, u64, Step, u64, GrantPurpose)> = self
             .fleet
             .vms
             .iter()
             .filter_map(|(id, vm)| Some((id.clone(), vm.boot, vm.grant.clone()?)))
-            .map(|(id, boot, grant)| (id, grant.id, grant.step, boot, grant.errand))
+            .map(|(id, boot, grant)| (id, grant.id, grant.step, boot, grant.purpose))
             .collect();
         let mut changes = Vec::new();
-        for (vm, grant, step, boot, errand) in granted {
+        for (vm, grant, step, boot, purpose) in granted {
             match (step, self.back.get(&vm)) {
                 (Step::Returning, _) => changes.push(Change::Finish { vm, grant, boot }),
                 (_, None) => {
@@ -178,7 +178,7 @@
                 }
                 (_, Some(back)) if *back <= self.now => {
                     self.back.remove(&vm);
-                    let boot = if errand == Errand::Reboot {
+                    let boot = if purpose == GrantPurpose::Reboot {
                         boot + 1
                     } else {
                         boot
@@ -246,7 +246,7 @@
     /// The largest, over pools, of the rounds that the budget demands, times the time of one VM.
     fn bound(&self) -> Duration {
         let rounds = self.fleet.counts.iter().filter_map(|(pool, count)| {
-            let at_once = holds(&self.fleet, pool)?.budget / 8;
+            let at_once = tightest_budget(&self.fleet, pool)?.budget / 8;
             Some(count.vms.div_ceil(at_once.max(1)))
         });
         ONE_VM * rounds.max().unwrap()
@@ -301,7 +301,7 @@
         .replace("\"vms\": 12", "\"vms\": 9")
         .replace("\"vms\": 8,", "\"vms\": 11,");
     run.publish(&wanted);
-    let least = least_moves(&run.fleet);
+    let least = min_moves(&run.fleet);
     let before: BTreeMap<String, String> = pools(&run.fleet);
     for _ in 0..20_000 {
         run.plan(Way::Planner);
@@ -314,7 +314,7 @@
     println!("moves {moved}, the least possible {least}");
     assert_eq!(moved as u32, least);
     assert_eq!(run.fleet.count("aotearoa/orders").vms, 11);
-    assert!(Room::new(&run.fleet).take(run.fleet.vms.values().next().unwrap()));
+    assert!(BudgetHeadroom::new(&run.fleet).take(run.fleet.vms.values().next().unwrap()));
 }
 
 fn pools(fleet: &Fleet) -> BTreeMap<String, String> {
--- a/crates/fleet/tests/world/calls.rs
+++ b/crates/fleet/tests/world/calls.rs
@@ -2,7 +2,7 @@
 
 use super::{Call, LEASE, World, view};
 use havenladder_fleet::{
-    Action, Change, Evidence, Grant, LeaseRequest, Sight, Vm, free_token, next_action,
+    Action, Change, Evidence, Grant, LeaseRequest, Sight, Vm, next_action, token_without_grant,
 };
 use rand::{Rng, seq::IndexedRandom};
 
@@ -48,7 +48,7 @@
             .vms
             .iter()
             .filter(|(_, vm)| vm.grant.is_none())
-            .map(|(id, vm)| (id.clone(), free_token(vm), vm.pool.clone()))
+            .map(|(id, vm)| (id.clone(), token_without_grant(vm), vm.pool.clone()))
             .collect();
         let Some((id, token, pool)) = strays.choose(&mut self.rng) else {
             return;
--- a/crates/fleet/tests/world/duties.rs
+++ b/crates/fleet/tests/world/duties.rs
@@ -1,7 +1,7 @@
 //! What entries see of the VMs, and what operators ask for.
 
 use super::{LEASE, World};
-use havenladder_fleet::{Change, Errand, GrantRequest, Observation, Seen, Vm, WaveChange};
+use havenladder_fleet::{Change, GrantPurpose, GrantRequest, Observation, Seen, Vm, WaveChange};
 use rand::{Rng, seq::IndexedRandom};
 
 impl World {
@@ -63,7 +63,7 @@
             }
             4 => Change::Grant(GrantRequest {
                 base: vm.version,
-                errand: Errand::Move {
+                purpose: GrantPurpose::Move {
                     to: "place/two".into(),
                 },
                 holder: format!("entry-{}", self.rng.random_range(0..4)),
@@ -72,7 +72,7 @@
             }),
             _ => Change::Grant(GrantRequest {
                 base: vm.version,
-                errand: Errand::Drain,
+                purpose: GrantPurpose::Drain,
                 holder: "entry-0".into(),
                 deadline: self.now + LEASE,
                 vm: id,
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -8,7 +8,7 @@
 pub use machines::Machine;
 
 use havenladder_fleet::{
-    Action, Change, Errand, Fleet, Grant, Health, Outcome, PathChange, Record, View, Vm,
+    Action, Change, Fleet, Grant, GrantPurpose, Health, Outcome, PathChange, Record, View, Vm,
     WaveChange, plan,
 };
 use protocol::{EntryId, HallId, LogRecord, RecordId, encode};
@@ -250,7 +250,7 @@
             .vms
             .iter()
             .filter_map(|(id, vm)| Some((id, vm.grant.as_ref()?)))
-            .filter(|(_, grant)| grant.errand == Errand::Drain)
+            .filter(|(_, grant)| grant.purpose == GrantPurpose::Drain)
             .map(|(id, grant)| Change::Undo {
                 vm: id.clone(),
                 grant: grant.id,
--- a/crates/havenladder/src/commands/vm.rs
+++ b/crates/havenladder/src/commands/vm.rs
@@ -5,21 +5,21 @@
     cli::VmCommand,
     operate::{Order, StateReply},
 };
-use fleet::{Errand, Vm};
+use fleet::{GrantPurpose, Vm};
 
 /// Runs one of the commands about VMs.
 pub fn vm(setup: &Setup<'_>, command: VmCommand) -> Result<(), CommandError> {
     match command {
         VmCommand::List => list(setup),
-        VmCommand::Drain { vm } => errand(setup, vm, Errand::Drain),
-        VmCommand::Release { vm } => errand(setup, vm, Errand::Release),
-        VmCommand::Move { vm, pool } => errand(setup, vm, Errand::Move { to: pool }),
+        VmCommand::Drain { vm } => errand(setup, vm, GrantPurpose::Drain),
+        VmCommand::Release { vm } => errand(setup, vm, GrantPurpose::Release),
+        VmCommand::Move { vm, pool } => errand(setup, vm, GrantPurpose::Move { to: pool }),
         VmCommand::Undrain { vm } => change(setup, &Order::Undo { vm }),
         VmCommand::Forget { vm } => change(setup, &Order::Forget { vm }),
     }
 }
 
-fn errand(setup: &Setup<'_>, vm: String, errand: Errand) -> Result<(), CommandError> {
+fn errand(setup: &Setup<'_>, vm: String, errand: GrantPurpose) -> Result<(), CommandError> {
     change(setup, &Order::Errand { vm, errand })
 }
 
@@ -58,6 +58,6 @@
     let health = format!("{:?}", vm.health).to_lowercase();
     match &vm.grant {
         None => health,
-        Some(grant) => format!("{health}, {} for {:?}", grant.step, grant.errand),
+        Some(grant) => format!("{health}, {} for {:?}", grant.step, grant.purpose),
     }
 }
--- a/crates/havenladder/src/configs/steward.rs
+++ b/crates/havenladder/src/configs/steward.rs
@@ -31,8 +31,8 @@
             interval: millis(fields, "interval_ms", default.interval),
             lease: millis(fields, "lease_ms", default.lease),
         };
-        if config.lease > fleet::LONGEST_LEASE {
-            let most = fleet::LONGEST_LEASE.as_millis();
+        if config.lease > fleet::MAX_LEASE {
+            let most = fleet::MAX_LEASE.as_millis();
             fields.report("lease_ms", format!("must be at most {most}"));
         }
         config
--- a/crates/havenladder/src/duties/operators.rs
+++ b/crates/havenladder/src/duties/operators.rs
@@ -231,7 +231,7 @@
             };
             Ok(Change::Grant(GrantRequest {
                 base: known.version,
-                errand,
+                purpose: errand,
                 holder,
                 deadline: view.now + view.lease,
                 vm,
--- a/crates/havenladder/src/duties/steward/strays.rs
+++ b/crates/havenladder/src/duties/steward/strays.rs
@@ -2,7 +2,7 @@
 
 use super::view;
 use crate::context::Context;
-use fleet::{Vm, free_token};
+use fleet::{Vm, token_without_grant};
 use platform::{CallError, VmCall, VmInfo, Vms};
 use protocol::{EntryId, HallId, VmId};
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
     if !is_stray(&info, vm) {
         return;
     }
-    let (token, pool) = (free_token(vm), vm.pool.clone());
+    let (token, pool) = (token_without_grant(vm), vm.pool.clone());
     match ctx.platform.call(id, &VmCall::Assign { token, pool }) {
         Ok(()) => tracing::info!(
             vm = id,
--- a/crates/havenladder/src/explain.rs
+++ b/crates/havenladder/src/explain.rs
@@ -2,7 +2,7 @@
 //! a request.
 
 use crate::{context::Context, operate::Explanation, sync::lock};
-use fleet::{Fleet, Health, Vm, holds};
+use fleet::{Fleet, Health, Vm, tightest_budget};
 use settings::{nearest, sources};
 
 /// Explains a VM, a pool, a service or a request; `None` if nothing bears that name.
@@ -52,7 +52,7 @@
         let step = grant.step;
         lines.push(format!(
             "out of service by grant {} for {:?}, {step}, held by {}",
-            grant.id, grant.errand, grant.holder
+            grant.id, grant.purpose, grant.holder
         ));
         return lines;
     }
@@ -60,7 +60,7 @@
         None => format!("{id} may be taken out of service now"),
         Some(reason) => format!("{id} may not be taken out of service now: {reason}"),
     });
-    if let Some(hold) = holds(fleet, &vm.pool) {
+    if let Some(hold) = tightest_budget(fleet, &vm.pool) {
         let source = sources(&fleet.tree, &hold.service)
             .into_iter()
             .find(|source| source.key == settings::Key::Unavailable);
@@ -104,10 +104,10 @@
             count.vms,
             count.slots,
             count.unavailable,
-            fleet.asked(pool)
+            fleet.desired(pool)
         ));
     }
-    if let Some(hold) = holds(fleet, pool) {
+    if let Some(hold) = tightest_budget(fleet, pool) {
         lines.push(format!(
             "the pool's tightest budget is {} slots, of {}",
             hold.budget, hold.service
--- a/crates/havenladder/src/operate.rs
+++ b/crates/havenladder/src/operate.rs
@@ -1,6 +1,9 @@
 //! What operators and entries say to each other, in JSON.
 
-use fleet::{Count, Errand, Mark, Outcome, PathChange, Progress, Vm, Wave, WaveChange, WaveId};
+use fleet::{
+    GrantPurpose, Outcome, PathChange, PoolCount, Progress, RecordOrigin, Vm, Wave, WaveChange,
+    WaveId,
+};
 use protocol::{BurnCell, EntryId, HallId, Offset, PoolId, ServiceId, VmId};
 use serde::{Deserialize, Serialize};
 use settings::{Path, Source, Tree};
@@ -18,7 +21,7 @@
         /// The VM.
         vm: VmId,
         /// What for.
-        errand: Errand,
+        errand: GrantPurpose,
     },
     /// Put a VM back into service.
     Undo {
@@ -53,11 +56,11 @@
     /// The settings.
     pub tree: Tree,
     /// Who changed each path last.
-    pub versions: BTreeMap<Path, Mark>,
+    pub versions: BTreeMap<Path, RecordOrigin>,
     /// The VMs.
     pub vms: BTreeMap<VmId, Vm>,
     /// Slots by pool.
-    pub counts: BTreeMap<PoolId, Count>,
+    pub counts: BTreeMap<PoolId, PoolCount>,
     /// The waves.
     pub waves: BTreeMap<WaveId, WaveReply>,
 }
