--- a/crates/fleet/src/tenure.rs
+++ b/crates/fleet/src/election.rs
@@ -11,28 +11,28 @@
 pub type MilliCpu = u64;
 
 /// How long the log must have been without a renewal before another entry claims the cell.
-pub const EXPIRY: Duration = Duration::from_millis(1_500);
+pub const LEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// The same for an owner that does not answer the entry that claims either, asked twice. Two renewals fit into
 /// it, so that one may be lost; an owner whose store is slow answers meanwhile.
-pub const SILENT_EXPIRY: Duration = Duration::from_millis(900);
+pub const SILENT_OWNER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The same for an owner that answers the entry that claims. Where the store turns it away, it gives the cell up by itself,
 /// within half a second; where the store is away for all, it goes on, and its first renewal after the return must be read
 /// before anybody claims. An entry does not see when that was: a read of up to 1.7 s may have begun before. An owner that was
 /// replaced at the return left its successor 3.7 s of waits for what it might have started.
-pub const ANSWERING_EXPIRY: Duration = Duration::from_millis(2_500);
+pub const ANSWERING_OWNER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// How much later an entry claims that knows of a much stronger one. The strong one sees the vacancy at
 /// about the same time and needs one append, 10 ms; a slow answer of the store takes 240 ms.
-pub const DEFERENCE: Duration = Duration::from_millis(300);
+pub const WEAKER_CLAIM_DELAY: Duration = Duration::from_millis(300);
 
 /// From how much more of a core on an entry counts as much stronger: a change of owner costs some 100 ms
 /// of decisions, which less than half as much again does not earn back.
-const STRONGER: f64 = 1.5;
+const MUCH_STRONGER_RATIO: f64 = 1.5;
 
 /// How long an owner is left in peace after the cell changed hands: it has met its workers by then.
-pub const SETTLED: Duration = Duration::from_millis(1_500);
+pub const MIN_OWNERSHIP_AGE: Duration = Duration::from_millis(1_500);
 
 /// What the newest record of the lease says, as one entry sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     /// The owner gave the cell up.
     Released,
     /// An earlier life of this entry.
-    EarlierLife,
+    EarlierIncarnation,
     /// An entry whose process has ended.
     Ended,
     /// Another entry, which does not answer this one, as far as it was asked.
@@ -67,12 +67,12 @@
 /// Whether an entry is so much stronger than another that it should own the cell in its place. Entries
 /// that do not know their part of a core, 0, outrank nobody.
 pub fn outranks(own: MilliCpu, other: MilliCpu) -> bool {
-    own > other && own as f64 >= other as f64 * STRONGER
+    own > other && own as f64 >= other as f64 * MUCH_STRONGER_RATIO
 }
 
 /// What one entry remembers of the owners of a cell.
 #[derive(Clone, Copy, Debug)]
-pub struct Tenure {
+pub struct Election {
     /// The entry's own part of a core.
     cpu: MilliCpu,
     /// The largest part of a core that the lease's records have named.
@@ -85,10 +85,10 @@
     vacant: Option<Instant>,
 }
 
-impl Tenure {
+impl Election {
     /// An entry that has read nothing yet.
     pub fn new(cpu: MilliCpu, now: Instant) -> Self {
-        Tenure {
+        Election {
             cpu,
             strongest: cpu,
             fresh: now,
@@ -98,40 +98,40 @@
     }
 
     /// A record was read, or one of this entry's own was taken by the log.
-    pub fn note_record(&mut self, cpu: MilliCpu, now: Instant) {
+    pub fn on_record(&mut self, cpu: MilliCpu, now: Instant) {
         self.fresh = now;
         self.vacant = None;
         self.strongest = self.strongest.max(cpu);
     }
 
     /// The owner is another one than before.
-    pub fn note_change(&mut self, now: Instant) {
+    pub fn on_owner_change(&mut self, now: Instant) {
         self.changed = now;
     }
 
     /// The store did not answer. The owner may not have reached it either: its time counts from the
     /// return, and nobody is asked to hand over meanwhile.
-    pub fn note_trouble(&mut self, now: Instant) {
+    pub fn on_store_trouble(&mut self, now: Instant) {
         self.fresh = now;
         self.changed = now;
     }
 
     /// What to do about the lease.
-    pub fn next(&mut self, holder: Holder, now: Instant) -> Claim {
+    pub fn next_claim(&mut self, holder: Holder, now: Instant) -> Claim {
         let lapsed = match holder {
             Holder::Unknown | Holder::Other => {
                 self.vacant = None;
-                self.fresh + EXPIRY
+                self.fresh + LEASE_TIMEOUT
             }
             Holder::Silent => {
                 self.vacant = None;
-                self.fresh + SILENT_EXPIRY
+                self.fresh + SILENT_OWNER_TIMEOUT
             }
             Holder::Answering => {
                 self.vacant = None;
-                self.fresh + ANSWERING_EXPIRY
+                self.fresh + ANSWERING_OWNER_TIMEOUT
             }
-            Holder::Nobody | Holder::Released | Holder::EarlierLife | Holder::Ended => {
+            Holder::Nobody | Holder::Released | Holder::EarlierIncarnation | Holder::Ended => {
                 *self.vacant.get_or_insert(now)
             }
         };
@@ -140,14 +140,14 @@
     }
 
     /// Whether an owner with so much of a core should be asked to hand the cell over to this entry.
-    pub fn should_ask(&self, owner: MilliCpu, now: Instant) -> bool {
-        outranks(self.cpu, owner) && now >= self.changed + SETTLED
+    pub fn should_request_handover(&self, owner: MilliCpu, now: Instant) -> bool {
+        outranks(self.cpu, owner) && now >= self.changed + MIN_OWNERSHIP_AGE
     }
 
     /// How much later than others this entry claims.
     fn deference(&self) -> Duration {
         if outranks(self.strongest, self.cpu) {
-            DEFERENCE
+            WEAKER_CLAIM_DELAY
         } else {
             Duration::ZERO
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,6 +8,7 @@
 mod backoff;
 mod bound;
 mod budget;
+mod election;
 mod feed;
 mod first_sent;
 mod fold;
@@ -23,7 +24,6 @@
 mod sizing;
 mod snapshot;
 mod state;
-mod tenure;
 mod unrecorded;
 mod wave;
 
@@ -31,6 +31,10 @@
 pub use backoff::Backoff;
 pub use bound::{Whereabouts, room_to_go};
 pub use budget::{PoolCount, TightestBudget, tightest_budget};
+pub use election::{
+    ANSWERING_OWNER_TIMEOUT, Claim, Election, Holder, LEASE_TIMEOUT, MIN_OWNERSHIP_AGE, MilliCpu,
+    SILENT_OWNER_TIMEOUT, WEAKER_CLAIM_DELAY, outranks,
+};
 pub use feed::{
     Address, Admission, FOLLOWERS, Followers, PLACE_EXPIRY, READERS, Readers, STALE, Seeker, Source,
 };
@@ -49,11 +53,7 @@
 pub use state::{
     Fleet, Grant, Health, RecordOrigin, SPARE_POOL, Step, Vm, Wave, WaveId, WaveState,
 };
-pub use tenure::{
-    ANSWERING_EXPIRY, Claim, DEFERENCE, EXPIRY, Holder, MilliCpu, SETTLED, SILENT_EXPIRY, Tenure,
-    outranks,
-};
-pub use unrecorded::{Stall, TROUBLE, Told, Trouble, trouble};
+pub use unrecorded::{STORE_TROUBLE_AGE, Stall, StoreTrouble, UnrecordedRuns, store_trouble};
 pub use wave::{Progress, next_reboots, progress};
 
 use std::time::Duration;
--- a/crates/fleet/src/reach.rs
+++ b/crates/fleet/src/reach.rs
@@ -5,7 +5,7 @@
 //! or is on this side and cannot record anything. It says so, so that callers are sent elsewhere. Where the
 //! store is away for everybody, entries still reach each other, and none of them is cut off.
 
-use crate::EXPIRY;
+use crate::LEASE_TIMEOUT;
 use clock::Instant;
 use std::time::Duration;
 
@@ -125,7 +125,7 @@
 
     /// Whether the owner has not answered this entry since `since`, though it renews its lease all the while.
     fn is_passed_by(&self, since: Instant, now: Instant) -> bool {
-        let renews = |at: Instant| at >= since + RENEWED && now < at + EXPIRY;
+        let renews = |at: Instant| at >= since + RENEWED && now < at + LEASE_TIMEOUT;
         now >= since + CUT_OFF && self.renewed.is_some_and(renews)
     }
 }
--- a/crates/fleet/tests/reach.rs
+++ b/crates/fleet/tests/reach.rs
@@ -1,7 +1,7 @@
 //! Whether an entry is cut off, by what it reaches.
 
 use clock::Instant;
-use havenladder_fleet::{CONFIRMED, CUT_OFF, EXPIRY, QUIET, RENEWED, Reach};
+use havenladder_fleet::{CONFIRMED, CUT_OFF, LEASE_TIMEOUT, QUIET, RENEWED, Reach};
 use std::time::Duration;
 
 const MOMENT: Duration = Duration::from_millis(1);
@@ -69,8 +69,8 @@
     let mut old = known(now);
     old.note_silence(now);
     old.note_renewal(now + RENEWED);
-    old.note_store(now + RENEWED + EXPIRY);
-    assert!(!old.is_cut_off(now + RENEWED + EXPIRY));
+    old.note_store(now + RENEWED + LEASE_TIMEOUT);
+    assert!(!old.is_cut_off(now + RENEWED + LEASE_TIMEOUT));
 }
 
 #[test]
--- a/crates/fleet/tests/unrecorded.rs
+++ b/crates/fleet/tests/unrecorded.rs
@@ -1,30 +1,35 @@
 //! When runs may be started without a record, and what the next owner assumes.
 
 use clock::Instant;
-use havenladder_fleet::{Stall, TROUBLE, Told, Trouble, trouble};
+use havenladder_fleet::{STORE_TROUBLE_AGE, Stall, StoreTrouble, UnrecordedRuns, store_trouble};
 use std::time::Duration;
 use yare::parameterized;
 
 const MS: Duration = Duration::from_millis(1);
 
 #[parameterized(
-    told = { Told::Unrecorded, None, true, Trouble::Seen },
-    given_up_with_none = { Told::None, Some(MS), false, Trouble::None },
-    seen = { Told::NoneThen, Some(TROUBLE - MS), true, Trouble::Seen },
-    seen_long_ago = { Told::NoneThen, Some(TROUBLE), true, Trouble::None },
-    just_begun = { Told::NoneThen, None, false, Trouble::Unknown },
-    calm = { Told::NoneThen, None, true, Trouble::None },
+    told = { UnrecordedRuns::Possible, None, true, StoreTrouble::Observed },
+    given_up_with_none = { UnrecordedRuns::None, Some(MS), false, StoreTrouble::None },
+    seen = { UnrecordedRuns::NoneAtRenewal, Some(STORE_TROUBLE_AGE - MS), true, StoreTrouble::Observed },
+    seen_long_ago = { UnrecordedRuns::NoneAtRenewal, Some(STORE_TROUBLE_AGE), true, StoreTrouble::None },
+    just_begun = { UnrecordedRuns::NoneAtRenewal, None, false, StoreTrouble::Unknown },
+    calm = { UnrecordedRuns::NoneAtRenewal, None, true, StoreTrouble::None },
 )]
 fn a_new_owner_assumes_trouble_that_it_saw_or_was_told_of(
-    told: Told,
+    told: UnrecordedRuns,
     ago: Option<Duration>,
     old: bool,
-    expected: Trouble,
+    expected: StoreTrouble,
 ) {
     let began = Instant::now();
-    let now = began + if old { TROUBLE * 2 } else { TROUBLE - MS };
+    let now = began
+        + if old {
+            STORE_TROUBLE_AGE * 2
+        } else {
+            STORE_TROUBLE_AGE - MS
+        };
     let seen = ago.map(|ago| now - ago);
-    assert_eq!(trouble(told, seen, began, now), expected);
+    assert_eq!(store_trouble(told, seen, began, now), expected);
 }
 
 #[parameterized(
@@ -36,8 +41,8 @@
 )]
 fn an_owner_goes_on_only_where_the_next_one_will_know(
     announced: Option<u64>,
-    confirmed: bool,
-    certain: bool,
+    outage_confirmed: bool,
+    sole_owner: bool,
     expected: bool,
 ) {
     let start = Instant::now();
@@ -45,8 +50,8 @@
     let stall = Stall {
         since: Some(at(1)),
         announced: announced.map(at),
-        confirmed,
-        certain,
+        outage_confirmed,
+        sole_owner,
     };
-    assert_eq!(stall.may_go_on(), expected);
+    assert_eq!(stall.may_start_unrecorded(), expected);
 }
--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -9,7 +9,7 @@
 use adapter::store::{Appended, Offset, Read};
 use bytes::Bytes;
 use clock::Instant;
-use fleet::{FirstSent, Tenure};
+use fleet::{Election, FirstSent};
 use std::time::Duration;
 use tokio::time;
 use tracing::{info, warn};
@@ -22,7 +22,7 @@
     /// The end of the log, as far as it was read.
     pub(super) end: Offset,
     /// When this entry may claim, and from whom it should.
-    pub(super) tenure: Tenure,
+    pub(super) tenure: Election,
     /// Which life of an entry has written the newest record, and whether it gave the cell up with it.
     pub(super) holder: Option<(LifeId, bool)>,
     /// When a renewal of the current owner was last read.
@@ -73,7 +73,7 @@
         }
         Ok(Read::Busy) | Err(_) => {
             let now = Instant::now();
-            log.tenure.note_trouble(now);
+            log.tenure.on_store_trouble(now);
             log.trouble = Some(now);
             time::sleep(RETRY_INTERVAL).await;
             Seen::Failed
@@ -167,10 +167,10 @@
 
 /// Takes note of who has the lease.
 fn note_tenure(log: &mut Log, lease: &Lease, now: Instant) {
-    log.tenure.note_record(lease.cpu, now);
+    log.tenure.on_record(lease.cpu, now);
     let known = log.holder.replace((lease.life, lease.released));
     if known != log.holder {
-        log.tenure.note_change(now);
+        log.tenure.on_owner_change(now);
     }
 }
 
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -1,7 +1,7 @@
 //! Who owns the cell: a lease in the log.
 //!
 //! The owner appends a record every [`RENEW`]; each entry reads them. One that has read none for
-//! [`fleet::EXPIRY`], while the store answered, appends its own on the condition that nobody else has.
+//! [`fleet::LEASE_TIMEOUT`], while the store answered, appends its own on the condition that nobody else has.
 //! The record's offset is the new owner's epoch, which fences its appends and its orders. When to claim
 //! is decided in [`Tenure`]; this module reads, claims, renews and releases.
 
@@ -18,13 +18,13 @@
     suspension,
 };
 use clock::Instant;
-use fleet::{Claim, Holder, Tenure, Told, Trouble};
+use fleet::{Claim, Election, Holder, StoreTrouble, UnrecordedRuns};
 use log::{Log, RETRY_INTERVAL, Seen, Written, write};
 use std::{convert::Infallible, rc::Rc, time::Duration};
 use tokio::{task, time};
 use tracing::info;
 
-/// How often the owner renews. Three renewals fit into [`fleet::EXPIRY`], so that two may be lost.
+/// How often the owner renews. Three renewals fit into [`fleet::LEASE_TIMEOUT`], so that two may be lost.
 const RENEW: Duration = Duration::from_millis(400);
 
 /// How long a read waits at the most: what it then says of the store must not be older than the owner needs to renew its
@@ -47,14 +47,14 @@
 pub async fn run(node: Rc<Node>) {
     let mut log = Log {
         end: 0,
-        tenure: Tenure::new(node.settings.cpu, Instant::now()),
+        tenure: Election::new(node.settings.cpu, Instant::now()),
         holder: None,
         renewed: None,
         trouble: None,
         before: Predecessor {
             renewed: None,
             waits: Duration::ZERO,
-            trouble: Trouble::None,
+            trouble: StoreTrouble::None,
             orders: false,
         },
         sent: None,
@@ -86,7 +86,7 @@
         None => Holder::Unknown,
         Some(lease) if lease.released => Holder::Released,
         Some(lease) if lease.node == node.settings.node && lease.life != node.life => {
-            Holder::EarlierLife
+            Holder::EarlierIncarnation
         }
         // Its port refuses connections: its process has ended.
         Some(lease) if node.refused.get() == Some(lease.life) => Holder::Ended,
@@ -100,10 +100,10 @@
 fn next(node: &Node, log: &mut Log) -> Claim {
     let now = Instant::now();
     if node.stopping.get() {
-        return Claim::At(now + fleet::EXPIRY);
+        return Claim::At(now + fleet::LEASE_TIMEOUT);
     }
     let holder = holder(node, log);
-    log.tenure.next(holder, now)
+    log.tenure.next_claim(holder, now)
 }
 
 /// How long the next read waits: not at all where only the log has to be asked before a claim.
@@ -123,7 +123,8 @@
     let now = Instant::now();
     let lease = node.lease.borrow().clone();
     let other = lease.filter(|lease| lease.life != node.life && !lease.released);
-    let Some(other) = other.filter(|lease| log.tenure.should_ask(lease.cpu, now)) else {
+    let Some(other) = other.filter(|lease| log.tenure.should_request_handover(lease.cpu, now))
+    else {
         return;
     };
     let ask = Ask::HandOver {
@@ -159,11 +160,11 @@
 fn predecessor(node: &Node, log: &Log) -> Predecessor {
     let lease = node.lease.borrow();
     let told = match lease.as_ref() {
-        Some(lease) if lease.unrecorded => Told::Unrecorded,
-        Some(lease) if lease.released => Told::None,
-        Some(_) | None => Told::NoneThen,
+        Some(lease) if lease.unrecorded => UnrecordedRuns::Possible,
+        Some(lease) if lease.released => UnrecordedRuns::None,
+        Some(_) | None => UnrecordedRuns::NoneAtRenewal,
     };
-    let trouble = fleet::trouble(told, log.trouble, node.began, Instant::now());
+    let trouble = fleet::store_trouble(told, log.trouble, node.began, Instant::now());
     let released = lease.as_ref().filter(|lease| lease.released);
     Predecessor {
         // An owner that gave the cell up extends no more leases, but the one before it may be cut off
@@ -180,7 +181,7 @@
     log.before = predecessor(node, log);
     // An owner that ends before it has met the workers leaves them to the next one.
     let lease = Lease {
-        unrecorded: log.before.trouble != Trouble::None,
+        unrecorded: log.before.trouble != StoreTrouble::None,
         orders: log.before.orders,
         ..record(node, None)
     };
--- a/crates/havenladder/src/entry/outage.rs
+++ b/crates/havenladder/src/entry/outage.rs
@@ -49,7 +49,7 @@
 
 /// How long an owner must have had the cell before it gives it up for this: its workers are met by then, and the cell does
 /// not go round while the store is in trouble for all.
-const SETTLED: Duration = fleet::SETTLED;
+const SETTLED: Duration = fleet::MIN_OWNERSHIP_AGE;
 
 /// What the last round of questions showed.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -11,7 +11,7 @@
     },
     suspension, worker_list,
 };
-use ::fleet::Trouble;
+use ::fleet::StoreTrouble;
 use clock::{Instant, timer};
 use jobs::Batch;
 use std::{rc::Rc, time::Duration};
@@ -63,8 +63,8 @@
 /// without a record: a takeover that took long counts as trouble of the store as well.
 fn close_gate(owner: &Owner, took: Duration) {
     let trouble = owner.trouble;
-    if trouble != Trouble::None || took >= LOADED {
-        let troubled = trouble != Trouble::Unknown;
+    if trouble != StoreTrouble::None || took >= LOADED {
+        let troubled = trouble != StoreTrouble::Unknown;
         owner
             .cell
             .borrow_mut()
--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -91,7 +91,7 @@
         }
         if owner.has_waited(SLOW) && owner.loaded.get() && owner.may_hold() {
             outage::ask(owner);
-            if owner.stall().may_go_on() {
+            if owner.stall().may_start_unrecorded() {
                 owner.unrecorded.set(Some(Instant::now()));
                 go_on(owner, starts);
             } else {
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -15,7 +15,7 @@
 use adapter::{operator::Version, settings::Settings, store::Offset, workers::ClockMs};
 use append::SLOW;
 use clock::Instant;
-use fleet::{MilliCpu, RateLimit, Stall, TROUBLE, Trouble};
+use fleet::{MilliCpu, RateLimit, STORE_TROUBLE_AGE, Stall, StoreTrouble};
 use jobs::{Cell as JobCell, Limits, Order, WorkerId, WorkerName};
 use std::{
     cell::{Cell, RefCell},
@@ -93,7 +93,7 @@
 pub type SendOrders = fn(&Rc<Owner>, Vec<Order>);
 
 /// How long an owner may believe in its last renewal where two owners must not act in turn. Shorter
-/// than [`fleet::EXPIRY`] by what clocks and answers may be late.
+/// than [`fleet::LEASE_TIMEOUT`] by what clocks and answers may be late.
 pub const TRUST: Duration = Duration::from_millis(1_100);
 
 /// What is known of the owner before.
@@ -104,7 +104,7 @@
     /// How long leases of owners before it may hold.
     pub waits: Duration,
     /// Whether the store was in trouble of late.
-    pub trouble: Trouble,
+    pub trouble: StoreTrouble,
     /// Whether it may have given orders about VMs that it has not recorded.
     pub orders: bool,
 }
@@ -130,7 +130,7 @@
     /// Until when an earlier owner's leases may hold.
     pub inherited: Instant,
     /// Whether the store was in trouble when this owner began.
-    pub trouble: Trouble,
+    pub trouble: StoreTrouble,
     /// When an order about VMs was last to be given without a record.
     order_due: Cell<Option<Instant>>,
     /// Whether the last renewal told of such orders.
@@ -296,8 +296,8 @@
     pub fn has_unrecorded(&self) -> bool {
         let recent = self.unrecorded.get();
         // What an earlier owner started so may still run until its leases have run out.
-        let inherited = self.trouble != Trouble::None && Instant::now() < self.inherited;
-        inherited || recent.is_some_and(|at| at.elapsed() < TROUBLE)
+        let inherited = self.trouble != StoreTrouble::None && Instant::now() < self.inherited;
+        inherited || recent.is_some_and(|at| at.elapsed() < STORE_TROUBLE_AGE)
     }
 
     /// Something has changed in the cell: what follows is to be decided and done.
@@ -322,8 +322,8 @@
         Stall {
             since: self.appending.get(),
             announced: self.announced.get(),
-            confirmed: self.outage.get().is_confirmed(),
-            certain: self.is_certain(),
+            outage_confirmed: self.outage.get().is_confirmed(),
+            sole_owner: self.is_certain(),
         }
     }
 
