--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -9,7 +9,6 @@
 mod bound;
 mod budget;
 mod election;
-mod feed;
 mod first_sent;
 mod fold;
 mod grant;
@@ -20,6 +19,7 @@
 mod rate;
 mod reach;
 mod record;
+mod replication;
 mod silence;
 mod sizing;
 mod snapshot;
@@ -35,9 +35,6 @@
     ANSWERING_OWNER_TIMEOUT, Claim, Election, Holder, LEASE_TIMEOUT, MIN_OWNERSHIP_AGE, MilliCpu,
     SILENT_OWNER_TIMEOUT, WEAKER_CLAIM_DELAY, outranks,
 };
-pub use feed::{
-    Address, Admission, FOLLOWERS, Followers, PLACE_EXPIRY, READERS, Readers, STALE, Seeker, Source,
-};
 pub use first_sent::{FirstSent, Place};
 pub use moves::{BudgetHeadroom, ProposedGrant, min_moves, next_moves};
 pub use plan::{Action, Evidence, Sight, View, next_action, plan, token_without_grant};
@@ -47,6 +44,10 @@
     Change, GrantPurpose, GrantRequest, LeaseRequest, Observation, Outcome, PathChange, Reason,
     Record, Seen, WaveChange,
 };
+pub use replication::{
+    ASSIGNMENT_TIMEOUT, Address, Admission, FollowerInfo, Followers, MAX_FOLLOWERS,
+    READERS_PER_HALL, Readers, STALE_AGE, Source,
+};
 pub use silence::{Hearing, is_away, is_turned_away};
 pub use sizing::{IdleVm, LooseVm, PoolDemand, Resize, Shift, SizingLimits, lacks_vms, resize};
 pub use snapshot::{Chunk, SnapshotError, assemble, chunks, decode_snapshot, encode_snapshot};
--- a/crates/fleet/src/feed.rs
+++ b/crates/fleet/src/replication.rs
@@ -13,21 +13,21 @@
 pub type Address = String;
 
 /// How many entries of a data centre read: one may be lost.
-pub const READERS: usize = 2;
+pub const READERS_PER_HALL: usize = 2;
 
 /// How many entries follow one: a configuration of 50 KB takes 0.16 s to all of them on a link of 20 Mbit/s.
-pub const FOLLOWERS: usize = 8;
+pub const MAX_FOLLOWERS: usize = 8;
 
 /// After which silence an entry gives its place up.
-pub const PLACE_EXPIRY: Duration = Duration::from_millis(3_500);
+pub const ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// From which age on what an entry knows is too old to be passed on: readers in touch are never older than the 0.8 s for
 /// which a read waits and two slow answers.
-pub const STALE: Duration = Duration::from_millis(1_500);
+pub const STALE_AGE: Duration = Duration::from_millis(1_500);
 
 /// An entry that asks for a place.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seeker {
+pub struct FollowerInfo {
     /// Where it takes calls.
     pub address: Address,
     /// Its data centre.
@@ -50,7 +50,7 @@
 /// An entry that has a place.
 #[derive(Clone, Debug)]
 struct Member {
-    seeker: Seeker,
+    info: FollowerInfo,
     /// When it last asked.
     seen: Instant,
 }
@@ -61,36 +61,41 @@
 
 impl Members {
     /// Forgets those that have not asked for long, and a seeker that asks anew.
-    fn forget(&mut self, seeker: &Seeker, now: Instant) {
+    fn forget(&mut self, info: &FollowerInfo, now: Instant) {
         self.0.retain(|member| {
-            now < member.seen + PLACE_EXPIRY && member.seeker.address != seeker.address
+            now < member.seen + ASSIGNMENT_TIMEOUT && member.info.address != info.address
         });
     }
 
-    fn add(&mut self, seeker: Seeker, now: Instant) {
-        self.0.push(Member { seeker, seen: now });
+    fn add(&mut self, info: FollowerInfo, now: Instant) {
+        self.0.push(Member { info, seen: now });
     }
 
     /// Gives the place of the weakest one that passes a test to a seeker that is much stronger; false if none is.
-    fn replace(&mut self, seeker: &Seeker, now: Instant, may: impl Fn(&Seeker) -> bool) -> bool {
-        let members = self.0.iter_mut().filter(|member| may(&member.seeker));
-        let weakest = members.min_by_key(|member| member.seeker.cpu);
-        let Some(weakest) = weakest.filter(|other| outranks(seeker.cpu, other.seeker.cpu)) else {
+    fn replace(
+        &mut self,
+        info: &FollowerInfo,
+        now: Instant,
+        may: impl Fn(&FollowerInfo) -> bool,
+    ) -> bool {
+        let members = self.0.iter_mut().filter(|member| may(&member.info));
+        let weakest = members.min_by_key(|member| member.info.cpu);
+        let Some(weakest) = weakest.filter(|other| outranks(info.cpu, other.info.cpu)) else {
             return false;
         };
         *weakest = Member {
-            seeker: seeker.clone(),
+            info: info.clone(),
             seen: now,
         };
         true
     }
 
     /// One of those that pass a test, by a number drawn at random.
-    fn pick(&self, draw: usize, may: impl Fn(&Seeker) -> bool) -> Option<Address> {
-        let members = self.0.iter().filter(|member| may(&member.seeker));
+    fn pick(&self, draw: usize, may: impl Fn(&FollowerInfo) -> bool) -> Option<Address> {
+        let members = self.0.iter().filter(|member| may(&member.info));
         let fitting: Vec<&Member> = members.collect();
         let chosen = fitting.get(draw.checked_rem(fitting.len())?)?;
-        Some(chosen.seeker.address.clone())
+        Some(chosen.info.address.clone())
     }
 }
 
@@ -102,16 +107,16 @@
     /// Gives an entry a place: it reads where its data centre has too few readers, or a much weaker one; else it follows a
     /// reader, of its own data centre if there is one. One that the platform does not answer reads only where nobody else
     /// does. `draw` is a number drawn at random.
-    pub fn place(&mut self, seeker: Seeker, draw: usize, now: Instant) -> Source {
-        self.0.forget(&seeker, now);
-        let here = |other: &Seeker| other.hall == seeker.hall;
-        if seeker.age <= STALE {
-            let readers = self.0.0.iter().filter(|member| here(&member.seeker));
-            if readers.count() < READERS {
-                self.0.add(seeker, now);
+    pub fn assign(&mut self, info: FollowerInfo, draw: usize, now: Instant) -> Source {
+        self.0.forget(&info, now);
+        let here = |other: &FollowerInfo| other.hall == info.hall;
+        if info.age <= STALE_AGE {
+            let readers = self.0.0.iter().filter(|member| here(&member.info));
+            if readers.count() < READERS_PER_HALL {
+                self.0.add(info, now);
                 return Source::Platform;
             }
-            if self.0.replace(&seeker, now, here) {
+            if self.0.replace(&info, now, here) {
                 return Source::Platform;
             }
         }
@@ -123,8 +128,8 @@
     /// Where those take calls that have asked of late.
     pub fn addresses(&self, now: Instant) -> Vec<Address> {
         let members = self.0.0.iter();
-        let recent = members.filter(|member| now < member.seen + PLACE_EXPIRY);
-        recent.map(|member| member.seeker.address.clone()).collect()
+        let recent = members.filter(|member| now < member.seen + ASSIGNMENT_TIMEOUT);
+        recent.map(|member| member.info.address.clone()).collect()
     }
 }
 
@@ -136,23 +141,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It may.
-    Here,
+    Accepted,
     /// It is to follow this one instead.
-    At(Address),
+    Redirected(Address),
 }
 
 impl Followers {
     /// Takes a follower, or sends it on to one of those there are. `draw` is a number drawn at random.
-    pub fn admit(&mut self, seeker: Seeker, draw: usize, now: Instant) -> Admission {
-        self.0.forget(&seeker, now);
-        if self.0.0.len() < FOLLOWERS {
-            self.0.add(seeker, now);
-            return Admission::Here;
+    pub fn admit(&mut self, info: FollowerInfo, draw: usize, now: Instant) -> Admission {
+        self.0.forget(&info, now);
+        if self.0.0.len() < MAX_FOLLOWERS {
+            self.0.add(info, now);
+            return Admission::Accepted;
         }
-        if self.0.replace(&seeker, now, |_| true) {
-            return Admission::Here;
+        if self.0.replace(&info, now, |_| true) {
+            return Admission::Accepted;
         }
         let other = self.0.pick(draw, |_| true);
-        other.map_or(Admission::Here, Admission::At)
+        other.map_or(Admission::Accepted, Admission::Redirected)
     }
 }
--- a/crates/havenladder/src/entry/feed/mod.rs
+++ b/crates/havenladder/src/entry/feed/mod.rs
@@ -12,7 +12,7 @@
 use super::lease_state::Lease;
 use adapter::store::Offset;
 use clock::{Instant, timer};
-use fleet::{Address, Followers, Readers, Seeker};
+use fleet::{Address, FollowerInfo, Followers, Readers};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 use std::{cell::RefCell, time::Duration};
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Question {
     /// Who asks.
-    pub seeker: Seeker,
+    pub seeker: FollowerInfo,
     /// The offset from which on it has no records of operators; none if it has none at all.
     pub from: Option<Offset>,
     /// The end of the lease's log, as far as it knows.
--- a/crates/havenladder/src/entry/feeding.rs
+++ b/crates/havenladder/src/entry/feeding.rs
@@ -5,14 +5,14 @@
     node::Node,
 };
 use clock::{Instant, timer};
-use fleet::{Admission, Seeker, Source};
+use fleet::{Admission, FollowerInfo, Source};
 use serde_bytes::ByteBuf;
 use std::time::Duration;
 
 /// Tells an entry where it is to have its news from; only an owner does.
-pub fn place(node: &Node, seeker: Seeker) -> Source {
+pub fn place(node: &Node, seeker: FollowerInfo) -> Source {
     let mut readers = node.feed.readers.borrow_mut();
-    readers.place(seeker, rand::random::<u32>() as usize, Instant::now())
+    readers.assign(seeker, rand::random::<u32>() as usize, Instant::now())
 }
 
 /// Answers a follower once there is news for it, or sends it on.
@@ -26,7 +26,7 @@
             began,
         )
     };
-    if let Admission::At(other) = admission {
+    if let Admission::Redirected(other) = admission {
         return Answer::At(other);
     }
     loop {
--- a/crates/havenladder/src/entry/following.rs
+++ b/crates/havenladder/src/entry/following.rs
@@ -9,7 +9,7 @@
 };
 use adapter::store::{Offset, split_keyed};
 use clock::Instant;
-use fleet::{Address, STALE, Seeker, Source};
+use fleet::{Address, FollowerInfo, STALE_AGE, Source};
 use std::{rc::Rc, time::Duration};
 use tokio::time;
 
@@ -30,9 +30,9 @@
 const MOST_HOPS: usize = 16;
 
 /// What this entry says of itself.
-fn seeker(node: &Node) -> Seeker {
+fn seeker(node: &Node) -> FollowerInfo {
     let age = node.feed.recent.borrow().age(Instant::now());
-    Seeker {
+    FollowerInfo {
         address: node.inner_address(),
         hall: node.settings.hall.clone(),
         cpu: node.settings.cpu,
@@ -123,5 +123,5 @@
         None => follow::take_records(node, from.unwrap_or_default(), &records),
     }
     node.feed.recent.borrow_mut().confirm(confirmed);
-    confirmed.elapsed() <= STALE
+    confirmed.elapsed() <= STALE_AGE
 }
--- a/crates/havenladder/src/entry/inner.rs
+++ b/crates/havenladder/src/entry/inner.rs
@@ -14,7 +14,7 @@
     operator::Version,
 };
 use clock::Instant;
-use fleet::{MilliCpu, Seeker, Source};
+use fleet::{FollowerInfo, MilliCpu, Source};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Method, Response, StatusCode, body::Incoming};
 use jobs::{Evacuations, JobId, Phase, QueueId, Submission};
@@ -85,7 +85,7 @@
         end: u64,
     },
     /// Where is this entry to have its news from? Only the owner answers this.
-    Place(Seeker),
+    Place(FollowerInfo),
     /// What is new? It is answered once there is something.
     Feed(feed::Question),
 }
--- a/crates/havenladder/tests/feed.rs
+++ b/crates/havenladder/tests/feed.rs
@@ -6,7 +6,7 @@
 mod entries;
 
 use entries::{ask, block_on, owner, request};
-use fleet::READERS;
+use fleet::READERS_PER_HALL;
 use havenladder_soak::site::{Site, WORKSPACES, key};
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
@@ -61,7 +61,7 @@
         time::sleep(SPAN).await;
         let made = reads(&site) - before;
         // The readers of two data centres, the owner, and as many again that may be between two sources.
-        let readers = 2 * (2 * READERS + 1);
+        let readers = 2 * (2 * READERS_PER_HALL + 1);
         let most = readers * READS * SPAN.as_secs() as usize;
         assert!(made <= most, "{made} reads, {most} at the most");
         site.change_keys();
