--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -49,7 +49,9 @@
     READERS_PER_HALL, Readers, STALE_AGE, Source,
 };
 pub use silence::{Hearing, is_away, is_turned_away};
-pub use sizing::{IdleVm, LooseVm, PoolDemand, Resize, Shift, SizingLimits, lacks_vms, resize};
+pub use sizing::{
+    DrainableVm, IdleVm, PoolDemand, Resize, SizingLimits, VmMove, lacks_vms, resize,
+};
 pub use snapshot::{Chunk, SnapshotError, assemble, chunks, decode_snapshot, encode_snapshot};
 pub use state::{
     Fleet, Grant, Health, RecordOrigin, SPARE_POOL, Step, Vm, Wave, WaveId, WaveState,
--- a/crates/fleet/src/sizing/books.rs
+++ b/crates/fleet/src/sizing/ledger.rs
@@ -16,7 +16,7 @@
 }
 
 /// The pools, and how many VMs each has left to give while moves are chosen.
-pub(super) struct Books<'p> {
+pub(super) struct SizingLedger<'p> {
     pub(super) pools: &'p [PoolDemand],
     pub(super) limits: &'p SizingLimits,
     /// How many VMs each pool should have if all share what there is by what they need now.
@@ -29,9 +29,9 @@
     pub(super) short: Vec<usize>,
 }
 
-impl<'p> Books<'p> {
+impl<'p> SizingLedger<'p> {
     pub(super) fn new(pools: &'p [PoolDemand], limits: &'p SizingLimits) -> Self {
-        Books {
+        SizingLedger {
             pools,
             limits,
             fair: fair_shares(pools, limits),
@@ -65,7 +65,7 @@
                 continue;
             }
             let ready =
-                |vm: &&IdleVm| source == Source::Reserve || now >= vm.since + self.limits.pause;
+                |vm: &&IdleVm| source == Source::Reserve || now >= vm.since + self.limits.min_idle;
             let found = self.idle[place].iter().position(ready);
             if let Some(vm) = found.and_then(|index| self.idle[place].remove(index)) {
                 self.given[place] += 1;
@@ -103,7 +103,7 @@
     let part = (there as f64 / needed.max(1) as f64).min(1.0);
     let share = |(pool, need): (&PoolDemand, usize)| {
         let fair = (need as f64 * part).ceil() as usize;
-        fair.max(pool.least).max(usize::from(!pool.reserve))
+        fair.max(pool.min_vms).max(usize::from(!pool.reserve))
     };
     pools.iter().zip(needs).map(share).collect()
 }
--- a/crates/fleet/src/sizing/mod.rs
+++ b/crates/fleet/src/sizing/mod.rs
@@ -6,37 +6,37 @@
 //! does not do, VMs of such pools are emptied. An idle VM that nobody needs goes to the reserve once it
 //! has cost as much as the way there and back.
 
-mod books;
+mod ledger;
 
-use books::{Books, Source};
 use clock::Instant;
+use ledger::{SizingLedger, Source};
 use std::time::Duration;
 
 /// The figures that sizing depends on.
 #[derive(Clone, Debug)]
 pub struct SizingLimits {
     /// The part of a pool's room that its jobs can fill: sizes of tasks leave gaps.
-    pub fill: f64,
+    pub max_fill: f64,
     /// The part of its room that a pool's jobs may fill before it gives VMs away.
-    pub spare: f64,
+    pub max_fill_to_give: f64,
     /// How long a VM must have been idle before it goes to the reserve: one that is idle for so long stays so for far longer
     /// as a rule, and is back in time where the growth of what comes is foreseen.
-    pub rest: Duration,
+    pub reserve_idle_age: Duration,
     /// What a pool keeps whose demand is not known, as a part of an equal share of all VMs: enough for
     /// the first second of a peak, after which VMs of the reserve come.
-    pub start: f64,
+    pub initial_share: f64,
     /// How long a VM must have been idle before another pool gets it: runs come in bursts.
-    pub pause: Duration,
+    pub min_idle: Duration,
 }
 
 impl Default for SizingLimits {
     fn default() -> Self {
         SizingLimits {
-            fill: 0.9,
-            spare: 0.85,
-            rest: Duration::from_millis(1_500),
-            start: 0.7,
-            pause: Duration::from_millis(150),
+            max_fill: 0.9,
+            max_fill_to_give: 0.85,
+            reserve_idle_age: Duration::from_millis(1_500),
+            initial_share: 0.7,
+            min_idle: Duration::from_millis(150),
         }
     }
 }
@@ -52,7 +52,7 @@
 
 /// A VM that carries only work that ends by itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LooseVm {
+pub struct DrainableVm {
     /// The VM.
     pub vm: String,
     /// When its runs will have ended, as far as can be foreseen.
@@ -71,9 +71,9 @@
     /// How many VMs it has or is about to get.
     pub vms: usize,
     /// The room of one of its VMs, in thousandths of a core.
-    pub room: u64,
+    pub vm_capacity: u64,
     /// What runs, at its highest of late, in thousandths of a core.
-    pub busy: u64,
+    pub peak_running: u64,
     /// What runs now, in thousandths of a core.
     pub running: u64,
     /// What waits for room, in thousandths of a core.
@@ -83,20 +83,20 @@
     /// What the jobs that come will use as long as as many come, in thousandths of a core.
     pub inflow: u64,
     /// The same once a VM that is ordered now is there, if what comes goes on growing as it does.
-    pub ahead: u64,
-    /// Whether it has had no jobs yet that tell what it needs: it keeps [`SizingLimits::start`].
-    pub unknown: bool,
+    pub forecast_inflow: u64,
+    /// Whether it has had no jobs yet that tell what it needs: it keeps [`SizingLimits::initial_share`].
+    pub demand_unknown: bool,
     /// How many VMs it needs whatever its jobs use: tasks that must be apart, and a spare one.
-    pub least: usize,
+    pub min_vms: usize,
     /// Its idle VMs, those idle for the longest time first.
     pub idle: Vec<IdleVm>,
     /// Its VMs that carry only work that ends by itself.
-    pub loose: Vec<LooseVm>,
+    pub drainable: Vec<DrainableVm>,
 }
 
 /// A VM that is to change its pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shift {
+pub struct VmMove {
     /// The VM.
     pub vm: String,
     /// Its pool.
@@ -108,7 +108,7 @@
 impl PoolDemand {
     /// How many VMs hold so much, in thousandths of a core, if a part of their room is used.
     fn vms_for(&self, cpu: u64, part: f64) -> usize {
-        (cpu as f64 / (self.room.max(1) as f64 * part)).ceil() as usize
+        (cpu as f64 / (self.vm_capacity.max(1) as f64 * part)).ceil() as usize
     }
 
     /// How many more VMs its jobs could fill.
@@ -116,12 +116,12 @@
         if self.reserve {
             return 0;
         }
-        let coming = self.inflow.max(self.ahead);
+        let coming = self.inflow.max(self.forecast_inflow);
         let wanted = match self.waiting {
-            0 => self.vms_for(coming, limits.fill),
-            waiting => self.vms_for(coming.max(self.busy + waiting), limits.fill),
+            0 => self.vms_for(coming, limits.max_fill),
+            waiting => self.vms_for(coming.max(self.peak_running + waiting), limits.max_fill),
         };
-        wanted.max(self.least).saturating_sub(self.vms)
+        wanted.max(self.min_vms).saturating_sub(self.vms)
     }
 
     /// How many VMs its jobs can use now. What can only come too late does not count, nor what is
@@ -131,8 +131,8 @@
             return 0;
         }
         let timely = self.waiting.saturating_sub(self.late);
-        self.vms_for(self.running + timely, limits.fill)
-            .max(self.least)
+        self.vms_for(self.running + timely, limits.max_fill)
+            .max(self.min_vms)
     }
 
     /// How many VMs it can do without.
@@ -140,9 +140,12 @@
         if self.reserve {
             return self.vms;
         }
-        let asked = self.inflow.max(self.ahead).max(self.busy + self.waiting);
-        let used = self.vms_for(asked, limits.spare);
-        self.vms.saturating_sub(used.max(self.least).max(1))
+        let asked = self
+            .inflow
+            .max(self.forecast_inflow)
+            .max(self.peak_running + self.waiting);
+        let used = self.vms_for(asked, limits.max_fill_to_give);
+        self.vms.saturating_sub(used.max(self.min_vms).max(1))
     }
 }
 
@@ -150,41 +153,43 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Resize {
     /// VMs that are to change their pool at once.
-    pub shifts: Vec<Shift>,
+    pub moves: Vec<VmMove>,
     /// VMs that are to get nothing new, so that another pool can have them soon.
     pub drains: Vec<String>,
 }
 
 /// Chooses the moves that are worth making now, and the VMs to be emptied for later ones.
 pub fn resize(pools: &[PoolDemand], now: Instant, limits: &SizingLimits) -> Resize {
-    let mut books = Books::new(pools, limits);
+    let mut ledger = SizingLedger::new(pools, limits);
     let mut resize = Resize::default();
     for source in [Source::Surplus, Source::Reserve, Source::Fair] {
-        fill(&mut books, source, now, &mut resize);
+        fill(&mut ledger, source, now, &mut resize);
     }
-    resize.drains = drains(&books);
-    rest(&mut books, now, &mut resize);
+    resize.drains = drains(&ledger);
+    rest(&mut ledger, now, &mut resize);
     resize
 }
 
 /// Whether a pool lacks VMs, so that emptying some may be worth looking for: only then does
-/// [`PoolDemand::loose`] matter.
+/// [`PoolDemand::drainable`] matter.
 pub fn lacks_vms(pools: &[PoolDemand], limits: &SizingLimits) -> bool {
-    !Books::new(pools, limits).needy(Source::Fair).is_empty()
+    !SizingLedger::new(pools, limits)
+        .needy(Source::Fair)
+        .is_empty()
 }
 
 /// Gives idle VMs of one source to the pools in need.
-fn fill(books: &mut Books<'_>, source: Source, now: Instant, resize: &mut Resize) {
-    for (to, lacks) in books.needy(source) {
+fn fill(ledger: &mut SizingLedger<'_>, source: Source, now: Instant, resize: &mut Resize) {
+    for (to, lacks) in ledger.needy(source) {
         for _ in 0..lacks {
-            let Some((from, vm)) = books.take(source, now) else {
+            let Some((from, vm)) = ledger.take(source, now) else {
                 return;
             };
-            books.short[to] -= 1;
-            resize.shifts.push(Shift {
+            ledger.short[to] -= 1;
+            resize.moves.push(VmMove {
                 vm: vm.vm.clone(),
-                from: books.pools[from].pool.clone(),
-                to: books.pools[to].pool.clone(),
+                from: ledger.pools[from].pool.clone(),
+                to: ledger.pools[to].pool.clone(),
             });
         }
     }
@@ -192,22 +197,22 @@
 
 /// The VMs to be emptied for pools that still lack some: of pools that have more than their part, the VMs
 /// that are free first, those that are being emptied already before others.
-fn drains(books: &Books<'_>) -> Vec<String> {
-    let mut lacks: usize = books
+fn drains(ledger: &SizingLedger<'_>) -> Vec<String> {
+    let mut lacks: usize = ledger
         .needy(Source::Fair)
         .iter()
         .map(|(_, lacks)| lacks)
         .sum();
-    let mut loose: Vec<(&LooseVm, usize)> = Vec::new();
-    for (place, pool) in books.pools.iter().enumerate() {
-        loose.extend(pool.loose.iter().map(|vm| (vm, place)));
+    let mut drainable: Vec<(&DrainableVm, usize)> = Vec::new();
+    for (place, pool) in ledger.pools.iter().enumerate() {
+        drainable.extend(pool.drainable.iter().map(|vm| (vm, place)));
     }
-    loose.sort_by_key(|(vm, _)| (!vm.draining, vm.free));
-    let mut left: Vec<usize> = (0..books.pools.len())
-        .map(|place| books.can_give(place, Source::Fair))
+    drainable.sort_by_key(|(vm, _)| (!vm.draining, vm.free));
+    let mut left: Vec<usize> = (0..ledger.pools.len())
+        .map(|place| ledger.can_give(place, Source::Fair))
         .collect();
     let mut drains = Vec::new();
-    for (vm, place) in loose {
+    for (vm, place) in drainable {
         if lacks > 0 && left[place] > 0 {
             lacks -= 1;
             left[place] -= 1;
@@ -221,28 +226,28 @@
 fn start_size(pools: &[PoolDemand], limits: &SizingLimits) -> usize {
     let there: usize = pools.iter().map(|pool| pool.vms).sum();
     let served = pools.iter().filter(|pool| !pool.reserve).count();
-    (there as f64 / served.max(1) as f64 * limits.start).ceil() as usize
+    (there as f64 / served.max(1) as f64 * limits.initial_share).ceil() as usize
 }
 
 /// Sends VMs to the reserve that have been idle for long and that no pool needs.
-fn rest(books: &mut Books<'_>, now: Instant, resize: &mut Resize) {
-    let Some(reserve) = books.pools.iter().find(|pool| pool.reserve) else {
+fn rest(ledger: &mut SizingLedger<'_>, now: Instant, resize: &mut Resize) {
+    let Some(reserve) = ledger.pools.iter().find(|pool| pool.reserve) else {
         return;
     };
-    let start = start_size(books.pools, books.limits);
-    for (place, pool) in books.pools.iter().enumerate() {
+    let start = start_size(ledger.pools, ledger.limits);
+    for (place, pool) in ledger.pools.iter().enumerate() {
         if pool.reserve {
             continue;
         }
-        let mut most = books.can_give(place, Source::Surplus);
-        if pool.unknown {
+        let mut most = ledger.can_give(place, Source::Surplus);
+        if pool.demand_unknown {
             most = most.min(pool.vms.saturating_sub(start));
         }
-        let rested = books.idle[place]
+        let rested = ledger.idle[place]
             .iter()
             .take(most)
-            .filter(|vm| now >= vm.since + books.limits.rest);
-        resize.shifts.extend(rested.map(|vm| Shift {
+            .filter(|vm| now >= vm.since + ledger.limits.reserve_idle_age);
+        resize.moves.extend(rested.map(|vm| VmMove {
             vm: vm.vm.clone(),
             from: pool.pool.clone(),
             to: reserve.pool.clone(),
--- a/crates/havenladder/src/entry/moves/demands.rs
+++ b/crates/havenladder/src/entry/moves/demands.rs
@@ -4,7 +4,7 @@
 use crate::entry::{fleet::Vm, owner::Owner};
 use adapter::cloud::VmState;
 use clock::Instant;
-use fleet::{IdleVm, LooseVm, PoolDemand};
+use fleet::{DrainableVm, IdleVm, PoolDemand};
 use jobs::{Demand, Need};
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
             let mut pool = PoolDemand {
                 pool: service.name.clone(),
                 reserve: service.reserve,
-                unknown: !asked.begun,
+                demand_unknown: !asked.begun,
                 ..PoolDemand::default()
             };
             let mut there = There::default();
@@ -98,14 +98,14 @@
                 .values()
                 .filter(of_pool)
                 .filter(|vm| !is_idle(vm));
-            pool.loose = busy
+            pool.drainable = busy
                 .filter_map(|vm| self.loose(round.owner, vm, round.now))
                 .collect();
         }
     }
 
     /// What a VM carries, if all of it ends by itself and the VM may be emptied.
-    fn loose(&self, owner: &Owner, vm: &Vm, now: Instant) -> Option<LooseVm> {
+    fn loose(&self, owner: &Owner, vm: &Vm, now: Instant) -> Option<DrainableVm> {
         if self.stuck.get(&vm.name).is_some_and(|until| now < *until) {
             return None;
         }
@@ -116,7 +116,7 @@
             return None;
         }
         let free = now + cell.time_left(&worker.info.id, now);
-        (draining || free <= now + EMPTYING).then(|| LooseVm {
+        (draining || free <= now + EMPTYING).then(|| DrainableVm {
             vm: vm.name.clone(),
             free,
             draining,
@@ -146,7 +146,7 @@
     let mut cell = owner.cell.borrow_mut();
     for pool in pools.iter().filter(|pool| !pool.reserve) {
         let vms = pool.vms + idle - pool.idle.len();
-        cell.look_ahead(&pool.pool, vms as u64 * pool.room);
+        cell.look_ahead(&pool.pool, vms as u64 * pool.vm_capacity);
     }
 }
 
@@ -177,14 +177,14 @@
         0 => need.cpu,
         whole => need.of(scarcest) * there.room.cpu / whole,
     };
-    pool.room = there.room.cpu;
-    pool.busy = cores(peak);
+    pool.vm_capacity = there.room.cpu;
+    pool.peak_running = cores(peak);
     pool.running = cores(asked.busy);
     pool.waiting = cores(asked.waiting);
     pool.late = cores(asked.late);
     pool.inflow = cores(asked.inflow);
-    pool.ahead = cores(asked.ahead);
-    pool.least = match asked.roomless.workers(there.room) {
+    pool.forecast_inflow = cores(asked.ahead);
+    pool.min_vms = match asked.roomless.workers(there.room) {
         0 => asked.spread,
         more => asked.spread.max(there.up + more),
     };
--- a/crates/havenladder/src/entry/moves/drain.rs
+++ b/crates/havenladder/src/entry/moves/drain.rs
@@ -18,7 +18,7 @@
     /// lets them come again to the others.
     pub(super) fn drain(&mut self, round: Round<'_>, plan: &Resize) {
         let late = self.leave_late(round.now);
-        let going = plan.shifts.iter().map(|shift| &shift.vm);
+        let going = plan.moves.iter().map(|shift| &shift.vm);
         let emptied = going.filter(|name| self.draining.contains_key(*name));
         let emptying = plan.drains.iter().filter(|name| !late.contains(name));
         let wanted: Vec<&String> = emptying.chain(emptied).collect();
--- a/crates/havenladder/src/entry/moves/mod.rs
+++ b/crates/havenladder/src/entry/moves/mod.rs
@@ -12,7 +12,7 @@
 };
 use adapter::cloud::{Ordered, VmState};
 use clock::Instant;
-use fleet::{PoolDemand, Shift, SizingLimits, lacks_vms, resize};
+use fleet::{PoolDemand, SizingLimits, VmMove, lacks_vms, resize};
 use jobs::{Loss, Need, Takeout, WorkerId};
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -125,12 +125,12 @@
         let plan = resize(&pools, now, &limits);
         self.drain(round, &plan);
         owner.wake();
-        self.order(owner, list, plan.shifts).await;
+        self.order(owner, list, plan.moves).await;
     }
 
     /// Orders the moves that may be made now: as many as the platform's rate has room for, and recorded
     /// before.
-    async fn order(&mut self, owner: &Rc<Owner>, list: &VmList, mut wanted: Vec<Shift>) {
+    async fn order(&mut self, owner: &Rc<Owner>, list: &VmList, mut wanted: Vec<VmMove>) {
         wanted.retain(|shift| !owner.must_spare(&shift.vm) && !self.is_barred(shift));
         wanted.truncate(vm_orders::available(owner));
         let vms: Vec<&str> = wanted.iter().map(|shift| shift.vm.as_str()).collect();
@@ -160,8 +160,8 @@
                 pool = pool.pool,
                 vms = pool.vms,
                 idle = pool.idle.len(),
-                least = pool.least,
-                busy = pool.busy,
+                least = pool.min_vms,
+                busy = pool.peak_running,
                 waiting = pool.waiting,
                 late = pool.late,
                 inflow = pool.inflow,
@@ -171,13 +171,13 @@
     }
 
     /// Whether the platform does not allow a move.
-    fn is_barred(&self, shift: &Shift) -> bool {
+    fn is_barred(&self, shift: &VmMove) -> bool {
         let bar = (shift.from.clone(), shift.to.clone());
         self.barred.contains(&bar)
     }
 
     /// Begins a move, if the VM still carries nothing: its worker gets nothing more from now on.
-    fn begin(&mut self, owner: &Owner, vm: &Vm, shift: &Shift) -> Option<VmOrder> {
+    fn begin(&mut self, owner: &Owner, vm: &Vm, shift: &VmMove) -> Option<VmOrder> {
         if let Some(id) = &vm.worker {
             let mut cell = owner.cell.borrow_mut();
             if cell.takeout(id) != Takeout::Free {
