--- a/crates/fleet/benches/scale.rs
+++ b/crates/fleet/benches/scale.rs
@@ -7,7 +7,8 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use havenladder_fleet::{
-    Change, Fleet, Observation, PathChange, Record, Seen, View, WaveChange, encode_snapshot, plan,
+    Change, Fleet, Observation, ObservedState, PathChange, Record, View, WaveChange,
+    encode_snapshot, plan,
 };
 use protocol::{LogRecord, RecordId, encode};
 use settings::{diff, read_tree};
@@ -44,9 +45,9 @@
     fleet.apply(&record);
 }
 
-fn seen(vm: usize, boot: u64) -> Seen {
+fn seen(vm: usize, boot: u64) -> ObservedState {
     let hall = vm % 14;
-    Seen::Up {
+    ObservedState::Up {
         hall: format!("hall-{hall}"),
         rack: format!("hall-{hall}-rack-{}", vm / 56),
         addr: "127.0.0.1:7000".into(),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -37,12 +37,12 @@
 };
 pub use first_sent::{FirstSent, Place};
 pub use moves::{BudgetHeadroom, ProposedGrant, min_moves, next_moves};
-pub use plan::{Action, Evidence, Sight, View, next_action, plan, token_without_grant};
+pub use plan::{Action, Evidence, View, VmObservation, next_action, plan, token_without_grant};
 pub use rate::RateLimit;
 pub use reach::{CONFIRMED, CUT_OFF, QUIET, RENEWED, Reach};
 pub use record::{
-    Change, GrantPurpose, GrantRequest, LeaseRequest, Observation, Outcome, PathChange, Reason,
-    Record, Seen, WaveChange,
+    Change, GrantPurpose, GrantRequest, LeaseRequest, Observation, ObservedState, Outcome,
+    PathChange, Reason, Record, WaveChange,
 };
 pub use replication::{
     ASSIGNMENT_TIMEOUT, Address, Admission, FollowerInfo, Followers, MAX_FOLLOWERS,
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     fold::Context,
-    record::{Observation, Outcome, Reason, Seen},
+    record::{Observation, ObservedState, Outcome, Reason},
     state::{Fleet, Health, SPARE_POOL, Vm},
 };
 use protocol::{PoolId, VmId};
@@ -44,7 +44,7 @@
             return false;
         }
         match &observation.seen {
-            Seen::Up {
+            ObservedState::Up {
                 hall,
                 rack,
                 addr,
@@ -72,9 +72,9 @@
                 self.change_vm(&observation.vm, context.offset, |vm| *vm = up);
                 true
             }
-            Seen::Leaving => self.set_health(context, &observation.vm, Health::Leaving),
-            Seen::Down => self.set_health(context, &observation.vm, Health::Down),
-            Seen::Gone => self.set_health(context, &observation.vm, Health::Gone),
+            ObservedState::Leaving => self.set_health(context, &observation.vm, Health::Leaving),
+            ObservedState::Down => self.set_health(context, &observation.vm, Health::Down),
+            ObservedState::Gone => self.set_health(context, &observation.vm, Health::Gone),
         }
     }
 
@@ -87,7 +87,7 @@
     }
 
     fn join(&mut self, context: &Context, observation: &Observation) -> bool {
-        let Seen::Up {
+        let ObservedState::Up {
             hall,
             rack,
             addr,
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -147,7 +147,7 @@
 
 /// The platform's own view of a VM, read afresh.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sight {
+pub struct VmObservation {
     /// Its count of boots.
     pub boot: u64,
     /// Whether it is up.
@@ -166,9 +166,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Evidence {
     /// The VM; `None` when the platform lists it no longer.
-    pub sight: Option<Sight>,
+    pub observation: Option<VmObservation>,
     /// Slots of the VM's pool that this entry sees down and the agreed state does not yet.
-    pub unseen: u32,
+    pub unrecorded_down: u32,
 }
 
 /// The next step of an errand.
@@ -212,24 +212,30 @@
             return Action::Renew;
         }
     }
-    let Some(sight) = &evidence.sight else {
+    let Some(observed) = &evidence.observation else {
         return without_vm(grant);
     };
     match grant.step {
-        Step::Draining => drain(fleet, vm, grant, sight, evidence.unseen),
-        Step::Begun => after_begin(grant, sight),
+        Step::Draining => drain(fleet, vm, grant, observed, evidence.unrecorded_down),
+        Step::Begun => after_begin(grant, observed),
         // Only a token that has arrived shuts out a drain call that is still on its way.
-        Step::Returning if sight.drained || sight.token < grant.token => Action::Undrain,
-        Step::Returning => Action::Finish(sight.boot),
+        Step::Returning if observed.drained || observed.token < grant.token => Action::Undrain,
+        Step::Returning => Action::Finish(observed.boot),
     }
 }
 
-fn drain(fleet: &Fleet, vm: &Vm, grant: &Grant, sight: &Sight, unseen: u32) -> Action {
-    if !sight.drained {
+fn drain(
+    fleet: &Fleet,
+    vm: &Vm,
+    grant: &Grant,
+    observed: &VmObservation,
+    unrecorded_down: u32,
+) -> Action {
+    if !observed.drained {
         return Action::Drain;
     }
-    let idle = sight.running == 0;
-    if grant.purpose == GrantPurpose::Drain || !idle || is_short(fleet, vm, unseen) {
+    let idle = observed.running == 0;
+    if grant.purpose == GrantPurpose::Drain || !idle || is_short(fleet, vm, unrecorded_down) {
         return Action::Wait;
     }
     Action::Begin
@@ -243,24 +249,24 @@
     }
 }
 
-fn after_begin(grant: &Grant, sight: &Sight) -> Action {
+fn after_begin(grant: &Grant, observed: &VmObservation) -> Action {
     match &grant.purpose {
         // A VM that is not up is on its way; a second call could only hit the boot after that.
-        GrantPurpose::Reboot if !sight.up => Action::Wait,
-        GrantPurpose::Reboot if sight.boot == grant.boot => Action::Reboot(grant.boot),
-        GrantPurpose::Reboot => Action::Finish(sight.boot),
+        GrantPurpose::Reboot if !observed.up => Action::Wait,
+        GrantPurpose::Reboot if observed.boot == grant.boot => Action::Reboot(grant.boot),
+        GrantPurpose::Reboot => Action::Finish(observed.boot),
         GrantPurpose::Release => Action::Release,
-        GrantPurpose::Move { to } if sight.pool != *to => Action::Assign(to.clone()),
-        GrantPurpose::Move { .. } => Action::Finish(sight.boot),
+        GrantPurpose::Move { to } if observed.pool != *to => Action::Assign(to.clone()),
+        GrantPurpose::Move { .. } => Action::Finish(observed.boot),
         GrantPurpose::Drain => Action::Wait,
     }
 }
 
 /// Tells whether failures that are not in the log yet would put the pool over its budget.
-fn is_short(fleet: &Fleet, vm: &Vm, unseen: u32) -> bool {
+fn is_short(fleet: &Fleet, vm: &Vm, unrecorded_down: u32) -> bool {
     fleet
         .headroom(&vm.pool)
-        .map_or(true, |headroom| headroom < unseen)
+        .map_or(true, |headroom| headroom < unrecorded_down)
 }
 
 impl Grant {
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -81,12 +81,12 @@
     /// The VM's version that the entry knew; 0 for a VM it did not know.
     pub base: Offset,
     /// What it saw.
-    pub seen: Seen,
+    pub seen: ObservedState,
 }
 
 /// What can be seen of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum ObservedState {
     /// The VM is up.
     Up {
         /// Its hall.
--- a/crates/fleet/tests/bench/mod.rs
+++ b/crates/fleet/tests/bench/mod.rs
@@ -8,8 +8,8 @@
 )]
 
 use havenladder_fleet::{
-    Change, Fleet, GrantPurpose, GrantRequest, Observation, Outcome, PathChange, Reason, Record,
-    Seen, View, plan,
+    Change, Fleet, GrantPurpose, GrantRequest, Observation, ObservedState, Outcome, PathChange,
+    Reason, Record, View, plan,
 };
 use protocol::{LogRecord, RecordId, encode};
 use settings::read_tree;
@@ -46,7 +46,7 @@
     pub fn up(&self, vm: &str, boot: u64) -> Observation {
         self.saw(
             vm,
-            Seen::Up {
+            ObservedState::Up {
                 hall: "hall".into(),
                 rack: "rack".into(),
                 addr: "addr".into(),
@@ -56,7 +56,7 @@
         )
     }
 
-    pub fn saw(&self, vm: &str, seen: Seen) -> Observation {
+    pub fn saw(&self, vm: &str, seen: ObservedState) -> Observation {
         let base = self.fleet.vms.get(vm).map_or(0, |vm| vm.version);
         Observation {
             vm: vm.into(),
--- a/crates/fleet/tests/fold.rs
+++ b/crates/fleet/tests/fold.rs
@@ -6,8 +6,8 @@
 
 use bench::{Bench, SETTINGS, rejected};
 use havenladder_fleet::{
-    BudgetHeadroom, Change, Fleet, GrantPurpose, LeaseRequest, Outcome, PathChange, Reason, Seen,
-    WaveChange, assemble, chunks, decode_snapshot, encode_snapshot, next_reboots,
+    BudgetHeadroom, Change, Fleet, GrantPurpose, LeaseRequest, ObservedState, Outcome, PathChange,
+    Reason, WaveChange, assemble, chunks, decode_snapshot, encode_snapshot, next_reboots,
 };
 use protocol::{LogRecord, RecordId, decode, encode};
 use std::time::{Duration, UNIX_EPOCH};
@@ -119,7 +119,7 @@
         boot: 1,
     };
     assert_eq!(bench.tell(finish), Outcome::Applied);
-    let down = bench.saw(&one[2], Seen::Down);
+    let down = bench.saw(&one[2], ObservedState::Down);
     assert_eq!(bench.tell(Change::Observe(vec![down])), Outcome::Applied);
     let outcome = bench.grant(&one[1], GrantPurpose::Reboot);
     assert!(
@@ -234,7 +234,7 @@
         .iter()
         .find(|(id, vm)| vm.pool == "place/one" && **id != out);
     let other = other.unwrap().0.clone();
-    let down = bench.saw(&other, Seen::Down);
+    let down = bench.saw(&other, ObservedState::Down);
     bench.tell(Change::Observe(vec![down]));
 
     let undone = bench.plan();
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -6,7 +6,8 @@
 
 use bench::{Bench, SETTINGS, rejected};
 use havenladder_fleet::{
-    BudgetHeadroom, Change, GrantPurpose, Health, Outcome, Reason, Seen, min_moves, next_moves,
+    BudgetHeadroom, Change, GrantPurpose, Health, ObservedState, Outcome, Reason, min_moves,
+    next_moves,
 };
 
 #[test]
@@ -30,7 +31,7 @@
         .unwrap()
         .0
         .clone();
-    let gone = bench.saw(&vm, Seen::Gone);
+    let gone = bench.saw(&vm, ObservedState::Gone);
     bench.tell(Change::Observe(vec![gone]));
     assert_eq!(bench.fleet.count("place/one").unavailable, 4);
     let new = bench.up("vm-new", 1);
@@ -43,7 +44,7 @@
 #[test]
 fn an_observation_of_an_older_state_is_passed_over() {
     let mut bench = Bench::new(4);
-    let stale = bench.saw("vm-0", Seen::Down);
+    let stale = bench.saw("vm-0", ObservedState::Down);
     let restarted = bench.up("vm-0", 2);
     bench.tell(Change::Observe(vec![restarted]));
     assert_eq!(bench.tell(Change::Observe(vec![stale])), Outcome::Unchanged);
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -5,8 +5,8 @@
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
 use havenladder_fleet::{
-    BudgetHeadroom, Change, Fleet, GrantPurpose, Health, Observation, PathChange, Record, Seen,
-    Step, View, WaveChange, WaveState, min_moves, plan, tightest_budget,
+    BudgetHeadroom, Change, Fleet, GrantPurpose, Health, Observation, ObservedState, PathChange,
+    Record, Step, View, WaveChange, WaveState, min_moves, plan, tightest_budget,
 };
 use protocol::{EntryId, HallId, LogRecord, RecordId, encode};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -90,7 +90,7 @@
         let hall = vm % 4 + 1;
         let id = format!("vm-{vm:05}");
         let base = self.fleet.vms.get(&id).map_or(0, |vm| vm.version);
-        let seen = Seen::Up {
+        let seen = ObservedState::Up {
             hall: format!("hall-{hall}"),
             rack: format!("hall-{hall}-rack-{}", vm / 16),
             addr: "addr".into(),
@@ -236,7 +236,7 @@
                     let number = id["vm-".len()..].parse().unwrap();
                     self.up(number, vm.boot + 1).seen
                 } else {
-                    Seen::Down
+                    ObservedState::Down
                 },
             })
             .collect();
--- a/crates/fleet/tests/world/calls.rs
+++ b/crates/fleet/tests/world/calls.rs
@@ -2,7 +2,8 @@
 
 use super::{Call, LEASE, World, view};
 use havenladder_fleet::{
-    Action, Change, Evidence, Grant, LeaseRequest, Sight, Vm, next_action, token_without_grant,
+    Action, Change, Evidence, Grant, LeaseRequest, Vm, VmObservation, next_action,
+    token_without_grant,
 };
 use rand::{Rng, seq::IndexedRandom};
 
@@ -24,7 +25,7 @@
         };
         let name = self.entries[entry].name.clone();
         let view = view(&name, &members, self.now);
-        let sight = self.machines.get(&id).map(|machine| Sight {
+        let observation = self.machines.get(&id).map(|machine| VmObservation {
             boot: machine.boot,
             up: machine.up,
             drained: machine.drained,
@@ -32,7 +33,10 @@
             pool: machine.pool.clone(),
             token: machine.token,
         });
-        let evidence = Evidence { sight, unseen: 0 };
+        let evidence = Evidence {
+            observation,
+            unrecorded_down: 0,
+        };
         let action = next_action(&self.entries[entry].fleet, &vm, &grant, &evidence, &view);
         self.calls.push(Call {
             entry,
--- a/crates/fleet/tests/world/duties.rs
+++ b/crates/fleet/tests/world/duties.rs
@@ -1,7 +1,9 @@
 //! What entries see of the VMs, and what operators ask for.
 
 use super::{LEASE, World};
-use havenladder_fleet::{Change, GrantPurpose, GrantRequest, Observation, Seen, Vm, WaveChange};
+use havenladder_fleet::{
+    Change, GrantPurpose, GrantRequest, Observation, ObservedState, Vm, WaveChange,
+};
 use rand::{Rng, seq::IndexedRandom};
 
 impl World {
@@ -12,7 +14,7 @@
         for (id, machine) in &self.machines {
             let known = fleet.vms.get(id);
             let what = if machine.up {
-                Seen::Up {
+                ObservedState::Up {
                     hall: machine.hall.clone(),
                     rack: machine.rack.clone(),
                     addr: "addr".into(),
@@ -20,7 +22,7 @@
                     boot: machine.boot,
                 }
             } else {
-                Seen::Down
+                ObservedState::Down
             };
             let base = known.map_or(0, |vm| vm.version);
             seen.push(Observation {
@@ -35,7 +37,7 @@
                 seen.push(Observation {
                     vm: id.clone(),
                     base,
-                    seen: Seen::Gone,
+                    seen: ObservedState::Gone,
                 });
             }
         }
--- a/crates/havenladder/src/duties/steward.rs
+++ b/crates/havenladder/src/duties/steward.rs
@@ -7,8 +7,8 @@
     propose::{ProposeError, propose},
 };
 use fleet::{
-    Action, Change, Evidence, Fleet, Grant, LeaseRequest, Outcome, Sight, View, Vm, next_action,
-    plan,
+    Action, Change, Evidence, Fleet, Grant, LeaseRequest, Outcome, View, Vm, VmObservation,
+    next_action, plan,
 };
 use platform::{VmCall, VmInfo, Vms};
 use protocol::{EntryId, HallId, Offset, VmId};
@@ -145,8 +145,8 @@
     let action = {
         let fleet = ctx.fleet.get();
         let evidence = Evidence {
-            sight: info.as_ref().map(sight),
-            unseen: unseen(ctx, &fleet, &task.vm),
+            observation: info.as_ref().map(sight),
+            unrecorded_down: unseen(ctx, &fleet, &task.vm),
         };
         next_action(
             &fleet,
@@ -205,8 +205,8 @@
     }
 }
 
-fn sight(info: &VmInfo) -> Sight {
-    Sight {
+fn sight(info: &VmInfo) -> VmObservation {
+    VmObservation {
         boot: info.boot,
         up: info.up,
         drained: info.drained,
--- a/crates/havenladder/src/duties/watch/report.rs
+++ b/crates/havenladder/src/duties/watch/report.rs
@@ -1,7 +1,7 @@
 //! What the agreed state is told of VMs: changes only, each by one entry.
 
 use crate::{context::Context, sightings::Sighting};
-use fleet::{Health, Observation, Seen, Vm};
+use fleet::{Health, Observation, ObservedState, Vm};
 use platform::{ListState, VmInfo};
 use protocol::{EntryId, HallId, VmId, first_in_hall, ranked};
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,7 +45,7 @@
             changes.push(Observation {
                 vm: id.clone(),
                 base: vm.version,
-                seen: Seen::Gone,
+                seen: ObservedState::Gone,
             });
         }
     }
@@ -68,12 +68,12 @@
     vm: Option<&Vm>,
     sighting: Option<Sighting>,
     boot: Option<u64>,
-) -> Option<Seen> {
+) -> Option<ObservedState> {
     if sighting.is_some_and(Sighting::is_suspect) {
-        return Some(Seen::Down);
+        return Some(ObservedState::Down);
     }
     if info.state == ListState::Leaving {
-        return Some(Seen::Leaving);
+        return Some(ObservedState::Leaving);
     }
     let known_boot = vm.map_or(0, |vm| vm.boot);
     let boot = boot.unwrap_or(info.boot).max(info.boot);
@@ -81,7 +81,7 @@
     if boot < known_boot || !(info.up || answered) {
         return None;
     }
-    Some(Seen::Up {
+    Some(ObservedState::Up {
         hall: info.hall.clone(),
         rack: info.rack.clone(),
         addr: info.addr.clone(),
@@ -90,16 +90,16 @@
     })
 }
 
-fn is_news(vm: Option<&Vm>, seen: &Seen) -> bool {
+fn is_news(vm: Option<&Vm>, seen: &ObservedState) -> bool {
     let Some(vm) = vm else {
-        return matches!(seen, Seen::Up { .. });
+        return matches!(seen, ObservedState::Up { .. });
     };
     match seen {
-        Seen::Up {
+        ObservedState::Up {
             addr, slots, boot, ..
         } => vm.health != Health::Up || vm.boot != *boot || vm.addr != *addr || vm.slots != *slots,
-        Seen::Leaving => vm.health != Health::Leaving,
-        Seen::Down => vm.health != Health::Down && vm.health != Health::Gone,
-        Seen::Gone => vm.health != Health::Gone,
+        ObservedState::Leaving => vm.health != Health::Leaving,
+        ObservedState::Down => vm.health != Health::Down && vm.health != Health::Gone,
+        ObservedState::Gone => vm.health != Health::Gone,
     }
 }
