--- a/crates/fleet/src/backoff.rs
+++ b/crates/fleet/src/backoff.rs
@@ -6,26 +6,26 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     first: Duration,
-    longest: Duration,
+    max: Duration,
     next: Duration,
 }
 
 impl Backoff {
     /// Pauses from `first` on that double up to `longest`.
-    pub fn new(first: Duration, longest: Duration) -> Self {
+    pub fn new(first: Duration, max: Duration) -> Self {
         Backoff {
             first,
-            longest,
+            max,
             next: first,
         }
     }
 
     /// The pause to make now: between a half and all of what the tries so far ask for. `draw` is drawn at random between 0
     /// and 1.
-    pub fn pause(&mut self, draw: f64) -> Duration {
-        let pause = self.next;
-        self.next = (pause * 2).min(self.longest);
-        pause.mul_f64(0.5 + draw.clamp(0.0, 1.0) / 2.0)
+    pub fn next_delay(&mut self, draw: f64) -> Duration {
+        let delay = self.next;
+        self.next = (delay * 2).min(self.max);
+        delay.mul_f64(0.5 + draw.clamp(0.0, 1.0) / 2.0)
     }
 
     /// A try has succeeded.
--- a/crates/fleet/src/first_sent.rs
+++ b/crates/fleet/src/first_sent.rs
@@ -6,27 +6,30 @@
 use clock::Instant;
 
 /// Where a record is in a log.
-pub type Place = u64;
+pub type LogPosition = u64;
 
 /// When a record was first sent for the place for which one was sent last.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstSent {
-    place: Place,
-    at: Instant,
+    position: LogPosition,
+    sent_at: Instant,
 }
 
 impl FirstSent {
     /// A record is sent for a place.
-    pub fn note(known: Option<FirstSent>, place: Place, now: Instant) -> Self {
+    pub fn record(known: Option<FirstSent>, position: LogPosition, now: Instant) -> Self {
         match known {
-            Some(sent) if sent.place == place => sent,
-            Some(_) | None => FirstSent { place, at: now },
+            Some(sent) if sent.position == position => sent,
+            Some(_) | None => FirstSent {
+                position,
+                sent_at: now,
+            },
         }
     }
 
     /// The earliest moment at which the log can have taken this process's record that it has at a place; none if
     /// this process has sent none for it.
-    pub fn earliest(self, place: Place) -> Option<Instant> {
-        (self.place == place).then_some(self.at)
+    pub fn earliest(self, position: LogPosition) -> Option<Instant> {
+        (self.position == position).then_some(self.sent_at)
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,7 +4,6 @@
 //! same verdicts without asking another. Nothing in here knows a socket or a clock: time is what
 //! the records carry, or an argument.
 
-mod answer_time;
 mod backoff;
 mod bound;
 mod budget;
@@ -14,32 +13,33 @@
 mod grant;
 mod member;
 mod moves;
+mod outage;
 mod plan;
 mod publish;
 mod rate;
 mod reach;
 mod record;
 mod replication;
-mod silence;
+mod response_time;
 mod sizing;
 mod snapshot;
 mod state;
 mod unrecorded;
 mod wave;
 
-pub use answer_time::{AnswerTime, next_wait};
 pub use backoff::Backoff;
-pub use bound::{Whereabouts, room_to_go};
+pub use bound::{WaveVmState, wave_headroom};
 pub use budget::{PoolCount, TightestBudget, tightest_budget};
 pub use election::{
     ANSWERING_OWNER_TIMEOUT, Claim, Election, Holder, LEASE_TIMEOUT, MIN_OWNERSHIP_AGE, MilliCpu,
     SILENT_OWNER_TIMEOUT, WEAKER_CLAIM_DELAY, outranks,
 };
-pub use first_sent::{FirstSent, Place};
+pub use first_sent::{FirstSent, LogPosition};
 pub use moves::{BudgetHeadroom, ProposedGrant, min_moves, next_moves};
+pub use outage::{ServiceReport, is_isolated, is_unavailable};
 pub use plan::{Action, Evidence, View, VmObservation, next_action, plan, token_without_grant};
 pub use rate::RateLimit;
-pub use reach::{CONFIRMED, CUT_OFF, QUIET, RENEWED, Reach};
+pub use reach::{CUT_OFF_TIMEOUT, MIN_RENEWAL_DELAY, OWNER_SILENCE_TIMEOUT, PROBE_DELAY, Reach};
 pub use record::{
     Change, GrantPurpose, GrantRequest, LeaseRequest, Observation, ObservedState, Outcome,
     PathChange, Reason, Record, WaveChange,
@@ -48,7 +48,7 @@
     ASSIGNMENT_TIMEOUT, Address, Admission, FollowerInfo, Followers, MAX_FOLLOWERS,
     READERS_PER_HALL, Readers, STALE_AGE, Source,
 };
-pub use silence::{Hearing, is_away, is_turned_away};
+pub use response_time::{ResponseTime, next_timeout};
 pub use sizing::{
     DrainableVm, IdleVm, PoolDemand, Resize, SizingLimits, VmMove, lacks_vms, resize,
 };
--- a/crates/fleet/src/reach.rs
+++ b/crates/fleet/src/reach.rs
@@ -11,21 +11,21 @@
 
 /// How long nothing outside of the data centre has been heard until an entry asks whether something is
 /// there: the owner's renewals come every 0.4 s, and none may be late by a quarter of that.
-pub const QUIET: Duration = Duration::from_millis(500);
+pub const PROBE_DELAY: Duration = Duration::from_millis(500);
 
 /// How long nothing has been heard until an entry counts as cut off: one round of questions, 0.15 s, after
-/// [`QUIET`].
-pub const CUT_OFF: Duration = Duration::from_millis(700);
+/// [`PROBE_DELAY`].
+pub const CUT_OFF_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How long after the owner's first missing answer a renewal must come to show that it lives: one that was
 /// under way by then, and read late, does not.
-pub const RENEWED: Duration = Duration::from_millis(300);
+pub const MIN_RENEWAL_DELAY: Duration = Duration::from_millis(300);
 
 /// How long after its first missing answer an owner counts as silent: it has been asked once more by then.
-pub const CONFIRMED: Duration = Duration::from_millis(150);
+pub const OWNER_SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// For how long an answer of the owner counts: it is asked about every 0.5 s while its renewals do not come.
-pub const HEARD: Duration = Duration::from_millis(1_200);
+pub const MAX_OWNER_RESPONSE_AGE: Duration = Duration::from_millis(1_200);
 
 /// What an entry reaches.
 #[derive(Clone, Copy, Debug)]
@@ -55,77 +55,80 @@
     }
 
     /// The store answered.
-    pub fn note_store(&mut self, now: Instant) {
+    pub fn on_store_response(&mut self, now: Instant) {
         self.outside = self.outside.max(now);
     }
 
     /// For how long neither the store nor another data centre has been heard of.
-    pub fn quiet_for(&self, now: Instant) -> Duration {
+    pub fn outside_silence(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.outside)
     }
 
     /// An entry of another data centre answered.
-    pub fn note_peer(&mut self, now: Instant) {
+    pub fn on_peer_response(&mut self, now: Instant) {
         self.outside = now;
         self.peer = Some(now);
     }
 
     /// Whether an entry of another data centre has answered since then.
-    pub fn was_peer_heard(&self, since: Instant) -> bool {
+    pub fn has_peer_answered(&self, since: Instant) -> bool {
         self.peer.is_some_and(|at| at >= since)
     }
 
     /// A renewal of the owner was read.
-    pub fn note_renewal(&mut self, now: Instant) {
+    pub fn on_renewal(&mut self, now: Instant) {
         self.renewed = Some(now);
     }
 
     /// The owner answered.
-    pub fn note_answer(&mut self, now: Instant) {
+    pub fn on_owner_response(&mut self, now: Instant) {
         self.silent = None;
         self.answered = Some(now);
     }
 
     /// There is another owner, or none: what was heard of the one before does not count.
-    pub fn note_owner(&mut self) {
+    pub fn on_owner_change(&mut self) {
         self.silent = None;
         self.answered = None;
     }
 
     /// Whether the owner has answered of late, whatever became of its renewals.
-    pub fn is_owner_heard(&self, now: Instant) -> bool {
-        self.answered.is_some_and(|at| now < at + HEARD)
+    pub fn has_owner_answered(&self, now: Instant) -> bool {
+        self.answered
+            .is_some_and(|at| now < at + MAX_OWNER_RESPONSE_AGE)
     }
 
     /// The owner did not answer a question that it answers at once.
-    pub fn note_silence(&mut self, now: Instant) {
+    pub fn on_owner_timeout(&mut self, now: Instant) {
         self.silent.get_or_insert(now);
     }
 
     /// Whether the owner has not answered, asked twice, while something else outside of the data centre did.
     pub fn is_owner_silent(&self, now: Instant) -> bool {
-        let unheard = self.silent.is_some_and(|since| now >= since + CONFIRMED);
-        unheard && now < self.outside + CUT_OFF
+        let unanswered = self
+            .silent
+            .is_some_and(|since| now >= since + OWNER_SILENCE_TIMEOUT);
+        unanswered && now < self.outside + CUT_OFF_TIMEOUT
     }
 
     /// When the entry is to ask what it reaches, unless something is heard before.
-    pub fn ask_at(&self) -> Instant {
-        self.outside + QUIET
+    pub fn probe_at(&self) -> Instant {
+        self.outside + PROBE_DELAY
     }
 
     /// Whether the entry cannot serve callers that entries elsewhere can serve: it hears nothing from
     /// outside, or does not reach an owner that others hear.
     pub fn is_cut_off(&self, now: Instant) -> bool {
-        let isolated = self.peer.is_some() && now >= self.outside + CUT_OFF;
-        let passed_by = self
+        let isolated = self.peer.is_some() && now >= self.outside + CUT_OFF_TIMEOUT;
+        let bypassed = self
             .silent
-            .is_some_and(|since| self.is_passed_by(since, now));
-        isolated || passed_by
+            .is_some_and(|since| self.is_bypassed(since, now));
+        isolated || bypassed
     }
 
     /// Whether the owner has not answered this entry since `since`, though it renews its lease all the while.
-    fn is_passed_by(&self, since: Instant, now: Instant) -> bool {
-        let renews = |at: Instant| at >= since + RENEWED && now < at + LEASE_TIMEOUT;
-        now >= since + CUT_OFF && self.renewed.is_some_and(renews)
+    fn is_bypassed(&self, since: Instant, now: Instant) -> bool {
+        let renews = |at: Instant| at >= since + MIN_RENEWAL_DELAY && now < at + LEASE_TIMEOUT;
+        now >= since + CUT_OFF_TIMEOUT && self.renewed.is_some_and(renews)
     }
 }
--- a/crates/fleet/src/answer_time.rs
+++ b/crates/fleet/src/response_time.rs
@@ -8,61 +8,61 @@
 
 /// The least time until a call is sent again: an answer of the platform's store takes 4 ms, with its way and the
 /// append some 8 to 15, and an entry that is busy reads it 20 ms later.
-const LEAST: Duration = Duration::from_millis(40);
+const MIN_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// The most: an answer of a store that is 60 times slower than usual takes 240 to 360 ms.
-const MOST: Duration = Duration::from_millis(500);
+const MAX_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The part of the difference by which one answer moves the mean and the deviation: some four answers teach
 /// a new rule.
-const STEP: f64 = 0.25;
+const LEARNING_RATE: f64 = 0.25;
 
 /// How many deviations above the mean an answer is waited for, as in TCP's time-outs.
 const DEVIATIONS: f64 = 4.0;
 
 /// By what factor each wait is longer than the one before. With a third of the answers lost, 6 calls in 0.5 s
 /// leave one in 500 without an answer; a store that is down gets 8 in 1.5 s.
-const GROWTH: f64 = 1.5;
+const TIMEOUT_GROWTH: f64 = 1.5;
 
 /// How long answers take.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerTime {
+pub struct ResponseTime {
     /// Their mean, in seconds.
     mean: f64,
     /// How far they lie from it on average, in seconds.
     deviation: f64,
 }
 
-impl AnswerTime {
+impl ResponseTime {
     /// Nothing is known yet: the least is waited for.
     pub fn new() -> Self {
-        AnswerTime {
+        ResponseTime {
             mean: 0.0,
             deviation: 0.0,
         }
     }
 
     /// Takes in how long an answer took, from when its own call was sent.
-    pub fn note(&mut self, took: Duration) {
-        let off = took.as_secs_f64() - self.mean;
-        self.mean += off * STEP;
-        self.deviation += (off.abs() - self.deviation) * STEP;
+    pub fn record(&mut self, elapsed: Duration) {
+        let difference = elapsed.as_secs_f64() - self.mean;
+        self.mean += difference * LEARNING_RATE;
+        self.deviation += (difference.abs() - self.deviation) * LEARNING_RATE;
     }
 
     /// How long the first call is waited for.
-    pub fn first_wait(&self) -> Duration {
-        let wait = Duration::from_secs_f64(self.mean + self.deviation * DEVIATIONS);
-        wait.clamp(LEAST, MOST)
+    pub fn initial_timeout(&self) -> Duration {
+        let timeout = Duration::from_secs_f64(self.mean + self.deviation * DEVIATIONS);
+        timeout.clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 }
 
-impl Default for AnswerTime {
+impl Default for ResponseTime {
     fn default() -> Self {
-        AnswerTime::new()
+        ResponseTime::new()
     }
 }
 
 /// How long the next call is waited for, after one that was waited for so long.
-pub fn next_wait(wait: Duration) -> Duration {
-    wait.mul_f64(GROWTH).min(MOST)
+pub fn next_timeout(timeout: Duration) -> Duration {
+    timeout.mul_f64(TIMEOUT_GROWTH).min(MAX_TIMEOUT)
 }
--- a/crates/fleet/tests/silence.rs
+++ b/crates/fleet/tests/outage.rs
@@ -1,10 +1,10 @@
 //! Whether a service is away for all.
 
-use havenladder_fleet::{Hearing, is_away, is_turned_away};
+use havenladder_fleet::{ServiceReport, is_isolated, is_unavailable};
 use yare::parameterized;
 
-fn told(rows: &[(&str, bool)]) -> Vec<Hearing> {
-    let hearing = |(hall, silent): &(&str, bool)| Hearing {
+fn told(rows: &[(&str, bool)]) -> Vec<ServiceReport> {
+    let hearing = |(hall, silent): &(&str, bool)| ServiceReport {
         hall: (*hall).to_owned(),
         silent: *silent,
     };
@@ -22,14 +22,14 @@
     rows: &[(&str, bool)],
     away: bool,
 ) {
-    assert_eq!(is_away("a", &told(rows), rows.len()), away);
+    assert_eq!(is_unavailable("a", &told(rows), rows.len()), away);
 }
 
 #[test]
 fn entries_that_are_cut_off_together_do_not_take_it_for_an_outage() {
     let told = told(&[("b", true), ("c", true)]);
-    assert!(is_away("a", &told, 3));
-    assert!(!is_away("a", &told, 4), "as many did not answer");
+    assert!(is_unavailable("a", &told, 3));
+    assert!(!is_unavailable("a", &told, 4), "as many did not answer");
 }
 
 #[parameterized(
@@ -44,5 +44,5 @@
     rows: &[(&str, bool)],
     turned_away: bool,
 ) {
-    assert_eq!(is_turned_away(&told(rows)), turned_away);
+    assert_eq!(is_isolated(&told(rows)), turned_away);
 }
--- a/crates/havenladder/src/entry/feeding.rs
+++ b/crates/havenladder/src/entry/feeding.rs
@@ -72,6 +72,6 @@
         lease: lease.filter(|(_, end)| *end > question.end),
         held,
         age,
-        heard: node.reach.get().quiet_for(now),
+        heard: node.reach.get().outside_silence(now),
     })
 }
--- a/crates/havenladder/src/entry/follow.rs
+++ b/crates/havenladder/src/entry/follow.rs
@@ -52,7 +52,7 @@
             backoff.reset();
         } else {
             ask_peers(&node).await;
-            time::sleep(backoff.pause(rand::random())).await;
+            time::sleep(backoff.next_delay(rand::random())).await;
         }
     }
 }
--- a/crates/havenladder/src/entry/following.rs
+++ b/crates/havenladder/src/entry/following.rs
@@ -111,7 +111,7 @@
     let records = news.records.into_iter();
     let records: Vec<_> = records.map(|record| record.into_vec().into()).collect();
     node.note_freshness(|freshness| freshness.confirm(confirmed, confirmed));
-    node.note_reach(|reach| reach.note_store(heard));
+    node.note_reach(|reach| reach.on_store_response(heard));
     if let Some((lease, end)) = news.lease {
         set_lease(node, lease, end);
     }
--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -59,7 +59,7 @@
 pub(super) async fn read(node: &Node, log: &mut Log, wait: Duration) -> Seen {
     let read = store_calls::read(node, TOPIC, log.end, wait).await;
     if read.is_ok() {
-        node.note_reach(|reach| reach.note_store(Instant::now()));
+        node.note_reach(|reach| reach.on_store_response(Instant::now()));
     }
     match read {
         Ok(Read::Records(_, records)) if records.is_empty() => Seen::Nothing,
@@ -115,7 +115,7 @@
 /// Takes note that the owner has written a record.
 fn note_heard(node: &Node, log: &mut Log, now: Instant) {
     log.renewed = Some(now);
-    node.note_reach(|reach| reach.note_renewal(now));
+    node.note_reach(|reach| reach.on_renewal(now));
     // Whoever writes here lives, whatever its port did behind a cut.
     node.refused.set(None);
     node.suspect.set(None);
@@ -155,7 +155,7 @@
         "owner seen"
     );
     // Whether it answers is not known yet.
-    node.note_reach(fleet::Reach::note_owner);
+    node.note_reach(fleet::Reach::on_owner_change);
     node.lease_changed.notify_waiters();
 }
 
@@ -187,7 +187,7 @@
 /// Appends a record to the end of the log as far as it was read, and takes in what the log has there.
 pub(super) async fn write(node: &Node, log: &mut Log, lease: Lease) -> Written {
     let place = log.end;
-    log.sent = Some(FirstSent::note(log.sent, place, Instant::now()));
+    log.sent = Some(FirstSent::record(log.sent, place, Instant::now()));
     match append(node, place, &lease).await {
         Some(Appended::Done(end)) => {
             log.end = end;
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -91,7 +91,7 @@
         // Its port refuses connections: its process has ended.
         Some(lease) if node.refused.get() == Some(lease.life) => Holder::Ended,
         Some(_) if node.reach.get().is_owner_silent(Instant::now()) => Holder::Silent,
-        Some(_) if node.reach.get().is_owner_heard(Instant::now()) => Holder::Answering,
+        Some(_) if node.reach.get().has_owner_answered(Instant::now()) => Holder::Answering,
         Some(_) => Holder::Other,
     }
 }
@@ -317,7 +317,7 @@
     match (renewed, lease) {
         (Some(renewed), Some(lease)) => {
             owner.note_renewal(renewed, &lease);
-            node.note_reach(|reach| reach.note_store(Instant::now()));
+            node.note_reach(|reach| reach.on_store_response(Instant::now()));
         }
         _ if holds(node) => time::sleep(RETRY_INTERVAL).await,
         _ => {}
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -8,7 +8,7 @@
     workers::Workers,
 };
 use clock::Instant;
-use fleet::{AnswerTime, Reach};
+use fleet::{Reach, ResponseTime};
 use std::{
     cell::{Cell, RefCell},
     rc::Rc,
@@ -32,13 +32,13 @@
     /// The platform's store.
     pub store: Store,
     /// How long the store takes to answer.
-    pub store_times: Cell<AnswerTime>,
+    pub store_times: Cell<ResponseTime>,
     /// The workers.
     pub workers: Workers,
     /// The platform's VMs.
     pub cloud: Cloud,
     /// How long the list of VMs takes to read.
-    pub list_times: Cell<AnswerTime>,
+    pub list_times: Cell<ResponseTime>,
     /// The service that tells which workers may run a step.
     pub advice: Option<Advice>,
     /// What operators have put in force.
--- a/crates/havenladder/src/entry/outage.rs
+++ b/crates/havenladder/src/entry/outage.rs
@@ -11,7 +11,7 @@
 };
 use adapter::http::Connection;
 use clock::Instant;
-use fleet::{Hearing, is_away, is_turned_away};
+use fleet::{ServiceReport, is_isolated, is_unavailable};
 use std::{rc::Rc, time::Duration};
 use tokio::{task, time};
 use tracing::info;
@@ -110,18 +110,18 @@
         // An entry that does not answer tells nothing.
         if let Ok((peer, Ok(Tell::Outage { hall, silent }), took)) = ask.await {
             let answered = !silent && took <= PROMPT;
-            prompt.push(Hearing {
+            prompt.push(ServiceReport {
                 hall: hall.clone(),
                 silent: !answered,
             });
-            told.push(Hearing { hall, silent });
+            told.push(ServiceReport { hall, silent });
             reaching.extend(answered.then_some(peer));
         }
     }
     let settled = owner.began.elapsed() >= SETTLED;
     // The store may have answered by now.
     let stalls = || owner.is_alive() && owner.is_stalled(began.elapsed());
-    if settled && is_turned_away(&prompt) && !own.await.unwrap_or(true) && stalls() {
+    if settled && is_isolated(&prompt) && !own.await.unwrap_or(true) && stalls() {
         info!(
             epoch = owner.epoch,
             reaching = reaching.len(),
@@ -131,7 +131,7 @@
         owner.lease_due.notify_one();
         owner.relays_known.notify_one();
     }
-    if is_away(&owner.node.settings.hall, &told, asked) {
+    if is_unavailable(&owner.node.settings.hall, &told, asked) {
         let last = owner.outage.get();
         if !last.is_confirmed() {
             info!(epoch = owner.epoch, "the store is away for others, too");
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -65,7 +65,7 @@
     if node.cut_off.get() {
         return;
     }
-    let at = node.reach.get().ask_at();
+    let at = node.reach.get().probe_at();
     tokio::select! {
         () = timer::sleep_until(at) => {}
         () = node.reach_due.notified() => {}
@@ -101,7 +101,7 @@
             Ok(Tell::Life(presence)) => note_presence(node, address, presence, is_owner),
             // A port that refuses shows that the owner's process has ended.
             Err(error) if is_owner && !error.is_refused() => {
-                node.note_reach(|reach| reach.note_silence(Instant::now()));
+                node.note_reach(|reach| reach.on_owner_timeout(Instant::now()));
             }
             Ok(_) | Err(_) => {}
         }
@@ -112,7 +112,7 @@
 /// Forgets the entries that did not answer where others of other data centres did: they may be gone for good,
 /// and make room for those that the others know.
 fn forget_missing(node: &Node, missing: &[Address], began: Instant) {
-    if node.reach.get().was_peer_heard(began) {
+    if node.reach.get().has_peer_answered(began) {
         let mut directory = node.directory.borrow_mut();
         directory.retain(|address, _| !missing.contains(address));
     }
@@ -130,11 +130,11 @@
 /// Takes note of an entry that answered.
 fn note_presence(node: &Node, address: Address, presence: Presence, is_owner: bool) {
     if is_owner {
-        node.note_reach(|reach| reach.note_answer(Instant::now()));
+        node.note_reach(|reach| reach.on_owner_response(Instant::now()));
     }
     let own = &node.settings.hall;
     if presence.hall != *own {
-        node.note_reach(|reach| reach.note_peer(Instant::now()));
+        node.note_reach(|reach| reach.on_peer_response(Instant::now()));
     }
     let heard = presence.known.into_iter().chain([(address, presence.hall)]);
     let mut directory = node.directory.borrow_mut();
--- a/crates/havenladder/src/entry/resend.rs
+++ b/crates/havenladder/src/entry/resend.rs
@@ -7,7 +7,7 @@
 
 use adapter::http::{CallError, Connection};
 use clock::{Instant, timer};
-use fleet::{AnswerTime, next_wait};
+use fleet::{ResponseTime, next_timeout};
 use std::{
     cell::Cell,
     pin::{Pin, pin},
@@ -42,7 +42,7 @@
 
 /// Sends a call that may be repeated until it is answered.
 pub async fn until_answered<T, F>(
-    times: &Cell<AnswerTime>,
+    times: &Cell<ResponseTime>,
     timeouts: Timeouts,
     send: impl Fn(Connection) -> F,
 ) -> Answered<T>
@@ -52,7 +52,7 @@
 {
     let Timeouts { hold, limit } = timeouts;
     let until = Instant::now() + hold + limit;
-    let mut wait = times.get().first_wait();
+    let mut wait = times.get().initial_timeout();
     let mut calls = 1;
     let mut under_way = JoinSet::new();
     under_way.spawn_local(timed(send(Connection::Kept)));
@@ -80,7 +80,7 @@
             None => {
                 calls += 1;
                 under_way.spawn_local(timed(send(Connection::Fresh)));
-                wait = next_wait(wait);
+                wait = next_timeout(wait);
                 // Who waits may have others to ask, and is told in time.
                 until_again = wait.min(until.saturating_duration_since(Instant::now()));
             }
@@ -116,10 +116,10 @@
 }
 
 /// Learns from an answer; one that came before its time had something to tell, and could have come any time.
-fn note(times: &Cell<AnswerTime>, hold: Duration, took: Duration) {
+fn note(times: &Cell<ResponseTime>, hold: Duration, took: Duration) {
     if let Some(took) = took.checked_sub(hold) {
         let mut learned = times.get();
-        learned.note(took);
+        learned.record(took);
         times.set(learned);
     }
 }
--- a/crates/havenladder/src/entry/upkeep.rs
+++ b/crates/havenladder/src/entry/upkeep.rs
@@ -12,7 +12,7 @@
     operator::{Wave, WaveState},
 };
 use clock::Instant;
-use fleet::{Whereabouts, room_to_go};
+use fleet::{WaveVmState, wave_headroom};
 use jobs::{Loss, Need, Takeout, WorkerId};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -214,13 +214,13 @@
 /// How many more VMs of a wave may go down now.
 fn room(owner: &Owner, wave: &Wave, course: &Course, vms: &VmList) -> usize {
     let whereabouts = |name: &String| match vms.get(name).map(|vm| vm.state) {
-        _ if course.down.contains_key(name) => Whereabouts::Told,
+        _ if course.down.contains_key(name) => WaveVmState::Ordered,
         // One in a state that is not known is counted against the bound.
-        Some(VmState::Upkeep | VmState::Down | VmState::Other) => Whereabouts::Down,
-        Some(VmState::Up) if owner.is_doubtful(name) => Whereabouts::Doubtful,
-        Some(VmState::Up | VmState::Moving) | None => Whereabouts::Up,
+        Some(VmState::Upkeep | VmState::Down | VmState::Other) => WaveVmState::Down,
+        Some(VmState::Up) if owner.is_doubtful(name) => WaveVmState::Unconfirmed,
+        Some(VmState::Up | VmState::Moving) | None => WaveVmState::Up,
     };
-    room_to_go(wave.most, wave.vms.iter().map(whereabouts))
+    wave_headroom(wave.most, wave.vms.iter().map(whereabouts))
 }
 
 /// Chooses the VMs to go next: those that carry the least, as many as the bound has room for.
