--- a/crates/havenladder/src/entry/follow.rs
+++ b/crates/havenladder/src/entry/follow.rs
@@ -16,7 +16,7 @@
 use std::{rc::Rc, time::Duration};
 use tokio::{task, time};
 use tracing::info;
-use workspaces::Next;
+use workspaces::FreshnessAction;
 
 /// How long a read waits for the next record. A connection that fell silent is noticed soon after
 /// this, and a change must be in force within 2 s.
@@ -172,15 +172,15 @@
         let now = Instant::now();
         let looked = node.looked.notified();
         let next = match reliance {
-            Reliance::Newest => node.freshness.get().next(now),
-            Reliance::Unknown(came) => node.freshness.get().next_unknown(came, now),
+            Reliance::Newest => node.freshness.get().next_action(now),
+            Reliance::Unknown(came) => node.freshness.get().next_action_for_unknown(came, now),
         };
         match next {
-            Next::Go => return true,
-            Next::Refuse => return false,
-            Next::Look => begin_look(node),
-            Next::Join => {}
-            Next::Wait(due) => {
+            FreshnessAction::Proceed => return true,
+            FreshnessAction::Refuse => return false,
+            FreshnessAction::Poll => begin_look(node),
+            FreshnessAction::JoinPoll => {}
+            FreshnessAction::WaitUntil(due) => {
                 timer::sleep_until(due.min(until)).await;
                 if due < until {
                     continue;
@@ -189,7 +189,8 @@
         }
         let ended = now < until && timer::timeout_at(until, looked).await.is_ok();
         if !ended {
-            return node.freshness.get().unsure(Instant::now()) != Next::Refuse;
+            return node.freshness.get().action_without_poll(Instant::now())
+                != FreshnessAction::Refuse;
         }
     }
 }
@@ -197,18 +198,18 @@
 /// Begins a look, unless one is under way or was a moment ago.
 pub fn look_soon(node: &Rc<Node>) {
     let now = Instant::now();
-    if node.freshness.get().next_unknown(now, now) == Next::Look {
+    if node.freshness.get().next_action_for_unknown(now, now) == FreshnessAction::Poll {
         begin_look(node);
     }
 }
 
 /// Begins a look for what is newer than what this entry knows; all calls that wait share it.
 fn begin_look(node: &Rc<Node>) {
-    node.note_freshness(|freshness| freshness.begin_look(Instant::now()));
+    node.note_freshness(|freshness| freshness.begin_poll(Instant::now()));
     let node = Rc::clone(node);
     task::spawn_local(async move {
         let answered = look(&node).await;
-        node.note_freshness(|freshness| freshness.end_look(answered));
+        node.note_freshness(|freshness| freshness.end_poll(answered));
         node.looked.notify_waiters();
     });
 }
--- a/crates/workspaces/src/key.rs
+++ b/crates/workspaces/src/key.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 /// The longest key that is looked at, in bytes; the platform's have 20.
-const LONGEST: usize = 512;
+const MAX_KEY_BYTES: usize = 512;
 
 /// A key in the clear, as a caller shows it. Neither its `Debug` form nor anything else tells it.
 #[derive(Clone, Debug)]
@@ -29,8 +29,9 @@
 impl Key {
     /// A key, unless the text is empty, very long, or has blanks or signs that no key has.
     pub fn new(text: &str) -> Option<Self> {
-        let sound = !text.is_empty() && text.len() <= LONGEST;
-        (sound && text.bytes().all(|b| b.is_ascii_graphic())).then(|| Key(text.to_owned().into()))
+        let valid_length = !text.is_empty() && text.len() <= MAX_KEY_BYTES;
+        (valid_length && text.bytes().all(|b| b.is_ascii_graphic()))
+            .then(|| Key(text.to_owned().into()))
     }
 
     /// What is kept of it.
--- a/crates/workspaces/src/lib.rs
+++ b/crates/workspaces/src/lib.rs
@@ -5,7 +5,7 @@
 mod key;
 mod keyring;
 
-pub use freshness::{Freshness, Next};
+pub use freshness::{Freshness, FreshnessAction};
 pub use key::{Authorization, Key, KeyDigest, read_authorization};
 pub use keyring::Keyring;
 
