--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -15,7 +15,7 @@
 };
 
 /// How far the clock has been put forward by [`advance_to`], in ms.
-static ADVANCED: AtomicU64 = AtomicU64::new(0);
+static ADVANCED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// A moment of this machine's time since its start, suspensions included.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -24,7 +24,7 @@
 impl Instant {
     /// This moment.
     pub fn now() -> Self {
-        let advanced = Duration::from_millis(ADVANCED.load(Ordering::Relaxed));
+        let advanced = Duration::from_millis(ADVANCED_MS.load(Ordering::Relaxed));
         Instant(read(ClockId::Boottime) + advanced)
     }
 
@@ -78,7 +78,7 @@
 
 /// By how much this clock is ahead of the steady one: it grows by the length of each suspension. Timers stand on the
 /// steady clock, and fire late by as much.
-pub fn ahead() -> Duration {
+pub fn suspended_time() -> Duration {
     // Read in this order, a thread that loses its turn between the two finds too little rather than too much.
     let now = Instant::now();
     let steady = read(ClockId::Monotonic);
@@ -87,7 +87,7 @@
 
 /// Puts the clock forward by so much in all, as suspensions of the machine would: for tests, which cannot suspend it.
 pub fn advance_to(span: Duration) {
-    ADVANCED.fetch_max(span.as_millis() as u64, Ordering::Relaxed);
+    ADVANCED_MS.fetch_max(span.as_millis() as u64, Ordering::Relaxed);
 }
 
 /// What a clock of the system shows.
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -9,7 +9,7 @@
 /// Both clocks are shared by a process, so that all is tried in one test.
 #[test]
 fn ages_and_deadlines_count_a_suspension_and_waits_end_once_it_is_noticed() {
-    assert_eq!(timer::notice_suspension(), None);
+    assert_eq!(timer::detect_suspension(), None);
     let mut total = Duration::ZERO;
     for ms in [500, 3_000, 30_000] {
         let span = Duration::from_millis(ms);
@@ -19,9 +19,9 @@
         advance_to(total);
         assert!(before.elapsed() >= span, "ages count it");
         assert!(Instant::now() >= deadline, "deadlines pass in it");
-        let noticed = timer::notice_suspension().map(|noticed| noticed.as_millis() as u64);
+        let noticed = timer::detect_suspension().map(|noticed| noticed.as_millis() as u64);
         assert!(noticed.is_some_and(|noticed| noticed.abs_diff(ms) < 100));
-        assert_eq!(timer::notice_suspension(), None, "it is noticed once");
+        assert_eq!(timer::detect_suspension(), None, "it is noticed once");
     }
     wait_through(total);
 }
@@ -37,7 +37,7 @@
         let notice = async {
             tokio::time::sleep(Duration::from_millis(10)).await;
             advance_to(before + FAR);
-            timer::notice_suspension()
+            timer::detect_suspension()
         };
         let never = std::future::pending::<()>();
         let began = std::time::Instant::now();
--- a/crates/havenladder/src/entry/suspension.rs
+++ b/crates/havenladder/src/entry/suspension.rs
@@ -22,7 +22,7 @@
 /// Looks whether the machine was suspended, and ends the waits whose time has passed. Each entry reads the lease or
 /// renews it several times a second; so often it is called, at no cost but two reads of a clock.
 pub fn notice(node: &Node) {
-    if let Some(span) = timer::notice_suspension() {
+    if let Some(span) = timer::detect_suspension() {
         node.metrics.suspended();
         info!(ms = span.as_millis() as u64, "the machine was suspended");
     }
