--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets: how many slots of a pool are unavailable, and whether more may be.
+//! Budgets: how many slots of a pool are unavailable, and whether more may become unavailable.
 
 use crate::{
     record::GrantPurpose,
@@ -8,34 +8,34 @@
 use serde::{Deserialize, Serialize};
 use settings::{Path, Service};
 
-/// Slots of one pool; each of its services has them all.
+/// The VM and slot counts of one pool. Each service of the pool uses all of its slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolCount {
-    /// VMs that belong to the pool.
+    /// The number of VMs that belong to the pool.
     pub vms: u32,
-    /// Slots of all of them.
+    /// The number of slots of all these VMs.
     pub slots: u32,
-    /// Slots that are down, suspected, leaving, granted or draining.
+    /// The number of slots on VMs that are down, suspected, leaving, granted or draining.
     pub unavailable: u32,
-    /// VMs that the platform no longer lists.
+    /// The number of VMs that the platform no longer lists.
     pub gone: u32,
-    /// VMs of other pools that are on their way here.
+    /// The number of VMs of other pools that are being moved to this pool.
     pub incoming: u32,
 }
 
-/// What one VM adds to one pool.
-type Part = (PoolId, PoolCount);
+/// The amount that one VM contributes to the counts of one pool.
+type Contribution = (PoolId, PoolCount);
 
-/// The budget that leaves least room in a pool.
+/// The smallest budget among the services of a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TightestBudget {
-    /// The service that sets it.
+    /// The service that sets the budget.
     pub service: Path,
     /// The budget, in slots.
     pub budget: u32,
 }
 
-/// Returns the tightest budget among the services of `pool`; `None` where it has no service.
+/// Returns the smallest budget among the services of `pool`, or `None` if the pool has no service.
 pub fn tightest_budget(fleet: &Fleet, pool: &str) -> Option<TightestBudget> {
     let capacity = fleet.count(pool).slots;
     fleet
@@ -47,42 +47,47 @@
                 .unavailable
                 .slots(capacity),
         })
-        .min_by_key(|hold| hold.budget)
+        .min_by_key(|tightest| tightest.budget)
 }
 
 impl Fleet {
-    /// Returns the slots of `pool`.
+    /// Returns the counts of `pool`.
     pub fn count(&self, pool: &str) -> PoolCount {
         self.counts.get(pool).copied().unwrap_or_default()
     }
 
-    /// Returns the room that is left in the tightest budget of `pool`, in slots.
+    /// Returns how many more slots of `pool` may become unavailable within its smallest budget.
     ///
     /// # Errors
     ///
-    /// Returns the slots by which the pool is over that budget.
+    /// Returns the number of slots by which the pool exceeds that budget.
     pub fn headroom(&self, pool: &str) -> Result<u32, u32> {
-        let Some(hold) = tightest_budget(self, pool) else {
+        let Some(tightest) = tightest_budget(self, pool) else {
             return Ok(u32::MAX);
         };
         let unavailable = self.count(pool).unavailable;
-        hold.budget
+        tightest
+            .budget
             .checked_sub(unavailable)
-            .ok_or(unavailable.saturating_sub(hold.budget))
+            .ok_or(unavailable.saturating_sub(tightest.budget))
     }
 
-    /// Changes one VM and keeps the counts in step; the only way by which a VM changes.
+    /// Changes one VM and updates the counts of the pools. Every change of a VM goes through this function.
     pub(crate) fn change_vm(&mut self, id: &str, version: Offset, change: impl FnOnce(&mut Vm)) {
         let Some(vm) = self.vms.get_mut(id) else {
             return;
         };
-        let before = parts(vm);
+        let before = contributions(vm);
         change(vm);
         vm.version = version;
-        let after = parts(vm);
+        let after = contributions(vm);
         let is_granted = vm.grant.is_some();
-        before.iter().for_each(|part| self.discount(part));
-        after.iter().for_each(|part| self.charge(part));
+        before
+            .iter()
+            .for_each(|contribution| self.discount(contribution));
+        after
+            .iter()
+            .for_each(|contribution| self.charge(contribution));
         if is_granted {
             self.granted.insert(id.to_owned());
         } else {
@@ -90,44 +95,48 @@
         }
     }
 
-    /// Adds a VM.
+    /// Adds a VM and counts it in its pool.
     pub(crate) fn insert_vm(&mut self, id: VmId, vm: Vm) {
-        parts(&vm).iter().for_each(|part| self.charge(part));
+        contributions(&vm)
+            .iter()
+            .for_each(|contribution| self.charge(contribution));
         self.vms.insert(id, vm);
     }
 
-    /// Removes a VM.
+    /// Removes a VM and subtracts it from the counts.
     pub(crate) fn remove_vm(&mut self, id: &str) {
         if let Some(vm) = self.vms.remove(id) {
-            parts(&vm).iter().for_each(|part| self.discount(part));
+            contributions(&vm)
+                .iter()
+                .for_each(|contribution| self.discount(contribution));
             self.granted.remove(id);
         }
     }
 
-    fn charge(&mut self, (pool, part): &Part) {
+    fn charge(&mut self, (pool, contribution): &Contribution) {
         let count = self.counts.entry(pool.clone()).or_default();
-        count.vms += part.vms;
-        count.slots += part.slots;
-        count.unavailable += part.unavailable;
-        count.gone += part.gone;
-        count.incoming += part.incoming;
+        count.vms += contribution.vms;
+        count.slots += contribution.slots;
+        count.unavailable += contribution.unavailable;
+        count.gone += contribution.gone;
+        count.incoming += contribution.incoming;
     }
 
-    fn discount(&mut self, (pool, part): &Part) {
+    fn discount(&mut self, (pool, contribution): &Contribution) {
         let count = self.counts.entry(pool.clone()).or_default();
-        count.vms -= part.vms;
-        count.slots -= part.slots;
-        count.unavailable -= part.unavailable;
-        count.gone -= part.gone;
-        count.incoming -= part.incoming;
+        count.vms -= contribution.vms;
+        count.slots -= contribution.slots;
+        count.unavailable -= contribution.unavailable;
+        count.gone -= contribution.gone;
+        count.incoming -= contribution.incoming;
         if *count == PoolCount::default() {
             self.counts.remove(pool);
         }
     }
 }
 
-/// What a VM adds to its own pool and, while it moves, to the one it is on its way to.
-fn parts(vm: &Vm) -> Vec<Part> {
+/// Returns what a VM contributes to its own pool and, while it is being moved, to its new pool.
+fn contributions(vm: &Vm) -> Vec<Contribution> {
     let own = PoolCount {
         vms: 1,
         slots: vm.slots,
@@ -135,7 +144,7 @@
         gone: u32::from(vm.health == Health::Gone),
         incoming: 0,
     };
-    let mut parts = vec![(vm.pool.clone(), own)];
+    let mut contributions = vec![(vm.pool.clone(), own)];
     if let Some(Grant {
         purpose: GrantPurpose::Move { to },
         step,
@@ -147,7 +156,7 @@
             incoming: 1,
             ..PoolCount::default()
         };
-        parts.push((to.clone(), coming));
+        contributions.push((to.clone(), coming));
     }
-    parts
+    contributions
 }
--- a/crates/fleet/src/fold.rs
+++ b/crates/fleet/src/fold.rs
@@ -1,4 +1,4 @@
-//! The fold: one record after the other, the same outcome in every process.
+//! Applies the records of the log one after the other, with the same outcome in every process.
 
 use crate::{
     MAX_RECORD_EXPIRY,
@@ -8,26 +8,26 @@
 use protocol::{LogRecord, Offset, RecordId, decode};
 use std::time::SystemTime;
 
-/// Where a proposal stands in the log.
+/// The record to which a proposal belongs.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
     /// The record's offset.
     pub offset: Offset,
-    /// When the log took it.
+    /// The time at which the log accepted the record.
     pub at: SystemTime,
-    /// Who appended it.
+    /// The entry that appended the record.
     pub by: String,
 }
 
 impl Fleet {
-    /// Applies the record at [`Fleet::next`] and returns what was decided about each proposal.
+    /// Applies the record at [`Fleet::next`] and returns the outcome of each proposal.
     ///
-    /// Records at lower offsets have been applied before and change nothing; the caller must not
-    /// skip an offset, since the fold cannot know what it missed.
+    /// Records at lower offsets have been applied before and change nothing. The caller must not skip an
+    /// offset, since the state cannot show what it missed.
     ///
     /// # Panics
     ///
-    /// Panics when an offset is skipped: a state with a hole in it must never be served.
+    /// Panics when an offset is skipped: a state that lacks a record must never be served.
     pub fn apply(&mut self, record: &LogRecord) -> Vec<Outcome> {
         if record.offset < self.next {
             return vec![Outcome::Rejected(Reason::Duplicate)];
@@ -42,15 +42,16 @@
         }
     }
 
-    /// Returns what was decided about a record that was taken lately.
+    /// Returns the origin and the outcomes of a record that was accepted recently, or `None` if the id is
+    /// not known.
     pub fn outcome(&self, id: RecordId) -> Option<(&RecordOrigin, &[Outcome])> {
-        let mark = self.recent.get(&id)?;
+        let origin = self.recent.get(&id)?;
         let outcomes = self.outcomes.get(&id)?;
-        Some((mark, outcomes))
+        Some((origin, outcomes))
     }
 
     fn apply_record(&mut self, offset: Offset, record: &Record) -> Vec<Outcome> {
-        if let Some(reason) = self.refusal(record) {
+        if let Some(reason) = self.rejection(record) {
             return vec![Outcome::Rejected(reason); record.changes.len()];
         }
         let context = Context {
@@ -63,11 +64,11 @@
             .iter()
             .map(|change| self.apply_change(&context, change))
             .collect();
-        self.remember(&context, record, &outcomes);
+        self.record_outcomes(&context, record, &outcomes);
         outcomes
     }
 
-    fn refusal(&self, record: &Record) -> Option<Reason> {
+    fn rejection(&self, record: &Record) -> Option<Reason> {
         if self.recent.contains_key(&record.id) {
             return Some(Reason::Duplicate);
         }
@@ -90,22 +91,22 @@
             Change::Finish { vm, grant, boot } => self.finish(context, vm, *grant, *boot),
             Change::Undo { vm, grant } => self.undo(context, vm, *grant),
             Change::Forget { vm } => self.forget(vm),
-            Change::Wave(change) => self.steer(context, change),
+            Change::Wave(change) => self.change_wave(context, change),
         }
     }
 
-    fn remember(&mut self, context: &Context, record: &Record, outcomes: &[Outcome]) {
-        let mark = RecordOrigin {
+    fn record_outcomes(&mut self, context: &Context, record: &Record, outcomes: &[Outcome]) {
+        let origin = RecordOrigin {
             offset: context.offset,
             by: record.by.clone(),
             at: context.at,
         };
-        self.recent.insert(record.id, mark);
+        self.recent.insert(record.id, origin);
         self.expiring.insert((record.expires, record.id), ());
         self.outcomes.insert(record.id, outcomes.to_vec());
     }
 
-    /// Forgets ids whose second copies would be rejected as late anyway.
+    /// Forgets expired ids: a second copy of such a record would be rejected as late anyway.
     fn forget_expired(&mut self) {
         while let Some((&(expires, id), ())) = self.expiring.first_key_value() {
             if expires >= self.at {
--- a/crates/fleet/src/grant.rs
+++ b/crates/fleet/src/grant.rs
@@ -1,4 +1,4 @@
-//! Grants: leave to take a VM out of service, charged to the budgets until the VM is back.
+//! Grants: permissions to take a VM out of service, charged to the budgets until the VM is back.
 
 use crate::{
     MAX_CLOCK_SKEW, MAX_LEASE,
@@ -12,9 +12,9 @@
 use std::time::SystemTime;
 
 impl Fleet {
-    /// Grants an errand when the VM is unchanged and every budget that its slots touch allows it.
+    /// Grants a request if the VM is unchanged and the budget of its pool allows it.
     pub(crate) fn grant(&mut self, context: &Context, request: &GrantRequest) -> Outcome {
-        if let Some(reason) = self.refuse_grant(context, request) {
+        if let Some(reason) = self.grant_rejection(context, request) {
             return Outcome::Rejected(reason);
         }
         let offset = context.offset;
@@ -32,12 +32,12 @@
         Outcome::Applied
     }
 
-    /// Renews the holder's own lease, or hands it over once it has ended for certain.
+    /// Renews the holder's own lease, or transfers it to another holder once it has certainly expired.
     pub(crate) fn lease(&mut self, context: &Context, request: &LeaseRequest) -> Outcome {
-        let Some(grant) = self.grant_of(&request.vm, request.grant) else {
+        let Some(grant) = self.find_grant(&request.vm, request.grant) else {
             return no_grant(&request.vm, request.grant);
         };
-        if !is_lease(context.at, request.deadline) {
+        if !is_valid_deadline(context.at, request.deadline) {
             return Outcome::Rejected(Reason::BadDeadline);
         }
         let renews = grant.holder == request.holder && context.at <= grant.deadline;
@@ -56,9 +56,9 @@
         Outcome::Applied
     }
 
-    /// Marks the errand as begun; from here on it cannot be undone.
+    /// Marks the operation as begun. From then on it cannot be undone.
     pub(crate) fn begin(&mut self, context: &Context, vm: &str, id: Offset) -> Outcome {
-        let Some(grant) = self.grant_of(vm, id) else {
+        let Some(grant) = self.find_grant(vm, id) else {
             return no_grant(vm, id);
         };
         if grant.holder != context.by || context.at > grant.deadline {
@@ -68,7 +68,7 @@
         if grant.step != Step::Draining || grant.purpose == GrantPurpose::Drain {
             return wrong_step(vm);
         }
-        // The new token shuts out copies of the drain call that are still on their way.
+        // With the new token, the platform refuses copies of the drain call that are still in flight.
         self.change_grant(context, vm, |grant| {
             grant.step = Step::Begun;
             grant.token = context.offset;
@@ -76,9 +76,9 @@
         Outcome::Applied
     }
 
-    /// Ends an errand that has begun, on evidence that it took effect.
+    /// Ends an operation that has begun, once there is evidence that it took effect.
     pub(crate) fn finish(&mut self, context: &Context, vm: &str, id: Offset, boot: u64) -> Outcome {
-        let Some(grant) = self.grant_of(vm, id) else {
+        let Some(grant) = self.find_grant(vm, id) else {
             return no_grant(vm, id);
         };
         match grant.step {
@@ -99,10 +99,11 @@
         Outcome::Applied
     }
 
-    /// Takes back a grant that has not begun. The VM may have been drained by now, or may yet be
-    /// by a call that is on its way, so it stays charged until the drain is known to have ended.
+    /// Takes back a grant whose operation has not begun. The VM may already have been drained, or may yet
+    /// be by a call that is still in flight, so that it stays charged until the drain is known to have
+    /// ended.
     pub(crate) fn undo(&mut self, context: &Context, vm: &str, id: Offset) -> Outcome {
-        let Some(grant) = self.grant_of(vm, id) else {
+        let Some(grant) = self.find_grant(vm, id) else {
             return no_grant(vm, id);
         };
         match grant.step {
@@ -117,19 +118,19 @@
         Outcome::Applied
     }
 
-    /// Returns the first budget that would be overrun with `vm` out of service as well.
+    /// Returns the budget that would be exceeded if `vm` were out of service as well.
     pub fn over_budget(&self, vm: &Vm) -> Option<Reason> {
-        let hold = tightest_budget(self, &vm.pool)?;
+        let tightest = tightest_budget(self, &vm.pool)?;
         let added = if vm.is_available() { vm.slots } else { 0 };
         let wanted = self.count(&vm.pool).unavailable + added;
-        (wanted > hold.budget).then_some(Reason::OverBudget {
-            service: hold.service,
-            budget: hold.budget,
+        (wanted > tightest.budget).then_some(Reason::OverBudget {
+            service: tightest.service,
+            budget: tightest.budget,
             wanted,
         })
     }
 
-    fn refuse_grant(&self, context: &Context, request: &GrantRequest) -> Option<Reason> {
+    fn grant_rejection(&self, context: &Context, request: &GrantRequest) -> Option<Reason> {
         let id = request.vm.clone();
         let Some(vm) = self.vms.get(&id) else {
             return Some(Reason::NoVm { vm: id });
@@ -141,19 +142,20 @@
         if vm.grant.is_some() || vm.health == Health::Gone {
             return Some(Reason::Busy { vm: id });
         }
-        if !is_lease(context.at, request.deadline) {
+        if !is_valid_deadline(context.at, request.deadline) {
             return Some(Reason::BadDeadline);
         }
         if let GrantPurpose::Move { to } = &request.purpose
-            && let Some(reason) = self.refuse_move(vm, to)
+            && let Some(reason) = self.move_rejection(vm, to)
         {
             return Some(reason);
         }
         self.over_budget(vm)
     }
 
-    /// Planners that do not know of each other each fill a pool; what is too much ends here.
-    fn refuse_move(&self, vm: &Vm, to: &str) -> Option<Reason> {
+    /// Rejects moves beyond the desired size of a pool: planners that do not know of each other may each
+    /// fill it.
+    fn move_rejection(&self, vm: &Vm, to: &str) -> Option<Reason> {
         let pool = to.to_owned();
         if !self.admits(to, vm) {
             return Some(Reason::NoPool { pool });
@@ -162,7 +164,7 @@
         (self.expected(to) >= asked).then_some(Reason::PoolFull { pool, asked })
     }
 
-    /// Tells whether `vm` could be moved to `pool`.
+    /// Returns whether `vm` could be moved to `pool`.
     pub fn admits(&self, pool: &str, vm: &Vm) -> bool {
         if pool == vm.pool {
             return false;
@@ -184,7 +186,7 @@
         });
     }
 
-    /// Moves the VM, unless its new pool was removed meanwhile: then it stays where it was.
+    /// Moves the VM to its new pool. If that pool was removed in the meantime, the VM stays in its old one.
     fn finish_move(&mut self, context: &Context, vm: &str, to: &str) {
         let admitted = self.vms.get(vm).is_some_and(|vm| self.admits(to, vm));
         self.change_vm(vm, context.offset, |vm| {
@@ -195,7 +197,7 @@
         });
     }
 
-    fn grant_of(&self, vm: &str, id: Offset) -> Option<&Grant> {
+    fn find_grant(&self, vm: &str, id: Offset) -> Option<&Grant> {
         let grant = self.vms.get(vm)?.grant.as_ref()?;
         (grant.id == id).then_some(grant)
     }
@@ -209,7 +211,7 @@
     }
 }
 
-fn is_lease(at: SystemTime, deadline: SystemTime) -> bool {
+fn is_valid_deadline(at: SystemTime, deadline: SystemTime) -> bool {
     deadline > at && deadline <= at + MAX_LEASE
 }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,9 @@
-//! What the fleet is and may do next, decided by folding the platform's log.
+//! The agreed state of the fleet and the decisions about what may be done next, derived from the platform's
+//! log.
 //!
-//! Every entry folds the same records in offset order through [`Fleet::apply`] and so reaches the
-//! same verdicts without asking another. Nothing in here knows a socket or a clock: time is what
-//! the records carry, or an argument.
+//! Every entry applies the same records in offset order through [`Fleet::apply`] and therefore reaches the
+//! same decisions without communicating. The crate does no I/O and reads no clock: time comes from the
+//! records or from arguments.
 
 mod backoff;
 mod bound;
@@ -61,11 +62,12 @@
 
 use std::time::Duration;
 
-/// How far two clocks may differ; a lease is taken over only this long after its deadline.
+/// The maximum difference assumed between two clocks. A lease is taken over only this long after its
+/// deadline.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(2);
 
-/// The longest lease that a grant may have.
+/// The maximum duration of a grant's lease.
 pub const MAX_LEASE: Duration = Duration::from_secs(600);
 
-/// The longest time for which a record may ask to be taken.
+/// The maximum time ahead at which a record may set its own expiry.
 pub const MAX_RECORD_EXPIRY: Duration = Duration::from_secs(120);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! Membership: which VMs there are, whether they are up, and the pool that each is in.
+//! Membership: which VMs exist, whether they are up, and which pool each of them belongs to.
 
 use crate::{
     fold::Context,
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 
 impl Fleet {
-    /// Takes in what an entry saw; an observation of a VM that has changed since is passed over.
+    /// Applies the observations of an entry. An observation of a VM that has changed since then is ignored.
     pub(crate) fn observe(&mut self, context: &Context, seen: &[Observation]) -> Outcome {
         let mut changed = false;
         for observation in seen {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Removes a VM that is gone.
+    /// Removes a VM that the platform no longer lists.
     pub(crate) fn forget(&mut self, vm: &str) -> Outcome {
         match self.vms.get(vm).map(|vm| vm.health) {
             Some(Health::Gone) => {
@@ -104,7 +104,7 @@
             slots: *slots,
             boot: *boot,
             booted: context.at,
-            pool: self.pool_for(hall),
+            pool: self.pool_for_new_vm(hall),
             health: Health::Up,
             grant: None,
             version: context.offset,
@@ -113,18 +113,19 @@
         true
     }
 
-    /// Returns the pool that lacks most VMs among those that admit `hall`.
-    fn pool_for(&self, hall: &str) -> PoolId {
+    /// Returns the pool that lacks the most VMs among those that admit `hall`, or the spare pool if none
+    /// lacks any.
+    fn pool_for_new_vm(&self, hall: &str) -> PoolId {
         self.tree
             .pools()
             .filter(|pool| admits_hall(&self.tree, pool, hall))
             .map(|pool| (self.desired(pool).saturating_sub(self.expected(pool)), pool))
-            .filter(|(lack, _)| *lack > 0)
-            .max_by_key(|(lack, pool)| (*lack, Reverse(*pool)))
+            .filter(|(shortage, _)| *shortage > 0)
+            .max_by_key(|(shortage, pool)| (*shortage, Reverse(*pool)))
             .map_or_else(|| SPARE_POOL.to_owned(), |(_, pool)| pool.clone())
     }
 
-    /// Returns the number of VMs that a pool asks for.
+    /// Returns the number of VMs that the settings ask for in a pool.
     pub fn desired(&self, pool: &str) -> u32 {
         self.tree
             .nodes
@@ -133,18 +134,19 @@
             .unwrap_or_default()
     }
 
-    /// Returns the VMs that a pool has, without those that are gone.
+    /// Returns the number of VMs in a pool, without those that the platform no longer lists.
     pub fn present(&self, pool: &str) -> u32 {
         let count = self.count(pool);
         count.vms - count.gone
     }
 
-    /// Returns the VMs that a pool has, with those that are on their way to it.
+    /// Returns the number of VMs in a pool, including those that are being moved to it.
     pub fn expected(&self, pool: &str) -> u32 {
         self.present(pool) + self.count(pool).incoming
     }
 
-    /// Drops gone VMs of pools that have as many others as they ask for: they were replaced.
+    /// Removes VMs that the platform no longer lists from pools that have reached their desired size
+    /// without them, since they have been replaced.
     pub(crate) fn prune_gone(&mut self) {
         let replaced: Vec<PoolId> = self
             .counts
--- a/crates/fleet/src/moves.rs
+++ b/crates/fleet/src/moves.rs
@@ -1,4 +1,4 @@
-//! Moves between pools: the fewest that reach the asked-for sizes, never below a budget.
+//! Moves between pools: the fewest that reach the desired sizes, without exceeding a budget.
 
 use crate::{
     record::GrantPurpose,
@@ -8,42 +8,42 @@
 use settings::admits_hall;
 use std::{cmp::Reverse, collections::BTreeMap};
 
-/// A VM that should be taken out of service, and what for.
+/// A VM that should be taken out of service, and the operation for which it should be.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProposedGrant {
     /// The VM.
     pub vm: VmId,
-    /// Its version that the wish is based on.
+    /// The version of the VM on which the proposal is based.
     pub base: Offset,
-    /// What for.
+    /// The operation.
     pub purpose: GrantPurpose,
 }
 
-/// Room in the budgets, used up as a plan grows.
+/// The headroom that is left in the budgets while a plan is made.
 pub struct BudgetHeadroom<'f> {
     fleet: &'f Fleet,
-    left: BTreeMap<&'f str, u32>,
+    remaining: BTreeMap<&'f str, u32>,
 }
 
 impl<'f> BudgetHeadroom<'f> {
-    /// Begins with the room that the fleet has.
+    /// Creates the headroom from the current state of the fleet.
     pub fn new(fleet: &'f Fleet) -> Self {
         Self {
             fleet,
-            left: BTreeMap::new(),
+            remaining: BTreeMap::new(),
         }
     }
 
-    /// Takes a VM's slots if its pool has room for them.
+    /// Reserves the slots of a VM and returns true, if the headroom of its pool suffices.
     pub fn take(&mut self, vm: &'f Vm) -> bool {
         let fleet = self.fleet;
-        let left = self
-            .left
+        let remaining = self
+            .remaining
             .entry(&vm.pool)
             .or_insert_with(|| fleet.headroom(&vm.pool).unwrap_or_default());
-        match left.checked_sub(vm.slots) {
+        match remaining.checked_sub(vm.slots) {
             Some(rest) => {
-                *left = rest;
+                *remaining = rest;
                 true
             }
             None => false,
@@ -51,14 +51,14 @@
     }
 }
 
-/// Sizes that the pools will have once every move on the way has arrived.
+/// The sizes of the pools once all moves in progress have been completed.
 struct Sizes {
-    will: BTreeMap<PoolId, u32>,
+    planned: BTreeMap<PoolId, u32>,
 }
 
 impl Sizes {
     fn new(fleet: &Fleet) -> Self {
-        let mut will: BTreeMap<PoolId, u32> = fleet
+        let mut planned: BTreeMap<PoolId, u32> = fleet
             .tree
             .pools()
             .chain(fleet.counts.keys())
@@ -69,59 +69,60 @@
             .filter(|(_, _, grant)| grant.step != Step::Returning)
         {
             match &grant.purpose {
-                GrantPurpose::Move { .. } | GrantPurpose::Release => lower(&mut will, &vm.pool),
+                GrantPurpose::Move { .. } | GrantPurpose::Release => lower(&mut planned, &vm.pool),
                 GrantPurpose::Reboot | GrantPurpose::Drain => {}
             }
         }
-        Self { will }
+        Self { planned }
     }
 
-    fn lack(&self, fleet: &Fleet, pool: &str) -> u32 {
-        fleet.desired(pool).saturating_sub(self.will[pool])
+    fn shortage(&self, fleet: &Fleet, pool: &str) -> u32 {
+        fleet.desired(pool).saturating_sub(self.planned[pool])
     }
 
     fn has_surplus(&self, fleet: &Fleet) -> bool {
-        let mut pools = self.will.keys();
+        let mut pools = self.planned.keys();
         pools.any(|pool| self.surplus(fleet, pool) > 0)
     }
 
-    /// VMs that a pool has over what it asks for; a pool that asks for nothing keeps its VMs.
+    /// Returns by how many VMs a pool exceeds its desired size. A pool without a desired size keeps its
+    /// VMs.
     fn surplus(&self, fleet: &Fleet, pool: &str) -> u32 {
-        let will = self.will.get(pool).copied().unwrap_or_default();
+        let planned = self.planned.get(pool).copied().unwrap_or_default();
         if pool == SPARE_POOL {
-            return will;
+            return planned;
         }
         let asked = fleet.tree.nodes.get(pool).and_then(|node| node.vms);
-        asked.map_or(0, |asked| will.saturating_sub(asked))
+        asked.map_or(0, |asked| planned.saturating_sub(asked))
     }
 }
 
-fn lower(will: &mut BTreeMap<PoolId, u32>, pool: &str) {
-    if let Some(size) = will.get_mut(pool) {
+fn lower(planned: &mut BTreeMap<PoolId, u32>, pool: &str) {
+    if let Some(size) = planned.get_mut(pool) {
         *size = size.saturating_sub(1);
     }
 }
 
-fn shift(will: &mut BTreeMap<PoolId, u32>, from: &str, to: &str) {
-    lower(will, from);
-    *will.entry(to.to_owned()).or_default() += 1;
+fn transfer(planned: &mut BTreeMap<PoolId, u32>, from: &str, to: &str) {
+    lower(planned, from);
+    *planned.entry(to.to_owned()).or_default() += 1;
 }
 
-/// Returns the moves that may begin now, as `room` allows.
+/// Returns the moves that may begin now, as far as `headroom` allows.
 ///
-/// A VM goes straight from a pool with too many to one with too few. Pools that admit the fewest
-/// halls choose first, spare VMs go before those of other pools, and a hall where the pool has
-/// the fewest VMs goes before one where it has many.
+/// A VM moves directly from a pool with a surplus to one with a shortage. Pools that admit the fewest VMs
+/// choose first. Spare VMs are taken before those of other pools, and VMs of data centres in which the pool
+/// has few VMs before those in which it has many.
 pub fn next_moves<'f>(fleet: &'f Fleet, headroom: &mut BudgetHeadroom<'f>) -> Vec<ProposedGrant> {
     let mut sizes = Sizes::new(fleet);
     if !sizes.has_surplus(fleet) {
         return Vec::new();
     }
-    let mut wanted = Vec::new();
+    let mut proposed = Vec::new();
     let mut taken: Vec<&VmId> = Vec::new();
-    for pool in choosing_order(fleet, &sizes) {
-        let mut spread = spread_of(fleet, pool);
-        while sizes.lack(fleet, pool) > 0 {
+    for pool in pools_by_priority(fleet, &sizes) {
+        let mut spread = vms_by_hall(fleet, pool);
+        while sizes.shortage(fleet, pool) > 0 {
             let candidates = candidates(fleet, &sizes, pool, &spread);
             let next = candidates
                 .into_iter()
@@ -132,34 +133,38 @@
             };
             taken.push(id);
             *spread.entry(&vm.hall).or_default() += 1;
-            shift(&mut sizes.will, &vm.pool, pool);
-            wanted.push(ProposedGrant {
+            transfer(&mut sizes.planned, &vm.pool, pool);
+            proposed.push(ProposedGrant {
                 vm: id.clone(),
                 base: vm.version,
                 purpose: GrantPurpose::Move { to: pool.clone() },
             });
         }
     }
-    wanted
+    proposed
 }
 
-/// Returns the least number of moves that reaches the asked-for sizes as far as VMs allow.
+/// Returns the minimum number of moves that reaches the desired sizes as far as there are enough VMs.
 pub fn min_moves(fleet: &Fleet) -> u32 {
     let sizes = Sizes::new(fleet);
-    let lack: u32 = fleet.tree.pools().map(|pool| sizes.lack(fleet, pool)).sum();
+    let shortage: u32 = fleet
+        .tree
+        .pools()
+        .map(|pool| sizes.shortage(fleet, pool))
+        .sum();
     let surplus: u32 = sizes
-        .will
+        .planned
         .keys()
         .map(|pool| sizes.surplus(fleet, pool))
         .sum();
-    lack.min(surplus)
+    shortage.min(surplus)
 }
 
-fn choosing_order<'f>(fleet: &'f Fleet, sizes: &Sizes) -> Vec<&'f PoolId> {
+fn pools_by_priority<'f>(fleet: &'f Fleet, sizes: &Sizes) -> Vec<&'f PoolId> {
     let mut pools: Vec<&PoolId> = fleet
         .tree
         .pools()
-        .filter(|pool| sizes.lack(fleet, pool) > 0)
+        .filter(|pool| sizes.shortage(fleet, pool) > 0)
         .collect();
     pools.sort_by_cached_key(|pool| {
         let admitted = fleet
@@ -167,13 +172,13 @@
             .values()
             .filter(|vm| admits_hall(&fleet.tree, pool, &vm.hall))
             .count();
-        (admitted, Reverse(sizes.lack(fleet, pool)), *pool)
+        (admitted, Reverse(sizes.shortage(fleet, pool)), *pool)
     });
     pools
 }
 
-/// VMs of a pool, by hall.
-fn spread_of<'f>(fleet: &'f Fleet, pool: &str) -> BTreeMap<&'f str, u32> {
+/// Returns the number of VMs of a pool in each data centre.
+fn vms_by_hall<'f>(fleet: &'f Fleet, pool: &str) -> BTreeMap<&'f str, u32> {
     let mut spread = BTreeMap::new();
     for vm in fleet.vms.values().filter(|vm| vm.pool == pool) {
         *spread.entry(vm.hall.as_str()).or_default() += 1;
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -1,4 +1,4 @@
-//! What an entry should propose and do next, from the agreed state and what it sees itself.
+//! The proposals and calls that an entry should make next, from the agreed state and its own observations.
 
 use crate::{
     MAX_CLOCK_SKEW,
@@ -13,21 +13,21 @@
     time::{Duration, SystemTime},
 };
 
-/// Key by which the live entries find the one that plans; the others stand by.
+/// The key by which the live entries agree on the one that plans; the others are standbys.
 const PLANNER_KEY: &str = "planner";
 
-/// Grants that one record carries at the most.
-const MOST_GRANTS: usize = 64;
+/// The maximum number of grants in one record.
+const MAX_GRANTS_PER_RECORD: usize = 64;
 
-/// What an entry knows beside the agreed state.
+/// The knowledge of an entry that is not part of the agreed state.
 pub struct View<'a> {
     /// The entry itself.
     pub entry: &'a str,
-    /// The entries that answer, with their halls; the entry itself is one.
+    /// The entries that respond, with their data centres, including the entry itself.
     pub live: &'a BTreeMap<EntryId, HallId>,
-    /// The time.
+    /// The current time.
     pub now: SystemTime,
-    /// How long a lease runs.
+    /// The duration of a lease.
     pub lease: Duration,
 }
 
@@ -37,7 +37,8 @@
         ranked(live, PLANNER_KEY).first() == Some(&self.entry)
     }
 
-    /// The live entry of the VM's hall that should carry out its errands.
+    /// Returns the live entry in the VM's data centre that should carry out its operations, or `None` if
+    /// there is no such entry.
     pub fn holder(&self, id: &str, vm: &Vm) -> Option<EntryId> {
         first_in_hall(self.live, &vm.hall, id).map(str::to_owned)
     }
@@ -45,17 +46,17 @@
 
 /// Returns the proposals that this entry should append now.
 pub fn plan(fleet: &Fleet, view: &View<'_>) -> Vec<Change> {
-    let mut changes = take_overs(fleet, view);
+    let mut changes = lease_takeovers(fleet, view);
     if view.is_planner() {
         changes.extend(withdrawals(fleet));
-        changes.extend(grants(fleet, view));
-        changes.extend(closings(fleet));
+        changes.extend(new_grants(fleet, view));
+        changes.extend(finished_waves(fleet));
     }
     changes
 }
 
-/// Leases that have ended for certain and whose errands fall to this entry.
-fn take_overs(fleet: &Fleet, view: &View<'_>) -> Vec<Change> {
+/// Returns requests for the leases that have certainly expired and that this entry should take over.
+fn lease_takeovers(fleet: &Fleet, view: &View<'_>) -> Vec<Change> {
     fleet
         .grants()
         .filter(|(_, _, grant)| grant.has_lease())
@@ -72,7 +73,7 @@
         .collect()
 }
 
-/// Grants to take back: those of pools that failures have put over budget.
+/// Returns proposals to take back grants in pools that failures have put over their budget.
 fn withdrawals(fleet: &Fleet) -> Vec<Change> {
     let mut excess: BTreeMap<&PoolId, u32> = fleet
         .counts
@@ -103,39 +104,39 @@
     changes
 }
 
-/// New grants for moves and waves, as the budgets allow.
-fn grants(fleet: &Fleet, view: &View<'_>) -> Vec<Change> {
+/// Returns proposals for new grants for moves and waves, within the budgets.
+fn new_grants(fleet: &Fleet, view: &View<'_>) -> Vec<Change> {
     let mut headroom = BudgetHeadroom::new(fleet);
     let moves = next_moves(fleet, &mut headroom);
-    let moving: Vec<_> = moves.iter().map(|wanted| wanted.vm.clone()).collect();
-    let mut wanted = moves;
+    let moving: Vec<_> = moves.iter().map(|proposed| proposed.vm.clone()).collect();
+    let mut proposed = moves;
     let reboots = next_reboots(fleet, &mut headroom);
-    wanted.extend(
+    proposed.extend(
         reboots
             .into_iter()
-            .filter(|wanted| !moving.contains(&wanted.vm)),
+            .filter(|proposed| !moving.contains(&proposed.vm)),
     );
-    wanted
+    proposed
         .into_iter()
-        .filter_map(|wanted| request(fleet, view, wanted))
-        .take(MOST_GRANTS)
+        .filter_map(|proposed| grant_request(fleet, view, proposed))
+        .take(MAX_GRANTS_PER_RECORD)
         .map(Change::Grant)
         .collect()
 }
 
-fn request(fleet: &Fleet, view: &View<'_>, wanted: ProposedGrant) -> Option<GrantRequest> {
-    let holder = view.holder(&wanted.vm, &fleet.vms[&wanted.vm])?;
+fn grant_request(fleet: &Fleet, view: &View<'_>, proposed: ProposedGrant) -> Option<GrantRequest> {
+    let holder = view.holder(&proposed.vm, &fleet.vms[&proposed.vm])?;
     Some(GrantRequest {
-        vm: wanted.vm,
-        base: wanted.base,
-        purpose: wanted.purpose,
+        vm: proposed.vm,
+        base: proposed.base,
+        purpose: proposed.purpose,
         holder,
         deadline: view.now + view.lease,
     })
 }
 
-/// Waves whose last VM is done.
-fn closings(fleet: &Fleet) -> Vec<Change> {
+/// Returns proposals to close the waves that have no pending VMs.
+fn finished_waves(fleet: &Fleet) -> Vec<Change> {
     fleet
         .waves
         .iter()
@@ -145,58 +146,59 @@
         .collect()
 }
 
-/// The platform's own view of a VM, read afresh.
+/// The state of a VM as just read from the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmObservation {
-    /// Its count of boots.
+    /// The number of boots so far.
     pub boot: u64,
-    /// Whether it is up.
+    /// Whether the VM is up.
     pub up: bool,
-    /// Whether it refuses new tasks.
+    /// Whether the VM refuses new tasks.
     pub drained: bool,
-    /// Tasks that run on it.
+    /// The number of tasks running on the VM.
     pub running: u32,
-    /// The pool that its worker takes tasks for.
+    /// The pool whose tasks the VM's worker accepts.
     pub pool: PoolId,
-    /// The highest fencing token that it has met.
+    /// The highest fencing token that the VM has received.
     pub token: Offset,
 }
 
-/// What the holder of a grant sees right before it acts.
+/// The observations of a grant's holder right before it acts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Evidence {
-    /// The VM; `None` when the platform lists it no longer.
+    /// The VM, or `None` if the platform no longer lists it.
     pub observation: Option<VmObservation>,
-    /// Slots of the VM's pool that this entry sees down and the agreed state does not yet.
+    /// The number of slots in the VM's pool that this entry observes as down and that the agreed state
+    /// still counts as up.
     pub unrecorded_down: u32,
 }
 
-/// The next step of an errand.
+/// The next step in carrying out a grant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Nothing can be done now.
     Wait,
-    /// The lease has ended; whoever holds it must not act.
+    /// The lease has expired, so that its holder must not act.
     Lapsed,
     /// The lease should be renewed first.
     Renew,
-    /// Tell the platform to send the VM no more tasks.
+    /// Tell the platform to send no more tasks to the VM.
     Drain,
-    /// Tell the platform to send the VM tasks again.
+    /// Tell the platform to send tasks to the VM again.
     Undrain,
     /// Announce the call that cannot be undone.
     Begin,
-    /// Tell the platform to reboot the VM, if its count of boots is still this one.
+    /// Tell the platform to reboot the VM if its number of boots is still this one.
     Reboot(u64),
     /// Tell the platform to take the VM back.
     Release,
     /// Tell the platform that the VM's worker serves another pool.
     Assign(PoolId),
-    /// Record that the errand took effect; the count of boots goes with it.
+    /// Record that the operation took effect, with the current number of boots.
     Finish(u64),
 }
 
-/// Returns the next step of the errand that `grant` allows on `vm`.
+/// Returns the next step that `grant` allows for `vm`.
 pub fn next_action(
     fleet: &Fleet,
     vm: &Vm,
@@ -213,18 +215,18 @@
         }
     }
     let Some(observed) = &evidence.observation else {
-        return without_vm(grant);
+        return on_unlisted(grant);
     };
     match grant.step {
-        Step::Draining => drain(fleet, vm, grant, observed, evidence.unrecorded_down),
-        Step::Begun => after_begin(grant, observed),
-        // Only a token that has arrived shuts out a drain call that is still on its way.
+        Step::Draining => on_draining(fleet, vm, grant, observed, evidence.unrecorded_down),
+        Step::Begun => on_begun(grant, observed),
+        // Only once this token has arrived does the platform refuse a drain call that is still in flight.
         Step::Returning if observed.drained || observed.token < grant.token => Action::Undrain,
         Step::Returning => Action::Finish(observed.boot),
     }
 }
 
-fn drain(
+fn on_draining(
     fleet: &Fleet,
     vm: &Vm,
     grant: &Grant,
@@ -235,13 +237,16 @@
         return Action::Drain;
     }
     let idle = observed.running == 0;
-    if grant.purpose == GrantPurpose::Drain || !idle || is_short(fleet, vm, unrecorded_down) {
+    if grant.purpose == GrantPurpose::Drain
+        || !idle
+        || would_exceed_budget(fleet, vm, unrecorded_down)
+    {
         return Action::Wait;
     }
     Action::Begin
 }
 
-fn without_vm(grant: &Grant) -> Action {
+fn on_unlisted(grant: &Grant) -> Action {
     match grant.step {
         Step::Begun if grant.purpose == GrantPurpose::Release => Action::Finish(grant.boot),
         Step::Returning => Action::Finish(grant.boot),
@@ -249,9 +254,9 @@
     }
 }
 
-fn after_begin(grant: &Grant, observed: &VmObservation) -> Action {
+fn on_begun(grant: &Grant, observed: &VmObservation) -> Action {
     match &grant.purpose {
-        // A VM that is not up is on its way; a second call could only hit the boot after that.
+        // A VM that is not up may be rebooting already; a second call could only hit the boot after that.
         GrantPurpose::Reboot if !observed.up => Action::Wait,
         GrantPurpose::Reboot if observed.boot == grant.boot => Action::Reboot(grant.boot),
         GrantPurpose::Reboot => Action::Finish(observed.boot),
@@ -262,16 +267,16 @@
     }
 }
 
-/// Tells whether failures that are not in the log yet would put the pool over its budget.
-fn is_short(fleet: &Fleet, vm: &Vm, unrecorded_down: u32) -> bool {
+/// Returns whether failures that are not in the log yet would put the pool over its budget.
+fn would_exceed_budget(fleet: &Fleet, vm: &Vm, unrecorded_down: u32) -> bool {
     fleet
         .headroom(&vm.pool)
         .map_or(true, |headroom| headroom < unrecorded_down)
 }
 
 impl Grant {
-    /// Tells whether only the holder may act, and only until its deadline. Ending a drain does no
-    /// harm whoever does it, and an operator's drain lasts until an operator says otherwise.
+    /// Returns whether only the holder may act, and only until its deadline. Anyone may end a drain without
+    /// harm, and an operator's drain lasts until an operator ends it.
     pub fn has_lease(&self) -> bool {
         self.purpose != GrantPurpose::Drain && self.step != Step::Returning
     }
--- a/crates/fleet/src/publish.rs
+++ b/crates/fleet/src/publish.rs
@@ -1,4 +1,4 @@
-//! Settings in the fold: compare-and-set by path, all paths of a change or none.
+//! Publishing of settings: compare-and-set by path, either all paths of a change or none.
 
 use crate::{
     fold::Context,
@@ -8,42 +8,44 @@
 use settings::Tree;
 
 impl Fleet {
-    /// Publishes settings when every path still has the version the change was based on.
+    /// Publishes settings if every path still has the version on which the change is based.
     pub(crate) fn publish(&mut self, context: &Context, changes: &[PathChange]) -> Outcome {
-        if let Some(reason) = self.moved(changes) {
+        if let Some(reason) = self.conflict(changes) {
             return Outcome::Rejected(reason);
         }
-        let wanted = self.with_changes(changes);
-        if let Some(reason) = self.unfit(&wanted) {
+        let updated = self.with_changes(changes);
+        if let Some(reason) = self.invalid_reason(&updated) {
             return Outcome::Rejected(reason);
         }
-        self.tree = wanted;
+        self.tree = updated;
         for change in changes {
-            let mark = RecordOrigin {
+            let origin = RecordOrigin {
                 offset: context.offset,
                 by: context.by.clone(),
                 at: context.at,
             };
-            self.versions.insert(change.path.clone(), mark);
+            self.versions.insert(change.path.clone(), origin);
         }
         self.prune_gone();
         Outcome::Applied
     }
 
-    /// Returns the version of a path: 0 if it was never set.
+    /// Returns the version of a path, or 0 if it was never set.
     pub fn version(&self, path: &str) -> u64 {
-        self.versions.get(path).map_or(0, |mark| mark.offset + 1)
+        self.versions
+            .get(path)
+            .map_or(0, |origin| origin.offset + 1)
     }
 
-    fn moved(&self, changes: &[PathChange]) -> Option<Reason> {
+    fn conflict(&self, changes: &[PathChange]) -> Option<Reason> {
         let change = changes
             .iter()
             .find(|change| self.version(&change.path) != change.base)?;
-        let mark = self.versions.get(&change.path)?;
+        let origin = self.versions.get(&change.path)?;
         Some(Reason::PathMoved {
             path: change.path.clone(),
-            version: mark.offset,
-            by: mark.by.clone(),
+            version: origin.offset,
+            by: origin.by.clone(),
         })
     }
 
@@ -58,7 +60,7 @@
         tree
     }
 
-    fn unfit(&self, tree: &Tree) -> Option<Reason> {
+    fn invalid_reason(&self, tree: &Tree) -> Option<Reason> {
         for path in tree.nodes.keys() {
             let orphan = Tree::levels(path).any(|level| !tree.nodes.contains_key(level));
             if orphan {
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,4 +1,5 @@
-//! Records of the stream `fleet`: proposals whose outcome the fold decides at their offset.
+//! Records of the stream `fleet`: proposals whose outcomes are decided when the record is applied at its
+//! offset.
 
 use crate::state::WaveId;
 use protocol::{EntryId, HallId, Offset, PoolId, RackId, RecordId, VmId};
@@ -6,14 +7,14 @@
 use settings::{Node, Path};
 use std::time::SystemTime;
 
-/// One append: proposals that are judged one after the other.
+/// One append: proposals that are decided one after the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Unique id; a second copy of a record has no effect.
+    /// The unique id of the record. A second copy of a record has no effect.
     pub id: RecordId,
-    /// The entry that appended it.
+    /// The entry that appended the record.
     pub by: EntryId,
-    /// The record has no effect if the log takes it later than this.
+    /// The time after which the record has no effect if the log accepts it only then.
     pub expires: SystemTime,
     /// The proposals.
     pub changes: Vec<Change>,
@@ -22,31 +23,31 @@
 /// One proposal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// Publishes settings, all paths or none.
+    /// Publishes settings, either all paths or none.
     Settings(Vec<PathChange>),
-    /// Tells what became of VMs, each judged by itself.
+    /// Reports observations of VMs, each of which is decided separately.
     Observe(Vec<Observation>),
-    /// Asks to take a VM out of service for an errand.
+    /// Asks to take a VM out of service.
     Grant(GrantRequest),
-    /// Asks to renew a grant's lease, or to take it over.
+    /// Asks to renew a grant's lease or to take it over.
     Lease(LeaseRequest),
-    /// Announces the call that cannot be undone; made before the call.
+    /// Announces, before it is made, the call that cannot be undone.
     Begin {
         /// The VM.
         vm: VmId,
         /// The grant.
         grant: Offset,
     },
-    /// Tells that the errand is over; the VM is charged no longer.
+    /// Reports that the operation has ended, so that the VM is no longer charged to the budgets.
     Finish {
         /// The VM.
         vm: VmId,
         /// The grant.
         grant: Offset,
-        /// The VM's count of boots as it was seen back.
+        /// The VM's number of boots as observed after the operation.
         boot: u64,
     },
-    /// Takes back a grant whose errand has not begun.
+    /// Takes back a grant whose operation has not begun.
     Undo {
         /// The VM.
         vm: VmId,
@@ -58,156 +59,156 @@
         /// The VM.
         vm: VmId,
     },
-    /// Starts or steers a wave.
+    /// Starts or changes a wave.
     Wave(WaveChange),
 }
 
-/// New values of one path.
+/// The new values of one path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PathChange {
     /// The path.
     pub path: Path,
-    /// The version that the change is based on; 0 for a path that was not set.
+    /// The version on which the change is based, or 0 for a path that was not set.
     pub base: Offset,
     /// The new values, or `None` to remove the path.
     pub node: Option<Node>,
 }
 
-/// What an entry saw of one VM.
+/// An entry's observation of one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// The VM.
     pub vm: VmId,
-    /// The VM's version that the entry knew; 0 for a VM it did not know.
+    /// The VM's version that the entry knew, or 0 if it did not know the VM.
     pub base: Offset,
-    /// What it saw.
+    /// The observed state.
     pub seen: ObservedState,
 }
 
-/// What can be seen of a VM.
+/// The state of a VM as observed by an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ObservedState {
     /// The VM is up.
     Up {
-        /// Its hall.
+        /// The VM's data centre.
         hall: HallId,
-        /// Its rack.
+        /// The VM's rack.
         rack: RackId,
-        /// Where its worker listens.
+        /// The address of the VM's worker.
         addr: String,
-        /// Its slots.
+        /// The VM's number of slots.
         slots: u32,
-        /// Its count of boots.
+        /// The number of boots so far.
         boot: u64,
     },
-    /// The platform will take the VM away soon.
+    /// The platform will soon take the VM away.
     Leaving,
-    /// The VM does not answer, or it is suspected not to.
+    /// The VM does not respond, or is suspected not to.
     Down,
     /// The platform no longer lists the VM.
     Gone,
 }
 
-/// What a VM is taken out of service for.
+/// The operation for which a VM is taken out of service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GrantPurpose {
-    /// Maintenance: a reboot.
+    /// A reboot for maintenance.
     Reboot,
-    /// Handing the VM back.
+    /// Returning the VM to the platform.
     Release,
-    /// Moving it to another pool.
+    /// Moving the VM to another pool.
     Move {
-        /// The pool it moves to.
+        /// The new pool.
         to: PoolId,
     },
-    /// Keeping it out of service until an operator says otherwise.
+    /// Keeping the VM out of service until an operator ends it.
     Drain,
 }
 
-/// A wish to take a VM out of service.
+/// A request to take a VM out of service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantRequest {
     /// The VM.
     pub vm: VmId,
-    /// The VM's version that the wish is based on.
+    /// The VM's version on which the request is based.
     pub base: Offset,
-    /// What for.
+    /// The operation.
     #[serde(rename = "errand")]
     pub purpose: GrantPurpose,
-    /// The entry that will carry it out.
+    /// The entry that will carry out the operation.
     pub holder: EntryId,
-    /// When the holder's lease ends.
+    /// The end of the holder's lease.
     pub deadline: SystemTime,
 }
 
-/// A wish to hold a grant for longer, or in another's place.
+/// A request to extend a grant's lease, or to take it over from another holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The VM.
     pub vm: VmId,
     /// The grant.
     pub grant: Offset,
-    /// Who wants to hold it.
+    /// The entry that asks for the lease.
     pub holder: EntryId,
-    /// When the new lease ends.
+    /// The end of the new lease.
     pub deadline: SystemTime,
 }
 
-/// Steers waves.
+/// A change to a wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WaveChange {
-    /// Reboots every VM of a place or pool once.
+    /// Starts a wave that reboots every VM of a place or pool once.
     Start {
         /// The place or pool.
         scope: Path,
     },
-    /// Grants nothing new.
+    /// Pauses the wave: it gets no new grants.
     Pause(WaveId),
-    /// Goes on.
+    /// Resumes a paused wave.
     Resume(WaveId),
-    /// Ends the wave; errands that have begun are finished.
+    /// Cancels the wave. Operations that have begun are still finished.
     Cancel(WaveId),
-    /// Notes that every VM of the wave is done.
+    /// Closes a wave of which every VM is done.
     Close(WaveId),
 }
 
-/// What the fold decided about one proposal.
+/// The decision about one proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is in the state.
+    /// The proposal was applied to the state.
     Applied,
-    /// The state already was so.
+    /// The state already was as proposed.
     Unchanged,
-    /// It had no effect.
+    /// The proposal had no effect.
     Rejected(Reason),
 }
 
-/// Why a proposal had no effect.
+/// The reason why a proposal had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Reason {
-    /// A second copy of a record.
+    /// The record is a second copy.
     #[error("a copy of a record that was taken before")]
     Duplicate,
-    /// The log took the record after it had expired.
+    /// The record had expired when the log accepted it.
     #[error("taken by the log after it had expired")]
     Late,
-    /// The bytes are no record.
+    /// The bytes are not a valid record.
     #[error("not a record that this version understands")]
     Malformed,
-    /// The path was changed meanwhile.
+    /// The path has been changed since the version on which the change is based.
     #[error(
         "`{path}` was changed meanwhile at offset {version}, by {by}; read it again and reapply"
     )]
     PathMoved {
         /// The path.
         path: Path,
-        /// Its version now.
+        /// Its current version.
         version: Offset,
         /// The entry that appended the other change.
         by: EntryId,
     },
-    /// A level's upper level is missing.
+    /// The path's parent level is missing.
     #[error("`{path}` has no level above it")]
     Orphan {
         /// The path.
@@ -225,18 +226,18 @@
         /// The VM.
         vm: VmId,
     },
-    /// There is no such pool, or it does not admit the VM's hall.
+    /// There is no such pool, or it does not admit VMs of the data centre.
     #[error("no pool `{pool}` for a VM of this hall")]
     NoPool {
         /// The pool.
         pool: PoolId,
     },
-    /// The pool has, or is about to have, as many VMs as it asks for.
+    /// The pool has as many VMs as it asks for, including those being moved to it.
     #[error("pool `{pool}` has the {asked} VMs that it asks for; raise its `vms` first")]
     PoolFull {
         /// The pool.
         pool: PoolId,
-        /// The VMs that it asks for.
+        /// The number of VMs that it asks for.
         asked: u32,
     },
     /// There is no such place or pool.
@@ -251,31 +252,31 @@
         /// The wave.
         wave: WaveId,
     },
-    /// The VM was changed meanwhile.
+    /// The VM has been changed since the version on which the request is based.
     #[error("VM `{vm}` was changed meanwhile at offset {version}")]
     VmMoved {
         /// The VM.
         vm: VmId,
-        /// Its version now.
+        /// Its current version.
         version: Offset,
     },
-    /// The VM is not one that could be taken out of service.
+    /// The VM cannot be taken out of service in its current state.
     #[error("VM `{vm}` is out of service already")]
     Busy {
         /// The VM.
         vm: VmId,
     },
-    /// A budget does not allow it now.
+    /// A budget does not allow the operation now.
     #[error("the budget of `{service}` allows {budget} slots and {wanted} would be unavailable")]
     OverBudget {
-        /// The service whose budget holds.
+        /// The service whose budget would be exceeded.
         service: Path,
         /// Its budget, in slots.
         budget: u32,
-        /// Slots that would be unavailable.
+        /// The number of slots that would be unavailable.
         wanted: u32,
     },
-    /// The grant is not the VM's grant any more.
+    /// The grant is no longer in force.
     #[error("grant {grant} of VM `{vm}` is not in force")]
     NoGrant {
         /// The VM.
@@ -283,19 +284,19 @@
         /// The grant.
         grant: Offset,
     },
-    /// The grant is held by another entry, or the lease has ended.
+    /// The lease is held by another entry or has expired.
     #[error("the lease is held by {holder}")]
     Held {
         /// The holder.
         holder: EntryId,
     },
-    /// The errand has begun, or has not.
+    /// The operation is not at the required step: it has already begun, or has not begun yet.
     #[error("the errand of VM `{vm}` is not at that step")]
     WrongStep {
         /// The VM.
         vm: VmId,
     },
-    /// The deadline is past or too far ahead.
+    /// The deadline is in the past or too far ahead.
     #[error("the deadline is past, or further ahead than a lease may be")]
     BadDeadline,
 }
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the fold: cut into chunks, checked by hash, put together again.
+//! Snapshots of the agreed state: split into chunks, verified by hash and reassembled.
 
 use crate::state::Fleet;
 use protocol::{CodecError, Offset, RecordId, decode, encode};
@@ -6,44 +6,44 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// Bytes of a snapshot that one record carries at the most.
+/// The maximum number of bytes of a snapshot in one record.
 const CHUNK_BYTES: usize = 256 << 10;
 
 /// One record of the stream `snapshots`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The snapshot that the chunk is part of.
+    /// The id of the snapshot to which the chunk belongs.
     pub id: RecordId,
-    /// The offset of `fleet` from which a reader of the snapshot goes on.
+    /// The offset in `fleet` at which a reader continues after loading the snapshot.
     pub next: Offset,
-    /// The chunk's place, from 0.
+    /// The position of the chunk in the snapshot, from 0.
     pub index: u32,
-    /// How many chunks there are.
+    /// The number of chunks in the snapshot.
     pub count: u32,
-    /// SHA-256 of the whole snapshot.
+    /// The SHA-256 digest of the whole snapshot.
     #[serde(with = "serde_bytes")]
     pub hash: Vec<u8>,
-    /// This part of it.
+    /// The bytes of this chunk.
     #[serde(with = "serde_bytes")]
     pub part: Vec<u8>,
 }
 
-/// Why a snapshot cannot be used.
+/// The reason why a snapshot cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// The bytes are not what was written.
+    /// The bytes do not match the hash.
     #[error("the snapshot's hash does not match")]
     Hash,
-    /// The bytes are no state.
+    /// The bytes cannot be decoded or the state cannot be encoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
 
-/// Encodes the state with its hash in front.
+/// Encodes the state, preceded by its hash.
 ///
 /// # Errors
 ///
-/// Fails when the state has no form in the codec.
+/// Fails if the codec cannot represent the state.
 pub fn encode_snapshot(fleet: &Fleet) -> Result<Vec<u8>, SnapshotError> {
     let state = encode(fleet)?;
     let mut bytes = Sha256::digest(&state).to_vec();
@@ -51,11 +51,11 @@
     Ok(bytes)
 }
 
-/// Decodes and checks a state.
+/// Verifies and decodes a state.
 ///
 /// # Errors
 ///
-/// Fails when the hash or the form is wrong.
+/// Fails if the hash does not match or the bytes cannot be decoded.
 pub fn decode_snapshot(bytes: &[u8]) -> Result<Fleet, SnapshotError> {
     let Some((hash, state)) = bytes.split_at_checked(Sha256::output_size()) else {
         return Err(SnapshotError::Hash);
@@ -66,7 +66,8 @@
     Ok(decode(state)?)
 }
 
-/// Cuts an encoded snapshot of a state that goes on at `next` into records.
+/// Splits an encoded snapshot into records. `next` is the offset at which the log continues after the
+/// snapshot.
 pub fn chunks(id: RecordId, next: Offset, bytes: &[u8]) -> Vec<Chunk> {
     let parts: Vec<&[u8]> = bytes.chunks(CHUNK_BYTES).collect();
     let count = u32::try_from(parts.len()).unwrap_or(u32::MAX);
@@ -84,17 +85,17 @@
         .collect()
 }
 
-/// Puts together the newest snapshot that is whole among `chunks` and can be decoded.
+/// Returns the state of the newest snapshot in `chunks` that is complete and can be decoded.
 pub fn assemble(chunks: &[Chunk]) -> Option<Fleet> {
     let mut by_id: BTreeMap<(Offset, RecordId), BTreeMap<u32, &Chunk>> = BTreeMap::new();
     for chunk in chunks {
         let parts = by_id.entry((chunk.next, chunk.id)).or_default();
         parts.insert(chunk.index, chunk);
     }
-    by_id.values().rev().find_map(whole)
+    by_id.values().rev().find_map(assemble_parts)
 }
 
-fn whole(parts: &BTreeMap<u32, &Chunk>) -> Option<Fleet> {
+fn assemble_parts(parts: &BTreeMap<u32, &Chunk>) -> Option<Fleet> {
     let count = parts.values().next()?.count as usize;
     if parts.len() != count {
         return None;
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that the fold keeps.
+//! The agreed state that results from applying the log.
 
 use crate::{
     budget::PoolCount,
@@ -13,36 +13,36 @@
     time::SystemTime,
 };
 
-/// The pool of VMs that no other pool asks for; it has no services.
+/// The pool of VMs that no other pool has asked for. It has no services.
 pub const SPARE_POOL: &str = "spare";
 
-/// A wave's id: the offset of the record that started it.
+/// The id of a wave: the offset of the record that started it.
 pub type WaveId = Offset;
 
-/// Everything that is agreed.
+/// The complete agreed state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// The next offset to be applied.
+    /// The offset of the next record to apply.
     pub next: Offset,
     /// The log's time of the last record.
     pub at: SystemTime,
     /// The settings.
     pub tree: Tree,
-    /// Version of each path of the settings, also of removed ones.
+    /// The version of each path of the settings, including removed paths.
     pub versions: BTreeMap<Path, RecordOrigin>,
     /// The VMs.
     pub vms: BTreeMap<VmId, Vm>,
-    /// Slots by pool, kept in step with `vms`.
+    /// The VM and slot counts of each pool, kept in step with `vms`.
     pub counts: BTreeMap<PoolId, PoolCount>,
-    /// VMs that have a grant, kept in step with `vms`: a few of many.
+    /// The VMs that have a grant, kept in step with `vms`. These are few compared with all VMs.
     pub granted: BTreeSet<VmId>,
-    /// The waves, also those that have ended lately.
+    /// The waves, including those that have ended recently.
     pub waves: BTreeMap<WaveId, Wave>,
-    /// Records that a second copy may still follow, with when that ends and what was decided.
+    /// The origins of the records of which a second copy may still arrive, until they expire.
     pub recent: BTreeMap<RecordId, RecordOrigin>,
-    /// The same ids by the end of their time.
+    /// The ids in `recent`, ordered by expiry.
     pub expiring: BTreeMap<(SystemTime, RecordId), ()>,
-    /// What was decided about each recent record.
+    /// The outcomes of each record in `recent`.
     pub outcomes: BTreeMap<RecordId, Vec<Outcome>>,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl Fleet {
-    /// Returns the VMs that have a grant, with it.
+    /// Returns the VMs that have a grant, each with its grant.
     pub fn grants(&self) -> impl Iterator<Item = (&VmId, &Vm, &Grant)> {
         self.granted.iter().filter_map(|id| {
             let vm = self.vms.get(id)?;
@@ -74,93 +74,93 @@
     }
 }
 
-/// Which record did something, and who appended it.
+/// The origin of a change: the record and the entry that appended it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordOrigin {
-    /// The record's offset.
+    /// The offset of the record.
     pub offset: Offset,
-    /// Who appended it.
+    /// The entry that appended the record.
     pub by: EntryId,
-    /// When the log took it.
+    /// The time at which the log accepted the record.
     pub at: SystemTime,
 }
 
-/// One VM. It belongs to exactly one pool because there is one field for it.
+/// One VM. It belongs to exactly one pool, because it has a single field for the pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its hall.
+    /// The VM's data centre.
     pub hall: HallId,
-    /// Its rack.
+    /// The VM's rack.
     pub rack: RackId,
-    /// Where its worker listens.
+    /// The address of the VM's worker.
     pub addr: String,
-    /// Its slots.
+    /// The VM's number of slots.
     pub slots: u32,
-    /// Its count of boots.
+    /// The number of boots so far.
     pub boot: u64,
-    /// When the log took the record that told of this boot.
+    /// The time at which the log accepted the record that reported this boot.
     pub booted: SystemTime,
-    /// Its pool.
+    /// The VM's pool.
     pub pool: PoolId,
-    /// Whether it is up.
+    /// The VM's health.
     pub health: Health,
-    /// The grant that keeps it out of service, if one does.
+    /// The grant that keeps the VM out of service, if there is one.
     pub grant: Option<Grant>,
-    /// The offset of the record that changed it last.
+    /// The offset of the record that changed the VM last.
     pub version: Offset,
 }
 
 impl Vm {
-    /// Tells whether the VM takes new work.
+    /// Returns whether the VM accepts new work.
     pub fn is_available(&self) -> bool {
         self.health == Health::Up && self.grant.is_none()
     }
 }
 
-/// Whether a VM is up.
+/// The health of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Health {
-    /// It answers.
+    /// The VM responds.
     Up,
-    /// The platform will take it away soon.
+    /// The platform will soon take the VM away.
     Leaving,
-    /// It does not answer, or is suspected not to.
+    /// The VM does not respond, or is suspected not to.
     Down,
-    /// The platform no longer lists it; it is charged until replaced or forgotten.
+    /// The platform no longer lists the VM. It is charged until it is replaced or removed.
     Gone,
 }
 
-/// Leave to take one VM out of service.
+/// The permission to take one VM out of service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The offset of the grant: its id.
+    /// The id of the grant: its offset.
     pub id: Offset,
-    /// What for.
+    /// The operation for which the VM is taken out of service.
     #[serde(rename = "errand")]
     pub purpose: GrantPurpose,
-    /// The entry that carries it out.
+    /// The entry that carries out the operation.
     pub holder: EntryId,
-    /// When the holder's lease ends.
+    /// The end of the holder's lease.
     pub deadline: SystemTime,
-    /// The fencing token: the offset of the grant's last change that calls to the platform must
-    /// be told apart by.
+    /// The fencing token: the offset of the last change of the grant that calls to the platform must be
+    /// told apart by.
     pub token: Offset,
-    /// How far the errand has come.
+    /// The progress of the operation.
     pub step: Step,
-    /// The VM's count of boots when the grant was made.
+    /// The VM's number of boots when the grant was made.
     pub boot: u64,
 }
 
-/// How far an errand has come.
+/// The progress of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
-    /// The VM is to be drained; this can be taken back.
+    /// The VM is to be drained. This can still be undone.
     Draining,
     /// The call that cannot be undone has been announced.
     Begun,
-    /// The grant was taken back; the VM is charged until its drain is known to have ended.
+    /// The grant was taken back. The VM is charged until its drain is known to have ended.
     Returning,
 }
 
@@ -177,23 +177,23 @@
 /// One maintenance wave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wave {
-    /// The place or pool that it covers.
+    /// The place or pool that the wave covers.
     pub scope: Path,
-    /// A VM that booted later than this is done.
+    /// The start of the wave. A VM that has booted since then is done.
     pub from: SystemTime,
-    /// Whether it goes on.
+    /// The state of the wave.
     pub state: WaveState,
 }
 
-/// Whether a wave goes on.
+/// The state of a wave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WaveState {
-    /// VMs are granted as the budgets allow.
+    /// VMs get grants as far as the budgets allow.
     Running,
-    /// Nothing new is granted.
+    /// VMs get no new grants.
     Paused,
-    /// Ended by an operator.
+    /// The wave was ended by an operator.
     Cancelled,
     /// Every VM of the scope is done.
     Done,
--- a/crates/fleet/src/wave.rs
+++ b/crates/fleet/src/wave.rs
@@ -10,30 +10,30 @@
 use serde::{Deserialize, Serialize};
 use std::{cmp::Reverse, collections::BTreeMap};
 
-/// Ended waves that are kept to be looked at.
+/// The number of ended waves that are kept for inspection.
 const ENDED_WAVES_KEPT: usize = 32;
 
-/// How far a wave has come.
+/// The progress of a wave.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// VMs of the scope.
+    /// The number of VMs in the scope.
     pub total: usize,
-    /// VMs that have booted since the wave began.
+    /// The number of VMs that have booted since the start of the wave.
     pub done: usize,
-    /// VMs that are granted, draining or rebooting.
+    /// The number of VMs that are granted, draining or rebooting.
     pub active: usize,
-    /// VMs that wait and are down, so that they cannot be rebooted in order.
+    /// The number of pending VMs that are down, so that they cannot be rebooted regularly.
     pub down: usize,
 }
 
 impl Progress {
-    /// VMs that are not done yet.
+    /// Returns the number of VMs that are not done yet.
     pub fn pending(&self) -> usize {
         self.total - self.done
     }
 }
 
-/// Returns how far `wave` has come.
+/// Returns the progress of `wave`.
 pub fn progress(fleet: &Fleet, wave: &Wave) -> Progress {
     let mut progress = Progress::default();
     for vm in fleet.vms.values().filter(|vm| covers(wave, vm)) {
@@ -49,11 +49,11 @@
     progress
 }
 
-/// Returns the VMs that running waves may take out of service now, as `room` allows.
+/// Returns the VMs that running waves may take out of service now, as far as `headroom` allows.
 ///
-/// VMs are taken rack by rack, so that a rack that is lost in the middle of a wave hits VMs that
-/// are charged already; within a rack the largest come first, so that small ones fill what is
-/// left of a budget at the end.
+/// VMs are taken rack by rack, so that the loss of a rack during a wave mostly affects VMs that are already
+/// charged. Within a rack, the largest VMs come first, so that small ones fill the rest of the budget at
+/// the end.
 pub fn next_reboots<'f>(fleet: &'f Fleet, headroom: &mut BudgetHeadroom<'f>) -> Vec<ProposedGrant> {
     let waves: Vec<&Wave> = fleet
         .waves
@@ -69,9 +69,9 @@
         .filter(|(_, vm)| vm.is_available())
         .filter(|(_, vm)| waves.iter().any(|wave| is_pending(wave, vm)))
         .collect();
-    let open = open_racks(fleet);
+    let unavailable = unavailable_slots_by_rack(fleet);
     waiting.sort_by_key(|(id, vm)| {
-        let taken = open.get(&vm.rack).copied().unwrap_or_default();
+        let taken = unavailable.get(&vm.rack).copied().unwrap_or_default();
         (Reverse(taken), &vm.rack, Reverse(vm.slots), *id)
     });
     waiting
@@ -85,18 +85,19 @@
         .collect()
 }
 
-/// Slots that are out of service already, by rack.
-fn open_racks(fleet: &Fleet) -> BTreeMap<&RackId, u32> {
-    let mut open = BTreeMap::new();
+/// Returns the number of slots that are already out of service in each rack.
+fn unavailable_slots_by_rack(fleet: &Fleet) -> BTreeMap<&RackId, u32> {
+    let mut unavailable = BTreeMap::new();
     for vm in fleet.vms.values().filter(|vm| !vm.is_available()) {
-        *open.entry(&vm.rack).or_default() += vm.slots;
+        *unavailable.entry(&vm.rack).or_default() += vm.slots;
     }
-    open
+    unavailable
 }
 
 fn covers(wave: &Wave, vm: &Vm) -> bool {
-    let below = vm.pool.strip_prefix(wave.scope.as_str());
-    below.is_some_and(|rest| rest.is_empty() || rest.starts_with('/')) && vm.health != Health::Gone
+    let below_scope = vm.pool.strip_prefix(wave.scope.as_str());
+    below_scope.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+        && vm.health != Health::Gone
 }
 
 fn is_pending(wave: &Wave, vm: &Vm) -> bool {
@@ -104,18 +105,18 @@
 }
 
 impl Fleet {
-    /// Starts or steers a wave.
-    pub(crate) fn steer(&mut self, context: &Context, change: &WaveChange) -> Outcome {
+    /// Starts, pauses, resumes, cancels or closes a wave.
+    pub(crate) fn change_wave(&mut self, context: &Context, change: &WaveChange) -> Outcome {
         match change {
-            WaveChange::Start { scope } => self.start(context, scope),
-            WaveChange::Pause(wave) => self.set_wave(*wave, WaveState::Paused),
-            WaveChange::Resume(wave) => self.set_wave(*wave, WaveState::Running),
-            WaveChange::Cancel(wave) => self.set_wave(*wave, WaveState::Cancelled),
-            WaveChange::Close(wave) => self.close(*wave),
+            WaveChange::Start { scope } => self.start_wave(context, scope),
+            WaveChange::Pause(wave) => self.set_wave_state(*wave, WaveState::Paused),
+            WaveChange::Resume(wave) => self.set_wave_state(*wave, WaveState::Running),
+            WaveChange::Cancel(wave) => self.set_wave_state(*wave, WaveState::Cancelled),
+            WaveChange::Close(wave) => self.close_wave(*wave),
         }
     }
 
-    fn start(&mut self, context: &Context, scope: &str) -> Outcome {
+    fn start_wave(&mut self, context: &Context, scope: &str) -> Outcome {
         let known = self.tree.nodes.contains_key(scope) && scope.matches('/').count() < 2;
         if !known {
             let scope = scope.to_owned();
@@ -127,11 +128,11 @@
             state: WaveState::Running,
         };
         self.waves.insert(context.offset, wave);
-        self.forget_waves();
+        self.prune_ended_waves();
         Outcome::Applied
     }
 
-    fn set_wave(&mut self, id: WaveId, state: WaveState) -> Outcome {
+    fn set_wave_state(&mut self, id: WaveId, state: WaveState) -> Outcome {
         match self.waves.get_mut(&id) {
             Some(wave) if wave.state == state => Outcome::Unchanged,
             Some(wave) if matches!(wave.state, WaveState::Running | WaveState::Paused) => {
@@ -142,26 +143,26 @@
         }
     }
 
-    fn close(&mut self, id: WaveId) -> Outcome {
+    fn close_wave(&mut self, id: WaveId) -> Outcome {
         let pending = self
             .waves
             .get(&id)
             .map(|wave| progress(self, wave).pending());
         match pending {
-            Some(0) => self.set_wave(id, WaveState::Done),
+            Some(0) => self.set_wave_state(id, WaveState::Done),
             _ => Outcome::Rejected(Reason::NoWave { wave: id }),
         }
     }
 
-    fn forget_waves(&mut self) {
+    fn prune_ended_waves(&mut self) {
         let ended: Vec<WaveId> = self
             .waves
             .iter()
             .filter(|(_, wave)| matches!(wave.state, WaveState::Done | WaveState::Cancelled))
             .map(|(id, _)| *id)
             .collect();
-        let surplus = ended.len().saturating_sub(ENDED_WAVES_KEPT);
-        for id in &ended[..surplus] {
+        let excess = ended.len().saturating_sub(ENDED_WAVES_KEPT);
+        for id in &ended[..excess] {
             self.waves.remove(id);
         }
     }
