--- a/crates/fleet/src/bound.rs
+++ b/crates/fleet/src/bound.rs
@@ -1,19 +1,19 @@
-//! How many more VMs of a wave may go down at once.
+//! The limit on how many VMs of a maintenance wave may be down at once.
 
-/// What an owner knows of a VM of a wave.
+/// The state of a VM in a wave, as far as the owner of the cell knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaveVmState {
-    /// It is up, and nobody has told it to go.
+    /// The VM is up and has not been ordered to go down.
     Up,
-    /// This owner has told it to go, and has not seen it up again.
+    /// This owner has ordered the VM to go down and has not seen it up again since.
     Ordered,
-    /// The list shows it down, whoever told it to go.
+    /// The platform lists the VM as down, whoever ordered it.
     Down,
-    /// It is up as far as the list shows, but an earlier owner may have just told it to go.
+    /// The platform lists the VM as up, but an earlier owner may just have ordered it to go down.
     Unconfirmed,
 }
 
-/// How many VMs may be told to go, where `most` may be down at once.
+/// Returns how many more VMs may be ordered to go down, if at most `max_down` may be down at once.
 pub fn wave_headroom(max_down: usize, vms: impl IntoIterator<Item = WaveVmState>) -> usize {
     let down = vms.into_iter().filter(|vm| *vm != WaveVmState::Up).count();
     max_down.saturating_sub(down)
--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -1,151 +1,155 @@
-//! When an entry may claim the ownership of a cell, and when a stronger entry should have it.
+//! Decides when an entry may claim the ownership of a cell, and when a stronger entry should have it.
 //!
 //! The owner renews its lease in the log, and every entry reads the renewals. An owner's work grows with
-//! the workers that it watches, so that entries with more of a core go first: the others claim a moment
-//! later, and an owner that is much weaker than another entry hands the cell over.
+//! the number of workers that it watches, so that entries with more CPU take precedence: weaker entries
+//! claim a moment later, and an owner that is much weaker than another entry hands the cell over.
 
 use clock::Instant;
 use std::time::Duration;
 
-/// Thousandths of a core.
+/// A share of CPU, in thousandths of a core.
 pub type MilliCpu = u64;
 
-/// How long the log must have been without a renewal before another entry claims the cell.
+/// The time without a renewal in the log after which another entry claims the cell.
 pub const LEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The same for an owner that does not answer the entry that claims either, asked twice. Two renewals fit into
-/// it, so that one may be lost; an owner whose store is slow answers meanwhile.
+/// The timeout for an owner that did not respond to two requests of the claiming entry either. Two renewals
+/// fit into it, so that one may be lost; an owner whose store is slow responds to the requests.
 pub const SILENT_OWNER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The same for an owner that answers the entry that claims. Where the store turns it away, it gives the cell up by itself,
-/// within half a second; where the store is away for all, it goes on, and its first renewal after the return must be read
-/// before anybody claims. An entry does not see when that was: a read of up to 1.7 s may have begun before. An owner that was
-/// replaced at the return left its successor 3.7 s of waits for what it might have started.
+/// The timeout for an owner that responds to the claiming entry. If the owner is isolated from the store,
+/// it releases the cell by itself within half a second. If the store is unavailable for all, the owner
+/// continues, and its first renewal after the store's return must be read before anyone claims; an entry
+/// does not see when that was, since a read of up to 1.7 s may have begun before. An owner that was
+/// replaced at the return left its successor 3.7 s of waits for runs that it might have started.
 pub const ANSWERING_OWNER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How much later an entry claims that knows of a much stronger one. The strong one sees the vacancy at
-/// about the same time and needs one append, 10 ms; a slow answer of the store takes 240 ms.
+/// The additional delay before an entry claims that knows of a much stronger one. The stronger entry sees
+/// the vacancy at about the same time and needs 10 ms for one append, or 240 ms if the store responds
+/// slowly.
 pub const WEAKER_CLAIM_DELAY: Duration = Duration::from_millis(300);
 
-/// From how much more of a core on an entry counts as much stronger: a change of owner costs some 100 ms
-/// of decisions, which less than half as much again does not earn back.
+/// The ratio of CPU from which an entry counts as much stronger. A change of owner costs about 100 ms of
+/// decisions, which a smaller advantage does not recover.
 const MUCH_STRONGER_RATIO: f64 = 1.5;
 
-/// How long an owner is left in peace after the cell changed hands: it has met its workers by then.
+/// The time for which an owner is not replaced by a stronger entry after the cell changed hands. It has
+/// contacted its workers by then.
 pub const MIN_OWNERSHIP_AGE: Duration = Duration::from_millis(1_500);
 
-/// What the newest record of the lease says, as one entry sees it.
+/// The holder of the lease according to its newest record, as one entry sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Holder {
     /// There has never been an owner.
     Nobody,
-    /// There is a record, but who wrote it is not known.
+    /// There is a record, but it is not known who wrote it.
     Unknown,
-    /// The owner gave the cell up.
+    /// The owner released the cell.
     Released,
-    /// An earlier life of this entry.
+    /// An earlier incarnation of this entry.
     EarlierIncarnation,
     /// An entry whose process has ended.
     Ended,
-    /// Another entry, which does not answer this one, as far as it was asked.
+    /// Another entry, which does not respond to this one.
     Silent,
-    /// Another entry, which answers this one.
+    /// Another entry, which responds to this one.
     Answering,
-    /// Another entry, which may live.
+    /// Another entry, which may be running.
     Other,
 }
 
-/// What an entry is to do about the lease.
+/// The decision of an entry about the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// Claim it now, if the log has nothing newer.
+    /// Claim the lease now if the log has no newer record.
     Now,
-    /// Look again then, unless a record comes before.
+    /// Check again at this time, unless a record arrives before.
     At(Instant),
 }
 
-/// Whether an entry is so much stronger than another that it should own the cell in its place. Entries
-/// that do not know their part of a core, 0, outrank nobody.
+/// Returns whether an entry is so much stronger than another that it should own the cell instead. Entries
+/// whose share of CPU is unknown (0) outrank nobody.
 pub fn outranks(own: MilliCpu, other: MilliCpu) -> bool {
     own > other && own as f64 >= other as f64 * MUCH_STRONGER_RATIO
 }
 
-/// What one entry remembers of the owners of a cell.
+/// The state of one entry concerning the ownership of a cell.
 #[derive(Clone, Copy, Debug)]
 pub struct Election {
-    /// The entry's own part of a core.
+    /// The entry's own share of CPU.
     cpu: MilliCpu,
-    /// The largest part of a core that the lease's records have named.
+    /// The largest share of CPU named in the records of the lease.
     strongest: MilliCpu,
-    /// When the newest record was read, or the store last came back.
-    fresh: Instant,
-    /// When the owner changed last, as far as this entry has seen.
-    changed: Instant,
-    /// Since when the cell is known to have no owner.
-    vacant: Option<Instant>,
+    /// The time at which the newest record was read or the store last became available again.
+    last_renewal: Instant,
+    /// The time of the last change of owner that this entry has seen.
+    owner_changed_at: Instant,
+    /// The time since which the cell is known to have no owner.
+    vacant_since: Option<Instant>,
 }
 
 impl Election {
-    /// An entry that has read nothing yet.
+    /// Creates the state of an entry that has read no record yet.
     pub fn new(cpu: MilliCpu, now: Instant) -> Self {
         Election {
             cpu,
             strongest: cpu,
-            fresh: now,
-            changed: now,
-            vacant: None,
+            last_renewal: now,
+            owner_changed_at: now,
+            vacant_since: None,
         }
     }
 
-    /// A record was read, or one of this entry's own was taken by the log.
+    /// Records that a record was read, or that the log accepted one of this entry's own.
     pub fn on_record(&mut self, cpu: MilliCpu, now: Instant) {
-        self.fresh = now;
-        self.vacant = None;
+        self.last_renewal = now;
+        self.vacant_since = None;
         self.strongest = self.strongest.max(cpu);
     }
 
-    /// The owner is another one than before.
+    /// Records that the owner has changed.
     pub fn on_owner_change(&mut self, now: Instant) {
-        self.changed = now;
+        self.owner_changed_at = now;
     }
 
-    /// The store did not answer. The owner may not have reached it either: its time counts from the
-    /// return, and nobody is asked to hand over meanwhile.
+    /// Records that the store did not respond. The owner may not have reached it either, so that its
+    /// timeout starts again when the store returns, and no owner is asked to hand over in the meantime.
     pub fn on_store_trouble(&mut self, now: Instant) {
-        self.fresh = now;
-        self.changed = now;
+        self.last_renewal = now;
+        self.owner_changed_at = now;
     }
 
-    /// What to do about the lease.
+    /// Returns whether to claim the lease now, or when to check again.
     pub fn next_claim(&mut self, holder: Holder, now: Instant) -> Claim {
         let lapsed = match holder {
             Holder::Unknown | Holder::Other => {
-                self.vacant = None;
-                self.fresh + LEASE_TIMEOUT
+                self.vacant_since = None;
+                self.last_renewal + LEASE_TIMEOUT
             }
             Holder::Silent => {
-                self.vacant = None;
-                self.fresh + SILENT_OWNER_TIMEOUT
+                self.vacant_since = None;
+                self.last_renewal + SILENT_OWNER_TIMEOUT
             }
             Holder::Answering => {
-                self.vacant = None;
-                self.fresh + ANSWERING_OWNER_TIMEOUT
+                self.vacant_since = None;
+                self.last_renewal + ANSWERING_OWNER_TIMEOUT
             }
             Holder::Nobody | Holder::Released | Holder::EarlierIncarnation | Holder::Ended => {
-                *self.vacant.get_or_insert(now)
+                *self.vacant_since.get_or_insert(now)
             }
         };
-        let at = lapsed + self.deference();
+        let at = lapsed + self.claim_delay();
         if now >= at { Claim::Now } else { Claim::At(at) }
     }
 
-    /// Whether an owner with so much of a core should be asked to hand the cell over to this entry.
+    /// Returns whether the owner, with the given share of CPU, should be asked to hand the cell over to
+    /// this entry.
     pub fn should_request_handover(&self, owner: MilliCpu, now: Instant) -> bool {
-        outranks(self.cpu, owner) && now >= self.changed + MIN_OWNERSHIP_AGE
+        outranks(self.cpu, owner) && now >= self.owner_changed_at + MIN_OWNERSHIP_AGE
     }
 
-    /// How much later than others this entry claims.
-    fn deference(&self) -> Duration {
+    /// Returns how much later than other entries this entry claims.
+    fn claim_delay(&self) -> Duration {
         if outranks(self.strongest, self.cpu) {
             WEAKER_CLAIM_DELAY
         } else {
--- a/crates/fleet/src/first_sent.rs
+++ b/crates/fleet/src/first_sent.rs
@@ -1,14 +1,16 @@
-//! From when on a record of the lease may have been in the log, where answers to appends can be lost.
+//! The earliest time at which a record of the lease may have entered the log, for the case that responses
+//! to appends are lost.
 //!
-//! An owner counts its lease from before others can have read its record. One that is sent on condition of the
-//! log's end is taken once, by any of the calls that were made for that place, also by one that was given up.
+//! An owner counts its lease from a time before others can have read its record. A record that is appended
+//! on condition of the log's end is accepted once, by any of the calls that were made for that position,
+//! including a call that was abandoned.
 
 use clock::Instant;
 
-/// Where a record is in a log.
+/// The position of a record in a log.
 pub type LogPosition = u64;
 
-/// When a record was first sent for the place for which one was sent last.
+/// The time at which a record was first sent for the latest position for which one was sent.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstSent {
     position: LogPosition,
@@ -16,7 +18,8 @@
 }
 
 impl FirstSent {
-    /// A record is sent for a place.
+    /// Records that a record is sent for `position` and returns the new state. A repetition for the same
+    /// position keeps the time of the first call.
     pub fn record(known: Option<FirstSent>, position: LogPosition, now: Instant) -> Self {
         match known {
             Some(sent) if sent.position == position => sent,
@@ -27,8 +30,8 @@
         }
     }
 
-    /// The earliest moment at which the log can have taken this process's record that it has at a place; none if
-    /// this process has sent none for it.
+    /// Returns the earliest time at which the log can have accepted this process's record at `position`, or
+    /// `None` if this process did not send one for that position last.
     pub fn earliest(self, position: LogPosition) -> Option<Instant> {
         (self.position == position).then_some(self.sent_at)
     }
--- a/crates/fleet/src/outage.rs
+++ b/crates/fleet/src/outage.rs
@@ -1,27 +1,30 @@
-//! Whether a service that all entries use is away for all, by what some of them tell.
+//! Whether a service that all entries use is unavailable for all of them, according to reports of some
+//! entries.
 
-/// What an entry tells of the service.
+/// An entry's report on whether the service responds to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceReport {
     /// The entry's data centre.
     pub hall: String,
-    /// Whether the service does not answer it.
+    /// Whether the service does not respond to the entry.
     pub silent: bool,
 }
 
-/// Whether the service is away for all: of the entries that were `asked`, more than half say that it does not
-/// answer, one of them in another data centre than `own`, and none says that it does. Entries of the own data
-/// centre may be cut off together, and so may some of several: those that are not do not answer either.
-pub fn is_unavailable(own: &str, told: &[ServiceReport], asked: usize) -> bool {
-    let all = told.iter().all(|hearing| hearing.silent);
-    let most = told.len() * 2 > asked;
-    all && most && told.iter().any(|hearing| hearing.hall != own)
+/// Returns whether the service is unavailable for all entries: of the `asked` entries, more than half
+/// report that it does not respond, at least one of them in another data centre than `own`, and none
+/// reports that it does. Entries of this data centre may be cut off together, and so may those of several
+/// data centres; in that case, the entries that are not cut off do not reply to the request for a report.
+pub fn is_unavailable(own: &str, reports: &[ServiceReport], asked: usize) -> bool {
+    let all_silent = reports.iter().all(|report| report.silent);
+    let majority = reports.len() * 2 > asked;
+    all_silent && majority && reports.iter().any(|report| report.hall != own)
 }
 
-/// Whether the service answers others and not this entry: a third of the entries that told, or more, say that it does. Not
-/// most of them: those that an entry knows may be cut off from the service together with it, and a single one may have had
-/// a quick answer of a slow service.
-pub fn is_isolated(told: &[ServiceReport]) -> bool {
-    let answered = told.iter().filter(|hearing| !hearing.silent).count();
-    answered > 0 && answered * 3 >= told.len()
+/// Returns whether the service responds to other entries but not to this one: at least a third of the
+/// reports say that it responds. A majority is not required, because the known entries may be cut off from
+/// the service together with this one. A single report is not enough, because one entry may have received a
+/// quick response from a slow service.
+pub fn is_isolated(reports: &[ServiceReport]) -> bool {
+    let answered = reports.iter().filter(|report| !report.silent).count();
+    answered > 0 && answered * 3 >= reports.len()
 }
--- a/crates/fleet/src/replication.rs
+++ b/crates/fleet/src/replication.rs
@@ -1,163 +1,172 @@
-//! Which entries read what the platform publishes, and which are told by another entry.
+//! Decides which entries read the records that the platform publishes, and which ones receive them from
+//! another entry.
 //!
-//! A few entries of each data centre read for themselves; the others follow one of these, or one that follows. The owner
-//! of the cell places entries, since all of them know its address; whoever has a place goes on without it. Each entry has
-//! few followers, and sends the next one on to one of these: the tree grows in depth as the logarithm of the entries.
+//! A few entries of each data centre are readers. The others follow a reader or another follower. The owner
+//! of the cell assigns the sources, since all entries know its address; an entry that has an assignment
+//! keeps it without the owner. Each entry has a limited number of followers and redirects further ones to
+//! one of these, so that the depth of the tree grows logarithmically with the number of entries.
 
 use crate::{MilliCpu, outranks};
 use clock::Instant;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Where an entry takes the calls of others, as IP and port.
+/// The address at which an entry accepts calls from other entries, as IP and port.
 pub type Address = String;
 
-/// How many entries of a data centre read: one may be lost.
+/// The number of entries in a data centre that read from the platform: one of them may fail.
 pub const READERS_PER_HALL: usize = 2;
 
-/// How many entries follow one: a configuration of 50 KB takes 0.16 s to all of them on a link of 20 Mbit/s.
+/// The maximum number of direct followers of an entry. Sending a configuration of 50 KB to all of them
+/// takes 0.16 s on a link of 20 Mbit/s.
 pub const MAX_FOLLOWERS: usize = 8;
 
-/// After which silence an entry gives its place up.
+/// The time without a request after which an entry loses its assignment.
 pub const ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// From which age on what an entry knows is too old to be passed on: readers in touch are never older than the 0.8 s for
-/// which a read waits and two slow answers.
+/// The age from which an entry's data is too old to be passed on. A reader that is connected to the
+/// platform never has older data: a read waits for 0.8 s, and two slow responses may come on top.
 pub const STALE_AGE: Duration = Duration::from_millis(1_500);
 
-/// An entry that asks for a place.
+/// An entry that asks for an assignment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowerInfo {
-    /// Where it takes calls.
+    /// The address at which the entry accepts calls.
     pub address: Address,
-    /// Its data centre.
+    /// The entry's data centre.
     pub hall: String,
-    /// Its part of a core.
+    /// The entry's share of CPU.
     pub cpu: MilliCpu,
-    /// How long ago what it knows was the newest for certain.
+    /// The time since the entry's data was known to be the newest.
     pub age: Duration,
 }
 
-/// Where an entry has its news from.
+/// The source from which an entry receives the published records.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Source {
-    /// The platform.
+    /// The platform itself.
     Platform,
-    /// This entry, or one that it names.
+    /// The entry at this address, or one that it redirects to.
     Entry(Address),
 }
 
-/// An entry that has a place.
+/// An entry that has an assignment.
 #[derive(Clone, Debug)]
-struct Member {
+struct AssignedEntry {
     info: FollowerInfo,
-    /// When it last asked.
-    seen: Instant,
+    /// The time of its last request.
+    last_request: Instant,
 }
 
-/// Entries that have places.
+/// The entries that have assignments.
 #[derive(Clone, Debug, Default)]
-struct Members(Vec<Member>);
-
-impl Members {
-    /// Forgets those that have not asked for long, and a seeker that asks anew.
-    fn forget(&mut self, info: &FollowerInfo, now: Instant) {
-        self.0.retain(|member| {
-            now < member.seen + ASSIGNMENT_TIMEOUT && member.info.address != info.address
+struct AssignedEntries(Vec<AssignedEntry>);
+
+impl AssignedEntries {
+    /// Removes the entries whose last request is too long ago, and the entry `info`, which is about to be
+    /// added again.
+    fn remove_outdated(&mut self, info: &FollowerInfo, now: Instant) {
+        self.0.retain(|entry| {
+            now < entry.last_request + ASSIGNMENT_TIMEOUT && entry.info.address != info.address
         });
     }
 
     fn add(&mut self, info: FollowerInfo, now: Instant) {
-        self.0.push(Member { info, seen: now });
+        self.0.push(AssignedEntry {
+            info,
+            last_request: now,
+        });
     }
 
-    /// Gives the place of the weakest one that passes a test to a seeker that is much stronger; false if none is.
-    fn replace(
+    /// Replaces the weakest entry that passes `allowed`, if `info` is much stronger. Returns whether it
+    /// did.
+    fn replace_weakest(
         &mut self,
         info: &FollowerInfo,
         now: Instant,
-        may: impl Fn(&FollowerInfo) -> bool,
+        allowed: impl Fn(&FollowerInfo) -> bool,
     ) -> bool {
-        let members = self.0.iter_mut().filter(|member| may(&member.info));
-        let weakest = members.min_by_key(|member| member.info.cpu);
+        let entries = self.0.iter_mut().filter(|entry| allowed(&entry.info));
+        let weakest = entries.min_by_key(|entry| entry.info.cpu);
         let Some(weakest) = weakest.filter(|other| outranks(info.cpu, other.info.cpu)) else {
             return false;
         };
-        *weakest = Member {
+        *weakest = AssignedEntry {
             info: info.clone(),
-            seen: now,
+            last_request: now,
         };
         true
     }
 
-    /// One of those that pass a test, by a number drawn at random.
-    fn pick(&self, draw: usize, may: impl Fn(&FollowerInfo) -> bool) -> Option<Address> {
-        let members = self.0.iter().filter(|member| may(&member.info));
-        let fitting: Vec<&Member> = members.collect();
+    /// Returns the address of one of the entries that pass `allowed`, chosen by the random number `draw`.
+    fn pick_random(&self, draw: usize, allowed: impl Fn(&FollowerInfo) -> bool) -> Option<Address> {
+        let entries = self.0.iter().filter(|entry| allowed(&entry.info));
+        let fitting: Vec<&AssignedEntry> = entries.collect();
         let chosen = fitting.get(draw.checked_rem(fitting.len())?)?;
         Some(chosen.info.address.clone())
     }
 }
 
-/// The entries that read, as the owner of the cell knows them.
+/// The readers, as the owner of the cell knows them.
 #[derive(Clone, Debug, Default)]
-pub struct Readers(Members);
+pub struct Readers(AssignedEntries);
 
 impl Readers {
-    /// Gives an entry a place: it reads where its data centre has too few readers, or a much weaker one; else it follows a
-    /// reader, of its own data centre if there is one. One that the platform does not answer reads only where nobody else
-    /// does. `draw` is a number drawn at random.
+    /// Assigns a source to an entry. It becomes a reader if its data centre has too few of them or a much
+    /// weaker one; otherwise it follows a reader, preferably one of its own data centre. An entry that gets
+    /// no responses from the platform becomes a reader only if there is no other. `draw` is a random
+    /// number.
     pub fn assign(&mut self, info: FollowerInfo, draw: usize, now: Instant) -> Source {
-        self.0.forget(&info, now);
-        let here = |other: &FollowerInfo| other.hall == info.hall;
+        self.0.remove_outdated(&info, now);
+        let same_hall = |other: &FollowerInfo| other.hall == info.hall;
         if info.age <= STALE_AGE {
-            let readers = self.0.0.iter().filter(|member| here(&member.info));
+            let readers = self.0.0.iter().filter(|entry| same_hall(&entry.info));
             if readers.count() < READERS_PER_HALL {
                 self.0.add(info, now);
                 return Source::Platform;
             }
-            if self.0.replace(&info, now, here) {
+            if self.0.replace_weakest(&info, now, same_hall) {
                 return Source::Platform;
             }
         }
-        let near = self.0.pick(draw, here);
-        let reader = near.or_else(|| self.0.pick(draw, |_| true));
+        let nearby = self.0.pick_random(draw, same_hall);
+        let reader = nearby.or_else(|| self.0.pick_random(draw, |_| true));
         reader.map_or(Source::Platform, Source::Entry)
     }
 
-    /// Where those take calls that have asked of late.
+    /// Returns the addresses of the readers whose last request was recent enough.
     pub fn addresses(&self, now: Instant) -> Vec<Address> {
-        let members = self.0.0.iter();
-        let recent = members.filter(|member| now < member.seen + ASSIGNMENT_TIMEOUT);
-        recent.map(|member| member.info.address.clone()).collect()
+        let entries = self.0.0.iter();
+        let recent = entries.filter(|entry| now < entry.last_request + ASSIGNMENT_TIMEOUT);
+        recent.map(|entry| entry.info.address.clone()).collect()
     }
 }
 
-/// The entries that follow one.
+/// The direct followers of an entry.
 #[derive(Clone, Debug, Default)]
-pub struct Followers(Members);
+pub struct Followers(AssignedEntries);
 
-/// What becomes of an entry that wants to follow another.
+/// The response to an entry that asks to become a follower.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// The entry is accepted as a follower.
     Accepted,
-    /// It is to follow this one instead.
+    /// The entry has to follow this one instead.
     Redirected(Address),
 }
 
 impl Followers {
-    /// Takes a follower, or sends it on to one of those there are. `draw` is a number drawn at random.
+    /// Accepts a follower, or redirects it to one of the present followers. `draw` is a random number.
     pub fn admit(&mut self, info: FollowerInfo, draw: usize, now: Instant) -> Admission {
-        self.0.forget(&info, now);
+        self.0.remove_outdated(&info, now);
         if self.0.0.len() < MAX_FOLLOWERS {
             self.0.add(info, now);
             return Admission::Accepted;
         }
-        if self.0.replace(&info, now, |_| true) {
+        if self.0.replace_weakest(&info, now, |_| true) {
             return Admission::Accepted;
         }
-        let other = self.0.pick(draw, |_| true);
+        let other = self.0.pick_random(draw, |_| true);
         other.map_or(Admission::Accepted, Admission::Redirected)
     }
 }
--- a/crates/fleet/src/unrecorded.rs
+++ b/crates/fleet/src/unrecorded.rs
@@ -1,77 +1,79 @@
-//! When an owner may start runs that it cannot record, and how the next owner knows that it may have.
+//! Decides when an owner may start runs that it cannot record, and how the next owner knows of this.
 //!
-//! An owner whose appends stall goes on with work that the log holds. The next owner has no record of that
-//! and must meet all workers before it starts what waited. It knows of it by its own trouble with the
-//! store, or because the earlier owner told so in a renewal of its lease before it began.
+//! An owner whose appends stall continues with the work that the log already holds. The next owner has no
+//! record of these runs and must contact all workers before it starts waiting work. It knows this from its
+//! own trouble with the store, or because the earlier owner announced it in a renewal of its lease
+//! beforehand.
 
 use clock::Instant;
 use std::time::Duration;
 
-/// For how long trouble of the store may have effects: entries of workers that lapsed are back 2 s
-/// after its end, and answers to appends may be lost for some seconds.
+/// The time for which store trouble may have effects: entries of workers that expired return up to 2 s
+/// after its end, and responses to appends may be lost for several seconds.
 pub const STORE_TROUBLE_AGE: Duration = Duration::from_millis(8_000);
 
-/// Whether the store was in trouble of late, so that the earlier owner may have started runs that it
-/// could not record.
+/// Whether the store was recently in trouble, so that the earlier owner may have started runs that it could
+/// not record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreTrouble {
-    /// It was not.
+    /// The store was not in trouble.
     None,
-    /// This entry has not run for long enough to know.
+    /// This entry has not been running for long enough to know.
     Unknown,
-    /// It was.
+    /// The store was in trouble.
     Observed,
 }
 
-/// What the lease's last record says of runs without records.
+/// The statement of the lease's last record about unrecorded runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnrecordedRuns {
-    /// There may be some.
+    /// There may be unrecorded runs.
     Possible,
-    /// There are none: its owner gave the cell up and knew.
+    /// There are none, as the owner knew when it released the cell.
     None,
-    /// There were none then; its owner went on for a while.
+    /// There were none at that renewal, but the owner continued for a while.
     NoneAtRenewal,
 }
 
-/// What a new owner has to assume: `seen` is when the store last did not answer this entry, `began` when
-/// this entry's process began.
+/// Returns what a new owner has to assume. `last_trouble` is the last time at which the store did not
+/// respond to this entry; `started_at` is the start of this entry's process.
 pub fn store_trouble(
-    told: UnrecordedRuns,
-    seen: Option<Instant>,
-    began: Instant,
+    reported: UnrecordedRuns,
+    last_trouble: Option<Instant>,
+    started_at: Instant,
     now: Instant,
 ) -> StoreTrouble {
     let recent = |at: Instant| now.saturating_duration_since(at) < STORE_TROUBLE_AGE;
-    match (told, seen) {
+    match (reported, last_trouble) {
         (UnrecordedRuns::Possible, _) => StoreTrouble::Observed,
         (UnrecordedRuns::None, _) => StoreTrouble::None,
         (UnrecordedRuns::NoneAtRenewal, Some(at)) if recent(at) => StoreTrouble::Observed,
-        (UnrecordedRuns::NoneAtRenewal, _) if recent(began) => StoreTrouble::Unknown,
+        (UnrecordedRuns::NoneAtRenewal, _) if recent(started_at) => StoreTrouble::Unknown,
         (UnrecordedRuns::NoneAtRenewal, _) => StoreTrouble::None,
     }
 }
 
-/// What an owner whose append is under way knows.
+/// The knowledge of an owner about an append in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Stall {
-    /// Since when the append is under way.
+    /// The start of the append.
     pub since: Option<Instant>,
-    /// When the renewal was sent that last told of runs without records, and was answered.
+    /// The time at which the last renewal was sent that announced unrecorded runs and that was confirmed.
     pub announced: Option<Instant>,
-    /// Whether others say that the store is away for all.
+    /// Whether other entries report that the store is unavailable for all.
     pub outage_confirmed: bool,
-    /// Whether it is certain that nobody else owns the cell.
+    /// Whether it is certain that no other entry owns the cell.
     pub sole_owner: bool,
 }
 
 impl Stall {
-    /// Whether runs may be started without a record: nobody can take over, or one that does will know.
+    /// Returns whether runs may be started without a record: either no other entry can take over, or one
+    /// that does will know of them.
     pub fn may_start_unrecorded(self) -> bool {
-        let told = match (self.since, self.announced) {
+        let reported = match (self.since, self.announced) {
             (Some(since), Some(announced)) => announced > since,
             _ => false,
         };
-        self.outage_confirmed || (told && self.sole_owner)
+        self.outage_confirmed || (reported && self.sole_owner)
     }
 }
