--- a/crates/fleet/src/sizing/mod.rs
+++ b/crates/fleet/src/sizing/mod.rs
@@ -1,10 +1,10 @@
-//! Which VMs change their pool, by what the pools' jobs ask for.
+//! Decides which VMs move to another pool, according to the demand of the pools' jobs.
 //!
-//! A VM in a pool costs money each second, and so does each move; a VM that is on its way does no
-//! work. A pool whose jobs wait gets idle VMs of pools that have more than they are likely to need, then
-//! VMs of the reserve, then idle VMs of pools that have more than their part of what all need. Where that
-//! does not do, VMs of such pools are emptied. An idle VM that nobody needs goes to the reserve once it
-//! has cost as much as the way there and back.
+//! A VM in a pool costs money each second, and so does each move; a VM that is being moved does no work. A
+//! pool whose jobs wait gets idle VMs of pools that have more than they are likely to need, then VMs of the
+//! reserve, then idle VMs of pools that have more than their fair share. If that is not enough, VMs of such
+//! pools are drained. An idle VM that no pool needs goes to the reserve once it has cost as much as the
+//! move there and back.
 
 mod ledger;
 
@@ -12,20 +12,22 @@
 use ledger::{SizingLedger, Source};
 use std::time::Duration;
 
-/// The figures that sizing depends on.
+/// The limits that sizing uses.
 #[derive(Clone, Debug)]
 pub struct SizingLimits {
-    /// The part of a pool's room that its jobs can fill: sizes of tasks leave gaps.
+    /// The share of a pool's capacity that its jobs can fill: the sizes of tasks leave gaps.
     pub max_fill: f64,
-    /// The part of its room that a pool's jobs may fill before it gives VMs away.
+    /// The share of its capacity up to which a pool's jobs may fill it while it still gives VMs away.
     pub max_fill_to_give: f64,
-    /// How long a VM must have been idle before it goes to the reserve: one that is idle for so long stays so for far longer
-    /// as a rule, and is back in time where the growth of what comes is foreseen.
+    /// The time for which a VM must have been idle before it goes to the reserve. A VM that has been idle
+    /// for this long usually stays idle for far longer, and returns in time if the growth of the demand is
+    /// forecast.
     pub reserve_idle_age: Duration,
-    /// What a pool keeps whose demand is not known, as a part of an equal share of all VMs: enough for
-    /// the first second of a peak, after which VMs of the reserve come.
+    /// The size of a pool whose demand is not known, as a share of an equal division of all VMs: enough for
+    /// the first second of a peak, after which VMs of the reserve arrive.
     pub initial_share: f64,
-    /// How long a VM must have been idle before another pool gets it: runs come in bursts.
+    /// The time for which a VM must have been idle before another pool gets it, because runs come in
+    /// bursts.
     pub min_idle: Duration,
 }
 
@@ -46,86 +48,91 @@
 pub struct IdleVm {
     /// The VM.
     pub vm: String,
-    /// Since when it has been idle.
+    /// The time since which the VM has been idle.
     pub since: Instant,
 }
 
-/// A VM that carries only work that ends by itself.
+/// A VM that runs only work that ends by itself, so that it can be drained.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainableVm {
     /// The VM.
     pub vm: String,
-    /// When its runs will have ended, as far as can be foreseen.
+    /// The time at which its runs are expected to have ended.
     pub free: Instant,
-    /// Whether it is being emptied.
+    /// Whether the VM is being drained already.
     pub draining: bool,
 }
 
-/// A pool, as sizing sees it.
+/// The demand and the VMs of a pool.
 #[derive(Clone, Debug, Default)]
 pub struct PoolDemand {
-    /// Its name.
+    /// The name of the pool.
     pub pool: String,
-    /// Whether its VMs are off and cost nothing.
+    /// Whether this is the reserve, whose VMs are off and cost nothing.
     pub reserve: bool,
-    /// How many VMs it has or is about to get.
+    /// The number of VMs that the pool has or is about to get.
     pub vms: usize,
-    /// The room of one of its VMs, in thousandths of a core.
+    /// The capacity of one of its VMs, in thousandths of a core.
     pub vm_capacity: u64,
-    /// What runs, at its highest of late, in thousandths of a core.
+    /// The recent maximum of the running work, in thousandths of a core.
     pub peak_running: u64,
-    /// What runs now, in thousandths of a core.
+    /// The work that runs now, in thousandths of a core.
     pub running: u64,
-    /// What waits for room, in thousandths of a core.
+    /// The work that waits for capacity, in thousandths of a core.
     pub waiting: u64,
-    /// The part of it that cannot be in time any more.
+    /// The part of the waiting work that can no longer meet its deadline, in thousandths of a core.
     pub late: u64,
-    /// What the jobs that come will use as long as as many come, in thousandths of a core.
+    /// The work that arriving jobs will use if they keep arriving at the current rate, in thousandths of a
+    /// core.
     pub inflow: u64,
-    /// The same once a VM that is ordered now is there, if what comes goes on growing as it does.
+    /// The inflow at the time when a VM that is ordered now becomes available, if its growth continues, in
+    /// thousandths of a core.
     pub forecast_inflow: u64,
-    /// Whether it has had no jobs yet that tell what it needs: it keeps [`SizingLimits::initial_share`].
+    /// Whether the pool has not had enough jobs yet to know its demand. Such a pool keeps
+    /// [`SizingLimits::initial_share`].
     pub demand_unknown: bool,
-    /// How many VMs it needs whatever its jobs use: tasks that must be apart, and a spare one.
+    /// The number of VMs that the pool needs regardless of its load: for tasks that must run apart, and one
+    /// spare.
     pub min_vms: usize,
-    /// Its idle VMs, those idle for the longest time first.
+    /// The idle VMs, longest idle first.
     pub idle: Vec<IdleVm>,
-    /// Its VMs that carry only work that ends by itself.
+    /// The VMs that run only work that ends by itself.
     pub drainable: Vec<DrainableVm>,
 }
 
-/// A VM that is to change its pool.
+/// A move of a VM to another pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmMove {
     /// The VM.
     pub vm: String,
-    /// Its pool.
+    /// The current pool.
     pub from: String,
-    /// The pool that it is to be in.
+    /// The new pool.
     pub to: String,
 }
 
 impl PoolDemand {
-    /// How many VMs hold so much, in thousandths of a core, if a part of their room is used.
-    fn vms_for(&self, cpu: u64, part: f64) -> usize {
-        (cpu as f64 / (self.vm_capacity.max(1) as f64 * part)).ceil() as usize
+    /// Returns how many VMs are needed for `cpu` thousandths of a core if the given share of their capacity
+    /// is used.
+    fn vms_for(&self, cpu: u64, share: f64) -> usize {
+        (cpu as f64 / (self.vm_capacity.max(1) as f64 * share)).ceil() as usize
     }
 
-    /// How many more VMs its jobs could fill.
-    fn short(&self, limits: &SizingLimits) -> usize {
+    /// Returns how many more VMs the pool's jobs could fill.
+    fn shortage(&self, limits: &SizingLimits) -> usize {
         if self.reserve {
             return 0;
         }
-        let coming = self.inflow.max(self.forecast_inflow);
+        let expected = self.inflow.max(self.forecast_inflow);
         let wanted = match self.waiting {
-            0 => self.vms_for(coming, limits.max_fill),
-            waiting => self.vms_for(coming.max(self.peak_running + waiting), limits.max_fill),
+            0 => self.vms_for(expected, limits.max_fill),
+            waiting => self.vms_for(expected.max(self.peak_running + waiting), limits.max_fill),
         };
         wanted.max(self.min_vms).saturating_sub(self.vms)
     }
 
-    /// How many VMs its jobs can use now. What can only come too late does not count, nor what is
-    /// merely expected: VMs are taken from other pools for this.
+    /// Returns how many VMs the pool's jobs can use now. Work that can only finish too late does not count,
+    /// nor does work that is merely expected, because VMs are taken from other pools for this.
     fn needed(&self, limits: &SizingLimits) -> usize {
         if self.reserve {
             return 0;
@@ -135,57 +142,62 @@
             .max(self.min_vms)
     }
 
-    /// How many VMs it can do without.
+    /// Returns how many VMs the pool can do without.
     fn surplus(&self, limits: &SizingLimits) -> usize {
         if self.reserve {
             return self.vms;
         }
-        let asked = self
+        let demand = self
             .inflow
             .max(self.forecast_inflow)
             .max(self.peak_running + self.waiting);
-        let used = self.vms_for(asked, limits.max_fill_to_give);
+        let used = self.vms_for(demand, limits.max_fill_to_give);
         self.vms.saturating_sub(used.max(self.min_vms).max(1))
     }
 }
 
-/// What is worth doing about the pools now.
+/// The changes that are worth making now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Resize {
-    /// VMs that are to change their pool at once.
+    /// The VMs that move to another pool at once.
     pub moves: Vec<VmMove>,
-    /// VMs that are to get nothing new, so that another pool can have them soon.
+    /// The VMs that get no new runs, so that another pool can have them soon.
     pub drains: Vec<String>,
 }
 
-/// Chooses the moves that are worth making now, and the VMs to be emptied for later ones.
+/// Returns the moves that are worth making now, and the VMs to drain for later moves.
 pub fn resize(pools: &[PoolDemand], now: Instant, limits: &SizingLimits) -> Resize {
     let mut ledger = SizingLedger::new(pools, limits);
     let mut resize = Resize::default();
     for source in [Source::Surplus, Source::Reserve, Source::Fair] {
-        fill(&mut ledger, source, now, &mut resize);
+        fill_shortages(&mut ledger, source, now, &mut resize);
     }
-    resize.drains = drains(&ledger);
-    rest(&mut ledger, now, &mut resize);
+    resize.drains = choose_drains(&ledger);
+    return_to_reserve(&mut ledger, now, &mut resize);
     resize
 }
 
-/// Whether a pool lacks VMs, so that emptying some may be worth looking for: only then does
-/// [`PoolDemand::drainable`] matter.
+/// Returns whether a pool lacks VMs, so that draining may help. Only then is [`PoolDemand::drainable`]
+/// used.
 pub fn lacks_vms(pools: &[PoolDemand], limits: &SizingLimits) -> bool {
     !SizingLedger::new(pools, limits)
-        .needy(Source::Fair)
+        .pools_in_need(Source::Fair)
         .is_empty()
 }
 
-/// Gives idle VMs of one source to the pools in need.
-fn fill(ledger: &mut SizingLedger<'_>, source: Source, now: Instant, resize: &mut Resize) {
-    for (to, lacks) in ledger.needy(source) {
-        for _ in 0..lacks {
+/// Moves idle VMs from one source to the pools in need.
+fn fill_shortages(
+    ledger: &mut SizingLedger<'_>,
+    source: Source,
+    now: Instant,
+    resize: &mut Resize,
+) {
+    for (to, shortage) in ledger.pools_in_need(source) {
+        for _ in 0..shortage {
             let Some((from, vm)) = ledger.take(source, now) else {
                 return;
             };
-            ledger.short[to] -= 1;
+            ledger.shortage[to] -= 1;
             resize.moves.push(VmMove {
                 vm: vm.vm.clone(),
                 from: ledger.pools[from].pool.clone(),
@@ -195,59 +207,59 @@
     }
 }
 
-/// The VMs to be emptied for pools that still lack some: of pools that have more than their part, the VMs
-/// that are free first, those that are being emptied already before others.
-fn drains(ledger: &SizingLedger<'_>) -> Vec<String> {
-    let mut lacks: usize = ledger
-        .needy(Source::Fair)
+/// Returns the VMs to drain for pools that still lack some. They belong to pools that have more than their
+/// fair share. VMs that are being drained already go first, then those that will be free first.
+fn choose_drains(ledger: &SizingLedger<'_>) -> Vec<String> {
+    let mut shortage: usize = ledger
+        .pools_in_need(Source::Fair)
         .iter()
-        .map(|(_, lacks)| lacks)
+        .map(|(_, shortage)| shortage)
         .sum();
     let mut drainable: Vec<(&DrainableVm, usize)> = Vec::new();
-    for (place, pool) in ledger.pools.iter().enumerate() {
-        drainable.extend(pool.drainable.iter().map(|vm| (vm, place)));
+    for (index, pool) in ledger.pools.iter().enumerate() {
+        drainable.extend(pool.drainable.iter().map(|vm| (vm, index)));
     }
     drainable.sort_by_key(|(vm, _)| (!vm.draining, vm.free));
-    let mut left: Vec<usize> = (0..ledger.pools.len())
-        .map(|place| ledger.can_give(place, Source::Fair))
+    let mut remaining: Vec<usize> = (0..ledger.pools.len())
+        .map(|index| ledger.available(index, Source::Fair))
         .collect();
     let mut drains = Vec::new();
-    for (vm, place) in drainable {
-        if lacks > 0 && left[place] > 0 {
-            lacks -= 1;
-            left[place] -= 1;
+    for (vm, index) in drainable {
+        if shortage > 0 && remaining[index] > 0 {
+            shortage -= 1;
+            remaining[index] -= 1;
             drains.push(vm.vm.clone());
         }
     }
     drains
 }
 
-/// How many VMs a pool keeps whose demand is not known.
-fn start_size(pools: &[PoolDemand], limits: &SizingLimits) -> usize {
-    let there: usize = pools.iter().map(|pool| pool.vms).sum();
+/// Returns how many VMs a pool keeps whose demand is not known.
+fn initial_size(pools: &[PoolDemand], limits: &SizingLimits) -> usize {
+    let total: usize = pools.iter().map(|pool| pool.vms).sum();
     let served = pools.iter().filter(|pool| !pool.reserve).count();
-    (there as f64 / served.max(1) as f64 * limits.initial_share).ceil() as usize
+    (total as f64 / served.max(1) as f64 * limits.initial_share).ceil() as usize
 }
 
-/// Sends VMs to the reserve that have been idle for long and that no pool needs.
-fn rest(ledger: &mut SizingLedger<'_>, now: Instant, resize: &mut Resize) {
+/// Moves VMs to the reserve that have been idle for long and that no pool needs.
+fn return_to_reserve(ledger: &mut SizingLedger<'_>, now: Instant, resize: &mut Resize) {
     let Some(reserve) = ledger.pools.iter().find(|pool| pool.reserve) else {
         return;
     };
-    let start = start_size(ledger.pools, ledger.limits);
-    for (place, pool) in ledger.pools.iter().enumerate() {
+    let initial = initial_size(ledger.pools, ledger.limits);
+    for (index, pool) in ledger.pools.iter().enumerate() {
         if pool.reserve {
             continue;
         }
-        let mut most = ledger.can_give(place, Source::Surplus);
+        let mut max = ledger.available(index, Source::Surplus);
         if pool.demand_unknown {
-            most = most.min(pool.vms.saturating_sub(start));
+            max = max.min(pool.vms.saturating_sub(initial));
         }
-        let rested = ledger.idle[place]
+        let returned = ledger.idle[index]
             .iter()
-            .take(most)
+            .take(max)
             .filter(|vm| now >= vm.since + ledger.limits.reserve_idle_age);
-        resize.moves.extend(rested.map(|vm| VmMove {
+        resize.moves.extend(returned.map(|vm| VmMove {
             vm: vm.vm.clone(),
             from: pool.pool.clone(),
             to: reserve.pool.clone(),
