--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,9 @@
-//! A clock that goes on while the machine is suspended.
+//! A clock that advances while the machine is suspended.
 //!
-//! `std::time::Instant` is the steady clock on Linux, which stands still meanwhile: an owner that slept for 5 s would
-//! believe in its lease as if no time had passed. What another process relies on, and the ages of what was read, are
-//! measured by [`Instant`] instead; the two types cannot be mixed up.
+//! `std::time::Instant` uses Linux's monotonic clock, which stops during a suspension: an owner that was
+//! suspended for 5 s would trust its lease as if no time had passed. Times on which another process relies,
+//! and the ages of data that was read, are therefore measured by [`Instant`]. It is a separate type so that
+//! the two clocks cannot be mixed up.
 
 pub mod timer;
 
@@ -14,26 +15,26 @@
     time::Duration,
 };
 
-/// How far the clock has been put forward by [`advance_to`], in ms.
+/// The offset that [`advance_to`] has added to the clock, in ms.
 static ADVANCED_MS: AtomicU64 = AtomicU64::new(0);
 
-/// A moment of this machine's time since its start, suspensions included.
+/// A point in time, measured from the start of the machine and including suspensions.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// This moment.
+    /// Returns the current time.
     pub fn now() -> Self {
         let advanced = Duration::from_millis(ADVANCED_MS.load(Ordering::Relaxed));
         Instant(read(ClockId::Boottime) + advanced)
     }
 
-    /// How long ago it was; nothing if it is to come.
+    /// Returns the time since this instant, or zero if it is in the future.
     pub fn elapsed(&self) -> Duration {
         Self::now().saturating_duration_since(*self)
     }
 
-    /// How long after another moment it is; nothing if it is before that.
+    /// Returns the time from `earlier` to this instant, or zero if `earlier` is later.
     pub fn saturating_duration_since(&self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -56,7 +57,7 @@
 impl Sub<Duration> for Instant {
     type Output = Self;
 
-    /// A moment before it, the start of the machine at the earliest.
+    /// Returns an earlier instant, but none before the start of the machine.
     fn sub(self, span: Duration) -> Self {
         Instant(self.0.saturating_sub(span))
     }
@@ -76,23 +77,25 @@
     }
 }
 
-/// By how much this clock is ahead of the steady one: it grows by the length of each suspension. Timers stand on the
-/// steady clock, and fire late by as much.
+/// Returns by how much this clock is ahead of the monotonic one. The difference grows by the length of each
+/// suspension. Timers use the monotonic clock and therefore fire late by as much.
 pub fn suspended_time() -> Duration {
-    // Read in this order, a thread that loses its turn between the two finds too little rather than too much.
+    // In this order, a thread that is preempted between the two reads returns too little rather than too
+    // much.
     let now = Instant::now();
     let steady = read(ClockId::Monotonic);
     now.0.saturating_sub(steady)
 }
 
-/// Puts the clock forward by so much in all, as suspensions of the machine would: for tests, which cannot suspend it.
+/// Sets the offset of the clock to `span`, unless it is larger already, as suspensions of the machine
+/// would. This is for tests, which cannot suspend the machine.
 pub fn advance_to(span: Duration) {
     ADVANCED_MS.fetch_max(span.as_millis() as u64, Ordering::Relaxed);
 }
 
-/// What a clock of the system shows.
+/// Reads a clock of the system.
 fn read(id: ClockId) -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(id);
-    // Neither is negative since the machine's start.
+    // Neither part is negative, since both clocks count from the machine's start.
     Duration::new(tv_sec.unsigned_abs(), tv_nsec as u32)
 }
--- a/crates/clock/src/timer.rs
+++ b/crates/clock/src/timer.rs
@@ -1,7 +1,7 @@
-//! Waits that end in time although the machine was suspended meanwhile.
+//! Timers that end on time even if the machine is suspended meanwhile.
 //!
-//! The runtime's timers stand on the steady clock: one that was to fire during a suspension of 5 s fires up to 5 s
-//! late. Waits in here look again as soon as somebody has noticed the suspension.
+//! The runtime's timers use the monotonic clock: one that is due during a suspension of 5 s fires up to 5 s
+//! late. The waits in this module check the time again as soon as a suspension is detected.
 
 use crate::{Instant, suspended_time};
 use std::{
@@ -10,21 +10,22 @@
 };
 use tokio::{sync::Notify, time};
 
-/// How much this clock may gain on the steady one without a suspension, in ms: both are read in ns and told in ms.
+/// The threshold in ms above which a difference between the clocks counts as a suspension. Both clocks are
+/// read in ns and compared in ms.
 const SUSPENSION_THRESHOLD_MS: u64 = 20;
 
-/// Told after each suspension that was noticed.
+/// The notification that a suspension was detected.
 static SUSPENSION_DETECTED: Notify = Notify::const_new();
 
-/// By how much this clock was ahead of the steady one at the most so far, in ms; none before the first look. The machine
-/// may have been suspended before the process began.
+/// The largest lead of this clock over the monotonic one so far, in ms, or `None` before the first check.
+/// The machine may have been suspended before the process started.
 static MAX_SUSPENDED_MS: Mutex<Option<u64>> = Mutex::new(None);
 
-/// The time for a wait has passed.
+/// The error of a wait whose deadline has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
-/// Waits until a moment.
+/// Waits until `at`.
 pub async fn sleep_until(at: Instant) {
     loop {
         let suspended = SUSPENSION_DETECTED.notified();
@@ -39,11 +40,11 @@
     }
 }
 
-/// Waits for something until a moment.
+/// Waits for a future until the deadline `at`.
 ///
 /// # Errors
 ///
-/// Fails when it has not come by then.
+/// Returns an error if the future has not completed by the deadline.
 pub async fn timeout_at<T>(at: Instant, what: impl Future<Output = T>) -> Result<T, Elapsed> {
     tokio::select! {
         biased;
@@ -52,8 +53,8 @@
     }
 }
 
-/// Looks whether the machine was suspended since the last look, and if so ends the waits whose time has passed. Returns
-/// for how long.
+/// Checks whether the machine was suspended since the last check. If so, it ends the waits whose deadline
+/// has passed and returns the duration of the suspension.
 pub fn detect_suspension() -> Option<Duration> {
     let now = suspended_time().as_millis() as u64;
     let gained = record_suspended_ms(now);
@@ -64,9 +65,9 @@
     Some(Duration::from_millis(gained))
 }
 
-/// Notes by how much this clock is ahead, in ms, and returns by how much that is more than ever before.
+/// Records the current lead of this clock in ms and returns by how much it exceeds the largest one so far.
 fn record_suspended_ms(now: u64) -> u64 {
-    // A thread that panicked here has changed nothing by halves.
+    // The lock may be poisoned: a thread that panicked while holding it has left no partial update.
     let mut max = MAX_SUSPENDED_MS
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
