--- a/crates/workspaces/benches/keyring.rs
+++ b/crates/workspaces/benches/keyring.rs
@@ -1,6 +1,6 @@
-//! What keys cost: one change of 65 workspaces with 50 keys each, and calls with wrong keys.
+//! The cost of keys: applying a change to 65 workspaces with 50 keys each, and looking up wrong keys.
 //!
-//! Folding a change of one workspace in, against making the ring anew, and looking a wrong key up.
+//! Compares applying a change of one workspace with building a new keyring, and looks up a wrong key.
 
 #![expect(missing_docs, reason = "the macros of criterion make public functions")]
 
@@ -30,25 +30,25 @@
     let before: Vec<_> = (0..WORKSPACES).map(|number| workspace(number, 0)).collect();
     let mut after = before.clone();
     after[7] = workspace(7, 1);
-    let mut ring = Keyring::default();
-    ring.replace(&before);
+    let mut keyring = Keyring::default();
+    keyring.replace(&before);
     c.bench_function("fold one change and back", |b| {
         b.iter(|| {
-            ring.replace(black_box(&after));
-            ring.replace(black_box(&before));
+            keyring.replace(black_box(&after));
+            keyring.replace(black_box(&before));
         });
     });
     c.bench_function("make the ring anew", |b| {
         b.iter(|| {
-            let mut ring = Keyring::default();
-            ring.replace(black_box(&after));
-            ring
+            let mut keyring = Keyring::default();
+            keyring.replace(black_box(&after));
+            keyring
         });
     });
     c.bench_function("read and look up a wrong key", |b| {
         b.iter(|| {
             let key = Key::new(black_box("pqk8bdk9eevyxq2yyaza")).expect("a key");
-            ring.find(&key).is_some()
+            keyring.find(&key).is_some()
         });
     });
 }
--- a/crates/workspaces/src/freshness.rs
+++ b/crates/workspaces/src/freshness.rs
@@ -1,58 +1,60 @@
-//! How sure an entry may be that its configuration is the newest one.
+//! Decides how long an entry may rely on its configuration without confirming that it is the newest one.
 //!
-//! An entry follows the operators' topic and hears of each change within some ms. Where it has heard nothing for a while,
-//! as after a freeze or while the platform turns it away, or where a call shows what its configuration does not know, it
-//! looks once more before it answers: [`Freshness::next_action`] says when. Looks are shared by all calls that wait and have a
-//! least distance, so that 1,000 calls a second with guessed keys cause ten of them.
+//! An entry follows the operators' topic and receives each change within some ms. If it has received
+//! nothing for a while, for instance after a freeze or while it is isolated from the platform, or if a call
+//! refers to something that its configuration does not contain, it polls the platform before it responds;
+//! [`Freshness::next_action`] says when. All waiting calls share a poll, and polls have a minimum interval,
+//! so that 1,000 calls per second with guessed keys cause ten polls.
 
 use clock::Instant;
 use std::time::Duration;
 
-/// How old knowledge may be before a call is let wait for a look. The topic is read for 0.8 s at a time, so that an
-/// entry in touch never is older than 0.8 s and two answers, 0.24 s each where the store is 60 times slower than usual; a
-/// change must be in force within 2 s where it must be soonest.
+/// The age of a configuration above which a call waits for a poll. The topic is read for 0.8 s at a time,
+/// so that a connected entry is never older than 0.8 s and two responses, which take 0.24 s each if the
+/// store is 60 times slower than usual. In the strictest setting, a change must be in force within 2 s.
 const POLL_AGE: Duration = Duration::from_millis(1_500);
 
-/// The least time between two looks.
+/// The minimum time between two polls.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The least time until the next look after one that had no answer: nobody gains from more.
+/// The minimum time between a failed poll and the next one: more frequent polls would not help.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What an entry has to do before it takes a call.
+/// The action required before an entry handles a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FreshnessAction {
-    /// Nothing: what it knows is new enough, or no look could tell more for now.
+    /// Handle the call: the configuration is recent enough, or no poll could confirm it for now.
     Proceed,
-    /// It looks, and asks again then.
+    /// Poll the platform, then decide again.
     Poll,
-    /// A look is under way: it waits for its end.
+    /// Wait for the end of the poll in progress.
     JoinPoll,
-    /// The next look is due at this moment: it waits until then.
+    /// Wait until this time, when the next poll is due.
     WaitUntil(Instant),
-    /// It refuses: it cannot make sure for longer than it may.
+    /// Refuse the call: the configuration has not been confirmed for longer than allowed.
     Refuse,
 }
 
-/// When an entry knew what, and when it last looked.
+/// The age of an entry's configuration and the state of its polls.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
-    /// Until when its configuration was the newest for certain.
+    /// The last time at which the configuration was known to be the newest.
     confirmed: Instant,
-    /// When the newest question was sent that has been answered.
+    /// The sending time of the newest request that has been answered.
     requested: Option<Instant>,
-    /// When the last look was sent.
+    /// The sending time of the last poll.
     last_poll: Option<Instant>,
-    /// Whether that look is under way.
+    /// Whether that poll is in progress.
     polling: bool,
-    /// Whether the last look that ended had no answer.
+    /// Whether the last completed poll failed.
     failed: bool,
-    /// For how long it may go on without being sure; none if for ever.
+    /// The maximum age at which calls are still handled, or `None` for no limit.
     max_age: Option<Duration>,
 }
 
 impl Freshness {
-    /// An entry that begins now and may go on for so long without being sure; for ever without a limit.
+    /// Creates the state of an entry that starts now with a confirmed configuration. Calls are handled up
+    /// to the age `max_age`, or without limit if it is `None`.
     pub fn new(now: Instant, max_age: Option<Duration>) -> Self {
         Freshness {
             confirmed: now,
@@ -64,31 +66,32 @@
         }
     }
 
-    /// A question that was sent at `asked` has been answered, by what was the newest until `confirmed`.
+    /// Records the response to a request that was sent at `requested`. It contained the newest
+    /// configuration as of `confirmed`.
     pub fn confirm(&mut self, requested: Instant, confirmed: Instant) {
         self.requested = self.requested.max(Some(requested));
         self.confirmed = self.confirmed.max(confirmed);
         self.failed = false;
     }
 
-    /// A look is sent.
+    /// Records that a poll is sent.
     pub fn begin_poll(&mut self, now: Instant) {
         self.last_poll = Some(now);
         self.polling = true;
     }
 
-    /// The look has ended.
+    /// Records that the poll has ended, with or without a response.
     pub fn end_poll(&mut self, answered: bool) {
         self.polling = false;
         self.failed = !answered;
     }
 
-    /// How long ago its configuration was the newest for certain.
+    /// Returns the time since the configuration was known to be the newest.
     pub fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.confirmed)
     }
 
-    /// What to do before a call is taken.
+    /// Returns the action required before a call is handled.
     pub fn next_action(&self, now: Instant) -> FreshnessAction {
         if self.age(now) <= POLL_AGE {
             return FreshnessAction::Proceed;
@@ -99,7 +102,8 @@
         }
     }
 
-    /// What to do before a call that came at `came` is refused for what this configuration does not know.
+    /// Returns the action required before a call that was received at `received` is refused because the
+    /// configuration lacks something that it refers to.
     pub fn next_action_for_unknown(&self, received: Instant, now: Instant) -> FreshnessAction {
         if self
             .requested
@@ -108,13 +112,13 @@
             return FreshnessAction::Proceed;
         }
         match self.poll_due(now) {
-            // Nobody answers: what is known has to do.
+            // Polls fail, so that the known configuration has to suffice.
             FreshnessAction::WaitUntil(_) if self.failed => FreshnessAction::Proceed,
             next => next,
         }
     }
 
-    /// When no look can be had: it goes on, or refuses where it may not.
+    /// Returns the action if no poll is possible: proceed, or refuse if the maximum age is exceeded.
     pub fn action_without_poll(&self, now: Instant) -> FreshnessAction {
         match self.max_age {
             Some(max_age) if self.age(now) > max_age => FreshnessAction::Refuse,
@@ -122,7 +126,7 @@
         }
     }
 
-    /// When the next look is due.
+    /// Returns whether a poll is due, in progress, or when the next one is due.
     fn poll_due(&self, now: Instant) -> FreshnessAction {
         let Some(last_poll) = self.last_poll else {
             return FreshnessAction::Poll;
--- a/crates/workspaces/src/key.rs
+++ b/crates/workspaces/src/key.rs
@@ -1,40 +1,41 @@
-//! Keys: what a caller shows, and what is kept of it.
+//! Keys that callers present, and the digests of keys that are stored.
 
 use secrecy::{ExposeSecret, SecretString};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// The longest key that is looked at, in bytes; the platform's have 20.
+/// The maximum length of an accepted key. The platform's keys have 20 bytes.
 const MAX_KEY_BYTES: usize = 512;
 
-/// A key in the clear, as a caller shows it. Neither its `Debug` form nor anything else tells it.
+/// A key in plain text, as presented by a caller. Its `Debug` output does not reveal it.
 #[derive(Clone, Debug)]
 pub struct Key(SecretString);
 
-/// What is kept of a key: its SHA-256 digest, by which it is compared.
+/// The SHA-256 digest of a key, which is what is stored and compared.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
-/// What a call shows to be let in.
+/// The authorization that a call presents.
 #[derive(Clone, Debug)]
 pub enum Authorization {
-    /// Nothing.
+    /// The call presents none.
     Missing,
-    /// Something that is no key.
+    /// The call presents something that is not a valid key.
     Malformed,
-    /// A key.
+    /// The call presents a key.
     Key(Key),
 }
 
 impl Key {
-    /// A key, unless the text is empty, very long, or has blanks or signs that no key has.
+    /// Creates a key. Returns `None` if the text is empty, too long, or contains anything but printable ASCII
+    /// characters without spaces.
     pub fn new(text: &str) -> Option<Self> {
         let valid_length = !text.is_empty() && text.len() <= MAX_KEY_BYTES;
         (valid_length && text.bytes().all(|b| b.is_ascii_graphic()))
             .then(|| Key(text.to_owned().into()))
     }
 
-    /// What is kept of it.
+    /// Returns the digest of the key.
     pub fn digest(&self) -> KeyDigest {
         KeyDigest(Sha256::digest(self.0.expose_secret()).into())
     }
@@ -46,7 +47,8 @@
     }
 }
 
-/// Reads what a call shows to be let in, from the values of its header: one, of the scheme and a key.
+/// Reads the authorization from the values of its header. There must be exactly one value, made of the
+/// scheme and a key.
 pub fn read_authorization<'v>(
     scheme: &str,
     values: impl IntoIterator<Item = Option<&'v str>>,
@@ -60,7 +62,7 @@
     }
 }
 
-/// Reads one value. The name of a scheme is the same in capitals.
+/// Reads one value. The name of the scheme is case-insensitive.
 fn read_value(scheme: &str, text: &str) -> Authorization {
     let Some((name, rest)) = text.trim().split_once(' ') else {
         return Authorization::Malformed;
--- a/crates/workspaces/src/keyring.rs
+++ b/crates/workspaces/src/keyring.rs
@@ -1,4 +1,4 @@
-//! Which workspace a key opens.
+//! The mapping from keys to workspaces.
 
 use crate::{Key, KeyDigest, Workspace};
 use jobs::WorkspaceId;
@@ -7,18 +7,19 @@
     rc::Rc,
 };
 
-/// The keys of all workspaces. A configuration is folded in by what it changes: a workspace that stays the same value in
-/// memory costs a comparison of two pointers, whatever it has of keys.
+/// The keys of all workspaces. A new configuration is applied as a difference: for a workspace that is the
+/// same value in memory, only two pointers are compared, however many keys it has.
 #[derive(Debug, Default)]
 pub struct Keyring {
     /// The workspaces by name.
     workspaces: BTreeMap<WorkspaceId, Rc<Workspace>>,
-    /// Who holds each key.
+    /// The workspaces that hold each key.
     holders: HashMap<KeyDigest, Vec<WorkspaceId>>,
 }
 
 impl Keyring {
-    /// The workspace that a key opens. One that several workspaces hold opens none: whose jobs it may see is not clear.
+    /// Returns the workspace that a key opens. A key that several workspaces hold opens none of them,
+    /// because it is unclear whose jobs its caller may see.
     pub fn find(&self, key: &Key) -> Option<&WorkspaceId> {
         match self.holders.get(&key.digest())?.as_slice() {
             [one] => Some(one),
@@ -26,23 +27,24 @@
         }
     }
 
-    /// The workspaces, by name.
+    /// Returns the workspaces, ordered by name.
     pub fn workspaces(&self) -> impl Iterator<Item = &Rc<Workspace>> {
         self.workspaces.values()
     }
 
-    /// A workspace.
+    /// Returns the workspace with the given name.
     pub fn get(&self, id: &str) -> Option<&Workspace> {
         self.workspaces.get(id).map(Rc::as_ref)
     }
 
-    /// How many keys several workspaces hold.
+    /// Returns the number of keys that several workspaces hold.
     pub fn shared_keys(&self) -> usize {
         let holders = self.holders.values();
         holders.filter(|holders| holders.len() > 1).count()
     }
 
-    /// Puts the workspaces of another configuration in the place of those before. Of two with one name the first counts.
+    /// Replaces the workspaces by those of another configuration. If two have the same name, the first one
+    /// counts.
     pub fn replace(&mut self, workspaces: &[Rc<Workspace>]) {
         let mut next = BTreeMap::new();
         for workspace in workspaces {
--- a/crates/workspaces/src/lib.rs
+++ b/crates/workspaces/src/lib.rs
@@ -1,5 +1,5 @@
-//! Workspaces as operators describe them, the keys that open them, and how sure an entry may be that it knows the newest
-//! of both. Nothing in here knows a socket or reads a clock.
+//! Workspaces as configured by operators, the keys that open them, and the decision how long an entry may
+//! rely on its copy of both. The crate does no I/O and reads no clock.
 
 mod freshness;
 mod key;
@@ -11,15 +11,16 @@
 
 use jobs::{Bound, WorkspaceId};
 
-/// A workspace, as a configuration describes it.
+/// A workspace as described in a configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
-    /// Its name.
+    /// The name of the workspace.
     pub id: WorkspaceId,
-    /// The digests of the keys that open it.
+    /// The digests of the keys that open the workspace.
     pub keys: Vec<KeyDigest>,
-    /// How many jobs a second it is owed; infinite where operators name none.
+    /// The number of jobs per second that the workspace is entitled to, or infinity if operators set no
+    /// rate.
     pub rate: f64,
-    /// How much it may have running.
+    /// The limit on the work that the workspace may have running.
     pub bound: Bound,
 }
--- a/crates/workspaces/tests/freshness.rs
+++ b/crates/workspaces/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! When an entry makes sure of its configuration before it answers.
+//! When an entry polls for a newer configuration before it handles a call.
 
 use clock::Instant;
 use havenladder_workspaces::{Freshness, FreshnessAction};
@@ -9,120 +9,126 @@
 }
 
 #[test]
-fn an_entry_in_touch_takes_calls_without_a_look() {
+fn a_connected_entry_handles_calls_without_a_poll() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
-    for read in 1..10u64 {
-        let now = start + ms(read * 800);
-        assert_eq!(fresh.next_action(now), FreshnessAction::Proceed);
-        fresh.confirm(now, now);
+    let mut freshness = Freshness::new(start, None);
+    for number in 1..10u64 {
+        let now = start + ms(number * 800);
+        assert_eq!(freshness.next_action(now), FreshnessAction::Proceed);
+        freshness.confirm(now, now);
     }
 }
 
 #[test]
-fn one_that_woke_from_a_freeze_looks_first() {
+fn an_entry_that_resumes_from_a_freeze_polls_first() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
-    let woken = start + ms(4_000);
-    assert_eq!(fresh.next_action(woken), FreshnessAction::Poll);
-    fresh.begin_poll(woken);
-    let other = fresh.next_action(woken + ms(1));
+    let mut freshness = Freshness::new(start, None);
+    let resumed = start + ms(4_000);
+    assert_eq!(freshness.next_action(resumed), FreshnessAction::Poll);
+    freshness.begin_poll(resumed);
+    let other = freshness.next_action(resumed + ms(1));
     assert_eq!(
         other,
         FreshnessAction::JoinPoll,
-        "the others wait for the same look"
+        "other calls wait for the same poll"
+    );
+    freshness.end_poll(true);
+    freshness.confirm(resumed, resumed);
+    assert_eq!(
+        freshness.next_action(resumed + ms(6)),
+        FreshnessAction::Proceed
     );
-    fresh.end_poll(true);
-    fresh.confirm(woken, woken);
-    assert_eq!(fresh.next_action(woken + ms(6)), FreshnessAction::Proceed);
 }
 
 #[test]
-fn one_that_nobody_answers_goes_on_and_asks_again_now_and_then() {
+fn an_entry_whose_polls_fail_proceeds_and_retries() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
+    let mut freshness = Freshness::new(start, None);
     let mut polls = 0;
     for now in (2_000..12_000).map(|at| start + ms(at)) {
-        match fresh.next_action(now) {
+        match freshness.next_action(now) {
             FreshnessAction::Poll => {
                 polls += 1;
-                fresh.begin_poll(now);
-                fresh.end_poll(false);
+                freshness.begin_poll(now);
+                freshness.end_poll(false);
             }
             next => assert_eq!(next, FreshnessAction::Proceed),
         }
     }
-    assert_eq!(polls, 20, "two a second");
+    assert_eq!(polls, 20, "two polls per second");
 }
 
 #[test]
-fn where_revocation_is_strict_one_that_nobody_answers_refuses_in_time() {
+fn with_strict_revocation_an_entry_whose_polls_fail_refuses_in_time() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, Some(ms(5_000)));
-    fresh.begin_poll(start + ms(2_000));
-    fresh.end_poll(false);
+    let mut freshness = Freshness::new(start, Some(ms(5_000)));
+    freshness.begin_poll(start + ms(2_000));
+    freshness.end_poll(false);
     assert_eq!(
-        fresh.next_action(start + ms(2_100)),
+        freshness.next_action(start + ms(2_100)),
         FreshnessAction::Proceed
     );
-    fresh.begin_poll(start + ms(4_900));
-    fresh.end_poll(false);
+    freshness.begin_poll(start + ms(4_900));
+    freshness.end_poll(false);
     assert_eq!(
-        fresh.next_action(start + ms(5_100)),
+        freshness.next_action(start + ms(5_100)),
         FreshnessAction::Refuse
     );
     assert_eq!(
-        fresh.action_without_poll(start + ms(5_100)),
+        freshness.action_without_poll(start + ms(5_100)),
         FreshnessAction::Refuse
     );
-    let back = start + ms(6_000);
-    fresh.confirm(back, back);
-    assert_eq!(fresh.next_action(back + ms(1)), FreshnessAction::Proceed);
+    let restored = start + ms(6_000);
+    freshness.confirm(restored, restored);
+    assert_eq!(
+        freshness.next_action(restored + ms(1)),
+        FreshnessAction::Proceed
+    );
 }
 
 #[test]
-fn a_key_that_nobody_knows_is_looked_for_once() {
+fn an_unknown_key_causes_one_poll() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
-    fresh.confirm(start, start);
+    let mut freshness = Freshness::new(start, None);
+    freshness.confirm(start, start);
     let received = start + ms(5);
     assert_eq!(
-        fresh.next_action_for_unknown(received, received),
+        freshness.next_action_for_unknown(received, received),
         FreshnessAction::Poll
     );
-    fresh.begin_poll(received);
-    fresh.end_poll(true);
-    fresh.confirm(received, received);
+    freshness.begin_poll(received);
+    freshness.end_poll(true);
+    freshness.confirm(received, received);
     assert_eq!(
-        fresh.next_action_for_unknown(received, received + ms(4)),
+        freshness.next_action_for_unknown(received, received + ms(4)),
         FreshnessAction::Proceed
     );
 }
 
 #[test]
-fn a_thousand_guessed_keys_a_second_cause_ten_looks() {
+fn a_thousand_guessed_keys_per_second_cause_ten_polls() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
+    let mut freshness = Freshness::new(start, None);
     let mut polls = 0;
     for now in (0..1_000).map(|at| start + ms(at)) {
-        if fresh.next_action_for_unknown(now, now) == FreshnessAction::Poll {
+        if freshness.next_action_for_unknown(now, now) == FreshnessAction::Poll {
             polls += 1;
-            fresh.begin_poll(now);
-            fresh.end_poll(true);
-            fresh.confirm(now, now);
+            freshness.begin_poll(now);
+            freshness.end_poll(true);
+            freshness.confirm(now, now);
         }
     }
     assert_eq!(polls, 10);
 }
 
 #[test]
-fn a_key_that_nobody_can_be_asked_about_is_refused_by_what_is_known() {
+fn an_unknown_key_is_decided_without_a_poll_if_polls_fail() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
-    fresh.begin_poll(start);
-    fresh.end_poll(false);
+    let mut freshness = Freshness::new(start, None);
+    freshness.begin_poll(start);
+    freshness.end_poll(false);
     assert_eq!(
-        fresh.next_action_for_unknown(start + ms(50), start + ms(50)),
+        freshness.next_action_for_unknown(start + ms(50), start + ms(50)),
         FreshnessAction::Proceed
     );
 }
--- a/crates/workspaces/tests/keys.rs
+++ b/crates/workspaces/tests/keys.rs
@@ -1,4 +1,4 @@
-//! What opens a workspace, and what does not.
+//! Which keys and headers open a workspace.
 
 use havenladder_workspaces::{Authorization, Key, Keyring, Workspace, read_authorization};
 use jobs::Bound;
@@ -20,67 +20,67 @@
 
 #[test]
 fn a_key_opens_its_workspace_and_no_other_does() {
-    let mut ring = Keyring::default();
-    ring.replace(&[workspace("a", &["k1", "k2"]), workspace("b", &["k3"])]);
-    assert_eq!(ring.find(&key("k2")).map(String::as_str), Some("a"));
-    assert_eq!(ring.find(&key("k3")).map(String::as_str), Some("b"));
-    assert_eq!(ring.find(&key("k4")), None);
+    let mut keyring = Keyring::default();
+    keyring.replace(&[workspace("a", &["k1", "k2"]), workspace("b", &["k3"])]);
+    assert_eq!(keyring.find(&key("k2")).map(String::as_str), Some("a"));
+    assert_eq!(keyring.find(&key("k3")).map(String::as_str), Some("b"));
+    assert_eq!(keyring.find(&key("k4")), None);
 }
 
 #[test]
-fn a_key_that_two_workspaces_hold_opens_neither_until_one_has_lost_it() {
-    let mut ring = Keyring::default();
+fn a_shared_key_opens_no_workspace_until_one_has_removed_it() {
+    let mut keyring = Keyring::default();
     let b = workspace("b", &["k1"]);
-    ring.replace(&[workspace("a", &["k1", "k2"]), Rc::clone(&b)]);
-    assert_eq!(ring.find(&key("k1")), None);
-    assert_eq!(ring.shared_keys(), 1);
-    ring.replace(&[workspace("a", &["k2"]), b]);
-    assert_eq!(ring.find(&key("k1")).map(String::as_str), Some("b"));
+    keyring.replace(&[workspace("a", &["k1", "k2"]), Rc::clone(&b)]);
+    assert_eq!(keyring.find(&key("k1")), None);
+    assert_eq!(keyring.shared_keys(), 1);
+    keyring.replace(&[workspace("a", &["k2"]), b]);
+    assert_eq!(keyring.find(&key("k1")).map(String::as_str), Some("b"));
 }
 
 #[test]
-fn a_key_that_was_taken_away_opens_nothing_until_it_is_given_back() {
-    let mut ring = Keyring::default();
-    ring.replace(&[workspace("a", &["k1"])]);
-    ring.replace(&[workspace("a", &[])]);
-    assert_eq!(ring.find(&key("k1")), None);
-    ring.replace(&[workspace("b", &["k1"])]);
+fn a_removed_key_opens_nothing_until_it_is_added_again() {
+    let mut keyring = Keyring::default();
+    keyring.replace(&[workspace("a", &["k1"])]);
+    keyring.replace(&[workspace("a", &[])]);
+    assert_eq!(keyring.find(&key("k1")), None);
+    keyring.replace(&[workspace("b", &["k1"])]);
     assert_eq!(
-        ring.find(&key("k1")).map(String::as_str),
+        keyring.find(&key("k1")).map(String::as_str),
         Some("b"),
-        "it moved"
+        "the key has moved"
     );
-    ring.replace(&[]);
-    assert_eq!(ring.find(&key("k1")), None);
+    keyring.replace(&[]);
+    assert_eq!(keyring.find(&key("k1")), None);
 }
 
 #[test]
-fn of_two_workspaces_with_one_name_the_first_counts() {
-    let mut ring = Keyring::default();
-    ring.replace(&[workspace("a", &["k1"]), workspace("a", &["k2"])]);
-    assert!(ring.find(&key("k1")).is_some());
-    assert!(ring.find(&key("k2")).is_none());
+fn of_two_workspaces_with_the_same_name_the_first_counts() {
+    let mut keyring = Keyring::default();
+    keyring.replace(&[workspace("a", &["k1"]), workspace("a", &["k2"])]);
+    assert!(keyring.find(&key("k1")).is_some());
+    assert!(keyring.find(&key("k2")).is_none());
 }
 
 #[test]
-fn folded_by_difference_a_ring_is_the_same_as_one_made_anew() {
+fn an_updated_keyring_equals_a_new_one() {
     let rows = [
         workspace("a", &["k1", "k9"]),
         workspace("b", &["k2", "k9"]),
         workspace("c", &["k3"]),
     ];
-    let mut folded = Keyring::default();
-    folded.replace(&rows);
+    let mut updated = Keyring::default();
+    updated.replace(&rows);
     let next = [
         Rc::clone(&rows[0]),
         workspace("b", &["k4"]),
         workspace("d", &["k3"]),
     ];
-    folded.replace(&next);
-    let mut anew = Keyring::default();
-    anew.replace(&next);
+    updated.replace(&next);
+    let mut rebuilt = Keyring::default();
+    rebuilt.replace(&next);
     for text in ["k1", "k2", "k3", "k4", "k9"] {
-        assert_eq!(folded.find(&key(text)), anew.find(&key(text)), "{text}");
+        assert_eq!(updated.find(&key(text)), rebuilt.find(&key(text)), "{text}");
     }
 }
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_header_that_is_no_text_is_malformed() {
+fn a_header_that_is_not_text_or_too_long_is_malformed() {
     assert!(matches!(
         read_authorization("Token", [None]),
         Authorization::Malformed
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn no_debug_form_tells_a_key() {
+fn debug_output_does_not_reveal_keys() {
     let secret = "verysecretkey";
     let shown = format!(
         "{:?} {:?} {:?} {:?}",
