--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -3,7 +3,7 @@
 //! The owner appends a record every [`RENEW`]; each entry reads them. One that has read none for
 //! [`fleet::LEASE_TIMEOUT`], while the store answered, appends its own on the condition that nobody else has.
 //! The record's offset is the new owner's epoch, which fences its appends and its orders. When to claim
-//! is decided in [`Tenure`]; this module reads, claims, renews and releases.
+//! is decided in [`Election`]; this module reads, claims, renews and releases.
 
 mod log;
 mod relay;
