--- a/crates/fleet/benches/scale.rs
+++ b/crates/fleet/benches/scale.rs
@@ -1,4 +1,4 @@
-//! The fold and the planner at 50, 500, 4,000 and 16,000 VMs in 42 pools.
+//! The fold and the planner with 50, 500, 4,000 and 16,000 VMs in 42 pools.
 
 #![expect(
     missing_docs,
@@ -17,7 +17,7 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// Pools of the letter's size.
+/// The number of pools in the users' requirements.
 const POOLS: usize = 42;
 
 const SIZES: [usize; 4] = [50, 500, 4_000, 16_000];
@@ -36,16 +36,16 @@
     LogRecord {
         offset,
         at: time(),
-        data: encode(&record).expect("a record has a form"),
+        data: encode(&record).expect("the record can be encoded"),
     }
 }
 
-fn tell(fleet: &mut Fleet, changes: Vec<Change>) {
+fn propose(fleet: &mut Fleet, changes: Vec<Change>) {
     let record = record(fleet.next, changes);
     fleet.apply(&record);
 }
 
-fn seen(vm: usize, boot: u64) -> ObservedState {
+fn observed(vm: usize, boot: u64) -> ObservedState {
     let hall = vm % 14;
     ObservedState::Up {
         hall: format!("hall-{hall}"),
@@ -68,7 +68,7 @@
         pools.join(",")
     );
     let mut fleet = Fleet::default();
-    let wanted = read_tree("bench", &text).expect("good settings");
+    let wanted = read_tree("bench", &text).expect("valid settings");
     let changes = diff(&fleet.tree, &wanted)
         .into_iter()
         .map(|change| PathChange {
@@ -77,14 +77,14 @@
             node: change.node,
         });
     let changes = changes.collect();
-    tell(&mut fleet, vec![Change::Settings(changes)]);
+    propose(&mut fleet, vec![Change::Settings(changes)]);
     let joins = (0..vms).map(|vm| Observation {
         vm: name(vm),
         base: 0,
-        seen: seen(vm, 1),
+        seen: observed(vm, 1),
     });
     let joins = joins.collect();
-    tell(&mut fleet, vec![Change::Observe(joins)]);
+    propose(&mut fleet, vec![Change::Observe(joins)]);
     fleet
 }
 
@@ -95,22 +95,22 @@
 fn scale(criterion: &mut Criterion) {
     for vms in SIZES {
         let mut fleet = fleet(vms);
-        let snapshot = encode_snapshot(&fleet).expect("a state has a form");
+        let snapshot = encode_snapshot(&fleet).expect("the state can be encoded");
         println!("{vms} VMs: a snapshot of {} bytes", snapshot.len());
         let restart = |vm: usize| Observation {
             vm: name(vm),
             base: fleet.vms[&name(vm)].version,
-            seen: seen(vm, 2),
+            seen: observed(vm, 2),
         };
         let one = record(fleet.next, vec![Change::Observe(vec![restart(1)])]);
         criterion.bench_with_input(BenchmarkId::new("fold-restart", vms), &one, |bench, one| {
             bench.iter_batched_ref(
-                || Lean::of(&fleet),
-                |lean| lean.apply(one),
+                || StateCopy::of(&fleet),
+                |copy| copy.apply(one),
                 BatchSize::LargeInput,
             );
         });
-        tell(
+        propose(
             &mut fleet,
             vec![Change::Wave(WaveChange::Start {
                 scope: "place".into(),
@@ -132,10 +132,10 @@
     }
 }
 
-/// A copy of the state that a record is applied to.
-struct Lean(Fleet);
+/// A copy of the state to which a record is applied.
+struct StateCopy(Fleet);
 
-impl Lean {
+impl StateCopy {
     fn of(fleet: &Fleet) -> Self {
         Self(fleet.clone())
     }
--- a/crates/fleet/tests/backoff.rs
+++ b/crates/fleet/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses between tries.
+//! Delays between attempts.
 
 use havenladder_fleet::Backoff;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn pauses_double_up_to_the_longest_and_begin_anew() {
+fn delays_double_up_to_the_maximum_until_a_reset() {
     let mut backoff = Backoff::new(100 * MS, 700 * MS);
     let delays: Vec<Duration> = (0..5).map(|_| backoff.next_delay(1.0)).collect();
     assert_eq!(delays, [100 * MS, 200 * MS, 400 * MS, 700 * MS, 700 * MS]);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn those_that_are_refused_together_do_not_come_back_together() {
+fn callers_refused_together_retry_at_different_times() {
     let draws = [0.0, 0.3, 0.6, 0.9];
     let delays = draws.map(|draw| Backoff::new(100 * MS, 700 * MS).next_delay(draw));
     assert!(
--- a/crates/fleet/tests/bound.rs
+++ b/crates/fleet/tests/bound.rs
@@ -1,4 +1,4 @@
-//! How many VMs of a wave may go down at once.
+//! The limit on how many VMs of a wave may be down at once.
 
 use havenladder_fleet::{
     WaveVmState::{Down, Ordered, Unconfirmed, Up},
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn vms_that_an_earlier_owner_told_to_go_count() {
+fn vms_ordered_down_by_an_earlier_owner_count() {
     assert_eq!(wave_headroom(3, [Up, Up, Up]), 3);
     assert_eq!(wave_headroom(3, [Up, Ordered, Down]), 1);
     assert_eq!(wave_headroom(3, [Unconfirmed, Ordered, Down]), 0);
--- a/crates/fleet/tests/election.rs
+++ b/crates/fleet/tests/election.rs
@@ -1,4 +1,4 @@
-//! When an entry may claim a cell, and when a stronger one should have it.
+//! When an entry may claim a cell, and when a stronger entry should have it.
 
 use clock::Instant;
 use havenladder_fleet::{
@@ -23,7 +23,7 @@
 }
 
 #[parameterized(unknown = { Holder::Unknown }, other = { Holder::Other })]
-fn an_owner_that_may_live_is_replaced_only_after_its_lease(holder: Holder) {
+fn an_owner_that_may_be_running_is_replaced_only_after_its_lease(holder: Holder) {
     let now = Instant::now();
     let mut election = Election::new(250, now);
     election.on_record(250, now);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_owner_that_answers_has_time_to_renew_its_lease_once_the_store_is_back() {
+fn an_answering_owner_gets_time_to_renew_after_a_store_outage() {
     let now = Instant::now();
     let mut election = Election::new(250, now);
     election.on_store_trouble(now);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_renewal_starts_the_time_anew() {
+fn a_renewal_restarts_the_lease_timeout() {
     let now = Instant::now();
     let mut election = Election::new(250, now);
     election.on_record(250, now + LEASE_TIMEOUT);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_owner_that_the_store_kept_from_renewing_gets_its_time_anew() {
+fn a_store_outage_restarts_the_lease_timeout() {
     let now = Instant::now();
     let mut election = Election::new(250, now);
     election.on_store_trouble(now + LEASE_TIMEOUT);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_entry_defers_to_much_stronger_ones_that_it_knows() {
+fn an_entry_claims_later_if_it_knows_a_much_stronger_one() {
     let now = Instant::now();
     let mut election = Election::new(120, now);
     election.on_record(500, now);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_vacancy_that_was_filled_is_not_counted_on() {
+fn a_filled_vacancy_does_not_shorten_the_next_delay() {
     let now = Instant::now();
     let mut election = Election::new(120, now);
     election.on_record(500, now);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn nobody_is_asked_to_hand_over_shortly_after_trouble_of_the_store() {
+fn no_handover_is_requested_shortly_after_store_trouble() {
     let now = Instant::now();
     let mut election = Election::new(500, now);
     election.on_record(120, now);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn entries_that_do_not_know_their_part_of_a_core_leave_the_owner_in_peace() {
+fn an_entry_of_unknown_cpu_requests_no_handover() {
     let now = Instant::now();
     let mut election = Election::new(0, now);
     election.on_record(0, now);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn an_owner_that_does_not_answer_either_is_replaced_sooner() {
+fn a_silent_owner_is_replaced_sooner() {
     let now = Instant::now();
     let mut election = Election::new(250, now);
     election.on_record(250, now);
@@ -163,6 +163,6 @@
     assert_eq!(
         election.next_claim(Holder::Silent, lapsed),
         Claim::At(lapsed + SILENT_OWNER_TIMEOUT),
-        "it renews, and lives"
+        "it has renewed its lease"
     );
 }
--- a/crates/fleet/tests/first_sent.rs
+++ b/crates/fleet/tests/first_sent.rs
@@ -1,4 +1,4 @@
-//! From when on a record may have been in the log.
+//! The earliest time at which a record may have entered the log.
 
 use clock::Instant;
 use havenladder_fleet::FirstSent;
@@ -7,7 +7,7 @@
 const LATER: Duration = Duration::from_millis(1_500);
 
 #[test]
-fn a_record_that_was_sent_twice_for_a_place_counts_from_the_first_time() {
+fn a_repeated_record_counts_from_its_first_sending() {
     let now = Instant::now();
     let first = FirstSent::record(None, 7, now);
     let second = FirstSent::record(Some(first), 7, now + LATER);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_record_for_the_next_place_counts_from_when_it_was_sent() {
+fn a_record_for_the_next_position_counts_from_its_own_sending() {
     let now = Instant::now();
     let first = FirstSent::record(None, 7, now);
     let second = FirstSent::record(Some(first), 8, now + LATER);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn nothing_is_known_of_another_place() {
+fn other_positions_have_no_time() {
     let sent = FirstSent::record(None, 7, Instant::now());
     assert_eq!(sent.earliest(6), None);
 }
--- a/crates/fleet/tests/races.rs
+++ b/crates/fleet/tests/races.rs
@@ -1,18 +1,18 @@
-//! Seeded runs of kills, freezes, lost answers, failures and operator races on the fold and the
-//! planner, with independent counts of budgets and reboots.
+//! Runs with random kills, freezes, lost responses, failures and operator races against the fold and the
+//! planner. Budgets and reboots are counted independently of the code under test.
 
 mod world;
 
 use havenladder_fleet::WaveState;
 use world::World;
 
-/// Seeds that are run; each gives a run of its own.
+/// The number of seeds, each of which gives a different run.
 const SEEDS: u64 = 300;
 
-/// Random steps of each run.
+/// The number of random steps in each run.
 const STEPS: usize = 600;
 
-/// Steps in which everything must come to its end once faults have ended.
+/// The number of steps within which all waves must end once there are no more faults.
 const CALM_STEPS: usize = 60_000;
 
 const SETTINGS: &str = r#"{
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn no_race_overruns_a_budget_or_reboots_twice() {
+fn races_never_exceed_a_budget_or_reboot_twice() {
     for seed in 0..SEEDS {
         let world = run(seed);
         assert!(
@@ -51,12 +51,16 @@
 fn every_entry_folds_to_the_same_state() {
     for seed in 0..SEEDS / 10 {
         let mut world = run(seed);
-        let truth = world.truth.clone();
-        for fleet in world.folds() {
-            assert_eq!(fleet, truth, "seed {seed}");
+        let reference = world.reference.clone();
+        for fleet in world.states() {
+            assert_eq!(fleet, reference, "seed {seed}");
         }
-        let pools: usize = truth.vms.values().filter(|vm| !vm.pool.is_empty()).count();
-        assert_eq!(pools, truth.vms.len(), "a VM without a pool");
+        let pools: usize = reference
+            .vms
+            .values()
+            .filter(|vm| !vm.pool.is_empty())
+            .count();
+        assert_eq!(pools, reference.vms.len(), "a VM without a pool");
     }
 }
 
@@ -64,17 +68,17 @@
 fn waves_end_once_faults_have_ended() {
     for seed in 0..SEEDS / 10 {
         let mut world = run(seed);
-        world.calm();
-        let newest = *world.truth.waves.keys().next_back().expect("a wave");
+        world.end_faults();
+        let newest = *world.reference.waves.keys().next_back().expect("a wave");
         let mut steps = 0;
-        while world.truth.waves[&newest].state != WaveState::Done {
+        while world.reference.waves[&newest].state != WaveState::Done {
             world.step();
             steps += 1;
             assert!(
                 steps < CALM_STEPS,
-                "seed {seed}: the wave does not end: {:#?}",
+                "seed {seed}: the wave does not end; out of service: {:#?}",
                 world
-                    .truth
+                    .reference
                     .vms
                     .values()
                     .filter(|vm| !vm.is_available())
--- a/crates/fleet/tests/rate.rs
+++ b/crates/fleet/tests/rate.rs
@@ -1,11 +1,11 @@
-//! How many calls may be made where only so many a second are taken.
+//! The rate limit for calls to a service.
 
 use clock::Instant;
 use havenladder_fleet::RateLimit;
 use std::time::Duration;
 use yare::parameterized;
 
-/// Makes all calls that are available every 10 ms, and counts them.
+/// Makes all available calls every 10 ms and returns their number.
 fn count(limit: &mut RateLimit, from: Instant, span: Duration) -> usize {
     let mut made = 0;
     let mut now = from;
@@ -19,7 +19,7 @@
 }
 
 #[parameterized(small = { 64.0 }, large = { 215.0 })]
-fn no_second_has_more_calls_than_are_allowed(allowed: f64) {
+fn no_second_exceeds_the_allowed_rate(allowed: f64) {
     let start = Instant::now();
     let mut limit = RateLimit::new(allowed, start);
     let second = Duration::from_secs(1);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_service_that_takes_one_call_a_second_gets_some() {
+fn a_rate_of_one_call_per_second_allows_calls() {
     let start = Instant::now();
     let mut limit = RateLimit::new(1.0, start);
     assert_eq!(limit.available(start), 1);
--- a/crates/fleet/tests/reach.rs
+++ b/crates/fleet/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Whether an entry is cut off, by what it reaches.
+//! Whether an entry is cut off, judged by what it reaches.
 
 use clock::Instant;
 use havenladder_fleet::{
@@ -8,7 +8,7 @@
 
 const MOMENT: Duration = Duration::from_millis(1);
 
-/// An entry that has heard of an entry in another data centre.
+/// Returns the state of an entry that knows an entry in another data centre.
 fn known(now: Instant) -> Reach {
     let mut reach = Reach::new(now);
     reach.on_peer_response(now);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_entry_that_hears_nothing_from_outside_is_cut_off() {
+fn an_entry_without_outside_responses_is_cut_off() {
     let now = Instant::now();
     let reach = known(now);
     assert_eq!(reach.probe_at(), now + PROBE_DELAY);
@@ -25,26 +25,26 @@
 }
 
 #[test]
-fn an_entry_that_hears_the_store_or_another_data_centre_is_not_cut_off() {
+fn an_entry_that_reaches_the_store_or_another_data_centre_is_not_cut_off() {
     let now = Instant::now();
     let late = now + CUT_OFF_TIMEOUT * 2;
     let mut stored = known(now);
     stored.on_store_response(late);
     assert!(!stored.is_cut_off(late + MOMENT));
-    // The store is away for everybody, but entries reach each other.
+    // The store is unavailable for all, but entries reach each other.
     let mut peered = known(now);
     peered.on_peer_response(late);
     assert!(!peered.is_cut_off(late + MOMENT));
 }
 
 #[test]
-fn an_entry_that_knows_nobody_elsewhere_is_never_isolated() {
+fn an_entry_without_known_peers_is_never_cut_off() {
     let now = Instant::now();
     assert!(!Reach::new(now).is_cut_off(now + CUT_OFF_TIMEOUT * 10));
 }
 
 #[test]
-fn an_entry_that_does_not_reach_an_owner_that_renews_its_lease_is_cut_off() {
+fn an_entry_that_cannot_reach_a_renewing_owner_is_cut_off() {
     let now = Instant::now();
     let mut reach = known(now);
     reach.on_owner_timeout(now);
@@ -59,15 +59,15 @@
 }
 
 #[test]
-fn an_owner_that_fell_silent_for_all_cuts_nobody_off() {
+fn an_owner_that_is_silent_for_all_cuts_off_no_entry() {
     let now = Instant::now();
     let mut reach = known(now);
     reach.on_owner_timeout(now);
-    // Its last renewal was under way when it fell silent.
+    // The owner's last renewal was in flight when the owner stopped responding.
     reach.on_renewal(now + MIN_RENEWAL_DELAY - MOMENT);
     reach.on_store_response(now + CUT_OFF_TIMEOUT * 2);
     assert!(!reach.is_cut_off(now + CUT_OFF_TIMEOUT));
-    // A renewal that is too old says nothing either.
+    // A renewal that is too old does not prove the owner alive either.
     let mut old = known(now);
     old.on_owner_timeout(now);
     old.on_renewal(now + MIN_RENEWAL_DELAY);
@@ -76,16 +76,16 @@
 }
 
 #[test]
-fn an_owner_counts_as_silent_once_it_was_asked_twice_and_others_answered() {
+fn an_owner_is_silent_after_two_missed_requests_while_others_answer() {
     let now = Instant::now();
     let mut reach = known(now);
     reach.on_owner_timeout(now);
     assert!(!reach.is_owner_silent(now + OWNER_SILENCE_TIMEOUT - MOMENT));
     assert!(reach.is_owner_silent(now + OWNER_SILENCE_TIMEOUT));
-    // Later misses do not start the time anew.
+    // Further missing responses do not restart the timeout.
     reach.on_owner_timeout(now + OWNER_SILENCE_TIMEOUT);
     assert!(reach.is_owner_silent(now + OWNER_SILENCE_TIMEOUT));
-    // An entry that hears nobody may be the one that is cut off.
+    // An entry that gets no response from anywhere may itself be the one that is cut off.
     assert!(!reach.is_owner_silent(now + CUT_OFF_TIMEOUT));
     reach.on_peer_response(now + CUT_OFF_TIMEOUT);
     assert!(reach.is_owner_silent(now + CUT_OFF_TIMEOUT));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn answers_from_elsewhere_are_told_from_those_of_the_store() {
+fn responses_of_peers_and_of_the_store_are_distinguished() {
     let now = Instant::now();
     let mut reach = known(now);
     reach.on_store_response(now + MOMENT);
--- a/crates/fleet/tests/replication.rs
+++ b/crates/fleet/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Which entries read and which follow, at any number of entries.
+//! Assignment of readers and followers for small and large numbers of entries.
 
 use clock::Instant;
 use havenladder_fleet::{
@@ -19,8 +19,9 @@
     }
 }
 
-/// Places so many entries of so many data centres, the weak ones first, and sends each to whom it is to follow. Returns how
-/// many read, how many each entry is followed by at the most, and how far the last one is from the platform.
+/// Assigns sources to `count` entries in `halls` data centres, and lets each entry follow redirects.
+/// Returns the number of readers, the maximum number of followers of an entry, and the maximum distance
+/// from the platform.
 fn grow(count: usize, halls: usize) -> (usize, usize, usize) {
     let now = Instant::now();
     let mut readers = Readers::default();
@@ -36,7 +37,7 @@
             .wrapping_add(1);
         (state >> 33) as usize
     };
-    // Each asks where it is, again and again: those that have lost their place to a stronger one are sent on.
+    // Every entry asks several times, because entries that were replaced by a stronger one are redirected.
     for _ in 0..6 {
         for info in &infos {
             let known = parents.get(&info.address).cloned().flatten();
@@ -67,7 +68,7 @@
         }
         while let Some(at) = parent {
             steps += 1;
-            assert!(steps < 50, "a loop");
+            assert!(steps < 50, "the assignments form a cycle");
             parent = &parents[at];
         }
         depth = depth.max(steps);
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_few_read_however_many_there_are() {
+fn the_number_of_readers_does_not_grow_with_the_entries() {
     for count in [50, 586, 1_000, 4_000] {
         let (read, width, depth) = grow(count, 6);
         assert_eq!(read, 6 * READERS_PER_HALL, "{count}");
@@ -87,13 +88,13 @@
 }
 
 #[test]
-fn all_read_where_there_are_few() {
+fn all_entries_read_if_there_are_few() {
     let (read, ..) = grow(8, 4);
     assert_eq!(read, 8);
 }
 
 #[test]
-fn strong_entries_read_in_place_of_weak_ones() {
+fn strong_entries_replace_weak_readers() {
     let now = Instant::now();
     let mut readers = Readers::default();
     for number in 0..READERS_PER_HALL {
@@ -103,35 +104,35 @@
     let strong = info(9, 1, STRONG);
     assert_eq!(readers.assign(strong.clone(), 0, now), Source::Platform);
     let weak = readers.assign(info(0, 1, WEAK), 1, now);
-    assert_ne!(weak, Source::Platform, "its place is taken");
+    assert_ne!(weak, Source::Platform, "a stronger entry has replaced it");
     assert!(readers.addresses(now).contains(&strong.address));
 }
 
 #[test]
-fn an_entry_that_the_platform_does_not_answer_follows_one_that_it_does() {
+fn an_entry_isolated_from_the_platform_follows_a_reader() {
     let now = Instant::now();
     let mut readers = Readers::default();
-    let turned_away = FollowerInfo {
+    let isolated = FollowerInfo {
         age: STALE_AGE + Duration::from_millis(1),
         ..info(0, 2, STRONG)
     };
     assert_eq!(
-        readers.assign(turned_away.clone(), 0, now),
+        readers.assign(isolated.clone(), 0, now),
         Source::Platform,
-        "there is nobody to follow"
+        "there is no entry to follow"
     );
     assert!(readers.addresses(now).is_empty());
     let other = info(1, 2, WEAK);
     readers.assign(other.clone(), 0, now);
     assert_eq!(
-        readers.assign(turned_away, 0, now),
+        readers.assign(isolated, 0, now),
         Source::Entry(other.address),
-        "one of another data centre will do"
+        "a reader in another data centre is followed"
     );
 }
 
 #[test]
-fn places_of_the_silent_are_given_away() {
+fn assignments_of_silent_entries_are_reused() {
     let now = Instant::now();
     let mut readers = Readers::default();
     for number in 0..READERS_PER_HALL {
--- a/crates/fleet/tests/rollout.rs
+++ b/crates/fleet/tests/rollout.rs
@@ -1,6 +1,6 @@
-//! Roll-out time, moves and buffer at the users' sizes, in the fold's own time: ratios to their
-//! bounds, beside two baselines. `cargo test -p havenladder-fleet --test rollout -- --nocapture`
-//! prints the figures.
+//! Duration of waves, number of moves and slots out of service at the users' sizes, in simulated time, as
+//! ratios to their bounds and compared with two baselines. `cargo test -p havenladder-fleet --test rollout
+//! -- --nocapture` prints the figures.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -19,29 +19,29 @@
 const KOWHAI: &str = include_str!("../../../examples/kowhai/settings.jsonc");
 const SAN_CARLOS: &str = include_str!("../../../examples/san-carlos/settings.jsonc");
 
-/// Time between two steps: an append with its read-back.
-const TICK: Duration = Duration::from_millis(100);
+/// The time between two steps, which is that of an append and its read-back.
+const STEP: Duration = Duration::from_millis(100);
 
-/// Time that a VM takes to drain and reboot.
-const ONE_VM: Duration = Duration::from_secs(90);
+/// The time that a VM takes to drain and reboot.
+const VM_DURATION: Duration = Duration::from_secs(90);
 
-/// How a wave chooses.
+/// The mode in which a wave chooses VMs.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
-    /// The planner's own.
+enum Mode {
+    /// The mode of the planner.
     Planner,
     /// One VM at a time in the whole fleet.
     OneByOne,
-    /// As many as each budget allows, and no more before all of them are back.
+    /// As many VMs as each budget allows, but no more until all of them are back.
     Batches,
 }
 
-/// What happens to a run.
+/// The faults during a run.
 #[derive(Clone, Copy, Default)]
 struct Faults {
-    /// Whether a rack is lost in the middle for as long as ten VMs take.
+    /// Whether a rack is lost during the wave, for as long as one VM takes.
     rack: bool,
-    /// Share of VMs that take three times as long to come back.
+    /// The share of VMs that take three times as long to come back.
     slow: f64,
 }
 
@@ -49,10 +49,10 @@
     fleet: Fleet,
     now: SystemTime,
     live: BTreeMap<EntryId, HallId>,
-    /// When each VM that is out comes back, with what it was granted for.
-    back: BTreeMap<String, SystemTime>,
+    /// The time at which each VM that is out of service comes back.
+    back_at: BTreeMap<String, SystemTime>,
     rng: SmallRng,
-    most_out: u32,
+    max_out: u32,
 }
 
 impl Run {
@@ -63,13 +63,13 @@
             live: (1..=4)
                 .map(|hall| (format!("entry-{hall}"), format!("hall-{hall}")))
                 .collect(),
-            back: BTreeMap::new(),
+            back_at: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(seed),
-            most_out: 0,
+            max_out: 0,
         };
         run.publish(settings);
         let seen = (0..vms).map(|vm| run.up(vm, 1)).collect();
-        run.tell(vec![Change::Observe(seen)]);
+        run.propose(vec![Change::Observe(seen)]);
         run
     }
 
@@ -83,7 +83,7 @@
                 node: change.node,
             });
         let changes = changes.collect();
-        self.tell(vec![Change::Settings(changes)]);
+        self.propose(vec![Change::Settings(changes)]);
     }
 
     fn up(&self, vm: u32, boot: u64) -> Observation {
@@ -100,11 +100,11 @@
         Observation { vm: id, base, seen }
     }
 
-    fn tell(&mut self, changes: Vec<Change>) {
-        self.tell_as("entry-1", changes);
+    fn propose(&mut self, changes: Vec<Change>) {
+        self.propose_as("entry-1", changes);
     }
 
-    fn tell_as(&mut self, by: &str, changes: Vec<Change>) {
+    fn propose_as(&mut self, by: &str, changes: Vec<Change>) {
         let record = Record {
             id: RecordId::from_parts(0, self.rng.random()),
             by: by.into(),
@@ -120,8 +120,8 @@
         self.fleet.apply(&record);
     }
 
-    /// The proposals of every entry, as far as the way allows them.
-    fn plan(&mut self, way: Way) {
+    /// Applies the proposals of every entry, as far as the mode admits them.
+    fn plan(&mut self, mode: Mode) {
         for entry in self.live.clone().into_keys() {
             let view = View {
                 entry: &entry,
@@ -130,8 +130,8 @@
                 lease: Duration::from_secs(600),
             };
             let mut changes = plan(&self.fleet, &view);
-            changes.retain(|change| !matches!(change, Change::Grant(_)) || self.admits(way));
-            if way == Way::OneByOne {
+            changes.retain(|change| !matches!(change, Change::Grant(_)) || self.admits(mode));
+            if mode == Mode::OneByOne {
                 let grants = changes
                     .iter()
                     .filter(|change| matches!(change, Change::Grant(_)));
@@ -140,21 +140,21 @@
                 changes.truncate(keep);
             }
             if !changes.is_empty() {
-                self.tell(changes);
+                self.propose(changes);
             }
         }
     }
 
-    fn admits(&self, way: Way) -> bool {
-        match way {
-            Way::Planner => true,
-            Way::OneByOne | Way::Batches => self.fleet.vms.values().all(|vm| vm.grant.is_none()),
+    fn admits(&self, mode: Mode) -> bool {
+        match mode {
+            Mode::Planner => true,
+            Mode::OneByOne | Mode::Batches => self.fleet.vms.values().all(|vm| vm.grant.is_none()),
         }
     }
 
-    /// Lets time pass and carries out what was granted.
-    fn pass(&mut self, faults: Faults) {
-        self.now += TICK;
+    /// Advances the time by one step and carries out the grants.
+    fn advance(&mut self, faults: Faults) {
+        self.now += STEP;
         let granted: Vec<(String, u64, Step, u64, GrantPurpose)> = self
             .fleet
             .vms
@@ -164,7 +164,7 @@
             .collect();
         let mut changes = Vec::new();
         for (vm, grant, step, boot, purpose) in granted {
-            match (step, self.back.get(&vm)) {
+            match (step, self.back_at.get(&vm)) {
                 (Step::Returning, _) => changes.push(Change::Finish { vm, grant, boot }),
                 (_, None) => {
                     let holder = self.fleet.vms[&vm].grant.as_ref().unwrap().holder.clone();
@@ -173,11 +173,12 @@
                     } else {
                         1
                     };
-                    self.back.insert(vm.clone(), self.now + ONE_VM * slow);
-                    self.tell_as(&holder, vec![Change::Begin { vm, grant }]);
+                    self.back_at
+                        .insert(vm.clone(), self.now + VM_DURATION * slow);
+                    self.propose_as(&holder, vec![Change::Begin { vm, grant }]);
                 }
-                (_, Some(back)) if *back <= self.now => {
-                    self.back.remove(&vm);
+                (_, Some(back_at)) if *back_at <= self.now => {
+                    self.back_at.remove(&vm);
                     let boot = if purpose == GrantPurpose::Reboot {
                         boot + 1
                     } else {
@@ -189,31 +190,31 @@
             }
         }
         if !changes.is_empty() {
-            self.tell(changes);
+            self.propose(changes);
         }
-        self.most_out = self
-            .most_out
+        self.max_out = self
+            .max_out
             .max(self.fleet.counts.values().map(|c| c.unavailable).sum());
     }
 
-    /// Runs a wave over everything and returns how long it took.
-    fn wave(&mut self, way: Way, faults: Faults) -> Duration {
+    /// Runs a wave over the whole fleet and returns its duration.
+    fn run_wave(&mut self, mode: Mode, faults: Faults) -> Duration {
         self.now += Duration::from_secs(1);
         let place = self.fleet.tree.nodes.keys().next().unwrap().clone();
-        self.tell(vec![Change::Wave(WaveChange::Start { scope: place })]);
+        self.propose(vec![Change::Wave(WaveChange::Start { scope: place })]);
         let began = self.now;
         let wave = *self.fleet.waves.keys().next_back().unwrap();
         let mut rack_back = None;
         while self.fleet.waves[&wave].state == WaveState::Running {
-            if faults.rack && rack_back.is_none() && self.now > began + ONE_VM {
+            if faults.rack && rack_back.is_none() && self.now > began + VM_DURATION {
                 self.set_rack(false);
-                rack_back = Some(self.now + ONE_VM);
+                rack_back = Some(self.now + VM_DURATION);
             }
-            if rack_back.is_some_and(|back| self.now >= back) && self.any_down() {
+            if rack_back.is_some_and(|back_at| self.now >= back_at) && self.any_down() {
                 self.set_rack(true);
             }
-            self.plan(way);
-            self.pass(faults);
+            self.plan(mode);
+            self.advance(faults);
         }
         self.now.duration_since(began).unwrap()
     }
@@ -222,7 +223,7 @@
         self.fleet.vms.values().any(|vm| vm.health == Health::Down)
     }
 
-    /// Takes a rack down, or brings it back booted once more.
+    /// Takes a rack down, or brings it back with its VMs rebooted.
     fn set_rack(&mut self, up: bool) {
         let seen = self
             .fleet
@@ -240,35 +241,36 @@
                 },
             })
             .collect();
-        self.tell(vec![Change::Observe(seen)]);
+        self.propose(vec![Change::Observe(seen)]);
     }
 
-    /// The largest, over pools, of the rounds that the budget demands, times the time of one VM.
-    fn bound(&self) -> Duration {
+    /// Returns the minimum duration of a wave: the maximum over all pools of the rounds that the budget
+    /// requires, times the duration of one VM.
+    fn min_duration(&self) -> Duration {
         let rounds = self.fleet.counts.iter().filter_map(|(pool, count)| {
             let at_once = tightest_budget(&self.fleet, pool)?.budget / 8;
             Some(count.vms.div_ceil(at_once.max(1)))
         });
-        ONE_VM * rounds.max().unwrap()
+        VM_DURATION * rounds.max().unwrap()
     }
 }
 
-fn ratio(settings: &str, way: Way, faults: Faults) -> (f64, u32) {
+fn ratio(settings: &str, mode: Mode, faults: Faults) -> (f64, u32) {
     let mut run = Run::new(settings, 50, 1);
-    let bound = run.bound();
-    let took = run.wave(way, faults);
-    (took.as_secs_f64() / bound.as_secs_f64(), run.most_out)
+    let bound = run.min_duration();
+    let took = run.run_wave(mode, faults);
+    (took.as_secs_f64() / bound.as_secs_f64(), run.max_out)
 }
 
 #[yare::parameterized(
     kowhai = { "Kowhai Press", KOWHAI },
     san_carlos = { "San Carlos", SAN_CARLOS },
 )]
-fn a_wave_takes_hardly_longer_than_its_bound(user: &str, settings: &str) {
+fn a_wave_takes_at_most_a_tenth_longer_than_its_bound(user: &str, settings: &str) {
     let calm = Faults::default();
-    let (planner, out) = ratio(settings, Way::Planner, calm);
-    let (batches, _) = ratio(settings, Way::Batches, calm);
-    let (one, _) = ratio(settings, Way::OneByOne, calm);
+    let (planner, out) = ratio(settings, Mode::Planner, calm);
+    let (batches, _) = ratio(settings, Mode::Batches, calm);
+    let (one, _) = ratio(settings, Mode::OneByOne, calm);
     println!(
         "{user}: time over bound {planner:.3}, batches {batches:.3}, one by one {one:.3}; most out {out} slots"
     );
@@ -285,9 +287,9 @@
         rack: true,
         slow: 0.1,
     };
-    let (planner, _) = ratio(settings, Way::Planner, faults);
-    let (batches, _) = ratio(settings, Way::Batches, faults);
-    let (one, _) = ratio(settings, Way::OneByOne, faults);
+    let (planner, _) = ratio(settings, Mode::Planner, faults);
+    let (batches, _) = ratio(settings, Mode::Batches, faults);
+    let (one, _) = ratio(settings, Mode::OneByOne, faults);
     println!(
         "{user}, a rack lost, 10 % slow: time over bound {planner:.3}, batches {batches:.3}, one by one {one:.3}"
     );
@@ -295,24 +297,24 @@
 }
 
 #[test]
-fn sizes_are_reached_with_the_fewest_moves() {
+fn the_minimum_of_moves_reaches_the_desired_sizes() {
     let mut run = Run::new(KOWHAI, 50, 1);
     let wanted = KOWHAI
         .replace("\"vms\": 12", "\"vms\": 9")
         .replace("\"vms\": 8,", "\"vms\": 11,");
     run.publish(&wanted);
-    let least = min_moves(&run.fleet);
+    let min = min_moves(&run.fleet);
     let before: BTreeMap<String, String> = pools(&run.fleet);
     for _ in 0..20_000 {
-        run.plan(Way::Planner);
-        run.pass(Faults::default());
+        run.plan(Mode::Planner);
+        run.advance(Faults::default());
     }
     let moved = pools(&run.fleet)
         .into_iter()
         .filter(|(vm, pool)| before[vm] != *pool)
         .count();
-    println!("moves {moved}, the least possible {least}");
-    assert_eq!(moved as u32, least);
+    println!("moves {moved}, the least possible {min}");
+    assert_eq!(moved as u32, min);
     assert_eq!(run.fleet.count("aotearoa/orders").vms, 11);
     assert!(BudgetHeadroom::new(&run.fleet).take(run.fleet.vms.values().next().unwrap()));
 }
--- a/crates/fleet/tests/sizing.rs
+++ b/crates/fleet/tests/sizing.rs
@@ -1,4 +1,4 @@
-//! Which VMs change their pool.
+//! Which VMs move to another pool or are drained.
 
 use clock::Instant;
 use havenladder_fleet::{DrainableVm, IdleVm, PoolDemand, Resize, SizingLimits, VmMove, resize};
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_pool_whose_jobs_wait_gets_idle_vms_of_others_before_those_of_the_reserve() {
+fn a_pool_in_need_gets_idle_vms_of_others_before_the_reserve() {
     let start = Instant::now();
     let pools = [
         pool("a", 2, 30_000, 40_000, &[], start),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_idle_vm_goes_to_the_reserve_once_it_has_been_idle_for_long() {
+fn a_vm_that_has_been_idle_for_long_goes_to_the_reserve() {
     let start = Instant::now();
     let pools = [
         pool("a", 3, 9_000, 0, &["a1", "a2"], start),
@@ -125,11 +125,11 @@
 }
 
 #[test]
-fn a_pool_whose_demand_is_not_known_yet_keeps_a_part_of_an_equal_share() {
+fn a_pool_of_unknown_demand_keeps_its_initial_share() {
     let start = Instant::now();
     let mut demand_unknown = pool("a", 5, 0, 0, &["a1", "a2", "a3", "a4", "a5"], start);
     demand_unknown.demand_unknown = true;
-    // Ten VMs and two pools that serve: five each, of which seven tenths stay.
+    // Ten VMs and two pools that serve jobs: an equal share is five VMs, of which seven tenths (four) stay.
     let pools = [
         demand_unknown,
         pool("b", 5, 72_000, 0, &[], start),
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_pool_grows_with_the_jobs_that_come_before_any_of_them_waits() {
+fn a_pool_grows_with_its_inflow_before_any_job_waits() {
     let start = Instant::now();
     let mut rising = pool("a", 1, 8_000, 0, &[], start);
     rising.inflow = 20_000;
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_pool_gets_the_vms_for_what_is_foreseen_and_keeps_them() {
+fn a_pool_gets_and_keeps_the_vms_for_its_forecast() {
     let start = Instant::now();
     let mut rising = pool("a", 1, 8_000, 0, &[], start);
     (rising.inflow, rising.forecast_inflow) = (8_000, 20_000);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_pool_with_a_few_tasks_that_wait_still_gives_away_what_it_does_not_need() {
+fn a_pool_with_few_waiting_tasks_gives_its_surplus_away() {
     let start = Instant::now();
     let pools = [
         pool("a", 1, 16_000, 20_000, &[], start),
@@ -179,7 +179,7 @@
     assert_eq!(moves, [vm_move("b1", "b", "a"), vm_move("b2", "b", "a")]);
 }
 
-/// VMs that carry work which ends by itself.
+/// Returns VMs that run only work that ends by itself.
 fn drainable(start: Instant, rows: &[(&str, u64, bool)]) -> Vec<DrainableVm> {
     let vm = |(vm, free, draining): &(&str, u64, bool)| DrainableVm {
         vm: (*vm).to_owned(),
@@ -189,7 +189,7 @@
     rows.iter().map(vm).collect()
 }
 
-/// A pool whose jobs wait, and one that has more than its part but likely needs it.
+/// Returns a pool whose jobs wait, and one that has more than its fair share but likely needs it.
 fn starving_and_rich(start: Instant, idle: &[&str]) -> [PoolDemand; 2] {
     [
         pool("a", 2, 30_000, 100_000, &[], start),
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_pool_whose_jobs_wait_gets_idle_vms_of_a_busy_pool_that_has_more_than_its_part() {
+fn a_pool_in_need_gets_idle_vms_of_a_pool_above_its_fair_share() {
     let start = Instant::now();
     let pools = starving_and_rich(start, &["b1"]);
     let moves = plan_moves(&pools, later(start, 1_000), &SizingLimits::default());
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn vms_that_are_free_first_are_emptied_for_a_pool_whose_jobs_wait() {
+fn vms_that_are_free_first_are_drained_first() {
     let start = Instant::now();
     let mut pools = starving_and_rich(start, &[]);
     pools[1].drainable = drainable(
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_vm_that_is_being_emptied_is_not_given_up_for_another() {
+fn draining_vms_come_before_others() {
     let start = Instant::now();
     let mut pools = starving_and_rich(start, &[]);
     pools[1].drainable = drainable(
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn nothing_is_emptied_for_work_that_is_late_or_only_expected() {
+fn late_or_expected_work_drains_no_vm() {
     let start = Instant::now();
     let mut pools = starving_and_rich(start, &["b1"]);
     pools[0].late = 100_000;
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_pool_that_lacks_vms_itself_is_not_emptied() {
+fn a_pool_that_lacks_vms_itself_is_not_drained() {
     let start = Instant::now();
     let mut pools = [
         pool("a", 2, 30_000, 300_000, &[], start),
--- a/crates/fleet/tests/world/calls.rs
+++ b/crates/fleet/tests/world/calls.rs
@@ -1,4 +1,4 @@
-//! What entries decide on, and the calls that they make later: they may be frozen in between.
+//! The decisions of entries and the calls that they make later, since an entry may be frozen in between.
 
 use super::{Call, LEASE, World, view};
 use havenladder_fleet::{
@@ -8,7 +8,7 @@
 use rand::{Rng, seq::IndexedRandom};
 
 impl World {
-    pub(super) fn tasks(&self, entry: usize) -> Vec<(String, Vm, Grant)> {
+    pub(super) fn pending_grants(&self, entry: usize) -> Vec<(String, Vm, Grant)> {
         let entry = &self.entries[entry];
         let vms = entry.fleet.vms.iter();
         vms.filter_map(|(id, vm)| Some((id.clone(), vm.clone(), vm.grant.clone()?)))
@@ -16,12 +16,13 @@
             .collect()
     }
 
-    /// An entry looks at the platform and decides; what it decided waits to be carried out.
+    /// Lets an entry read the platform's state and decide on a call, which is queued to be carried out
+    /// later.
     pub(super) fn decide(&mut self, entry: usize) {
         let members = self.members(entry);
-        let tasks = self.tasks(entry);
-        let Some((id, vm, grant)) = tasks.choose(&mut self.rng).cloned() else {
-            return self.settle_stray(entry);
+        let grants = self.pending_grants(entry);
+        let Some((id, vm, grant)) = grants.choose(&mut self.rng).cloned() else {
+            return self.settle_orphaned(entry);
         };
         let name = self.entries[entry].name.clone();
         let view = view(&name, &members, self.now);
@@ -46,15 +47,15 @@
         });
     }
 
-    pub(super) fn settle_stray(&mut self, entry: usize) {
-        let strays: Vec<(String, u64, String)> = self.entries[entry]
+    pub(super) fn settle_orphaned(&mut self, entry: usize) {
+        let orphaned: Vec<(String, u64, String)> = self.entries[entry]
             .fleet
             .vms
             .iter()
             .filter(|(_, vm)| vm.grant.is_none())
             .map(|(id, vm)| (id.clone(), token_without_grant(vm), vm.pool.clone()))
             .collect();
-        let Some((id, token, pool)) = strays.choose(&mut self.rng) else {
+        let Some((id, token, pool)) = orphaned.choose(&mut self.rng) else {
             return;
         };
         if let Some(machine) = self.machines.get_mut(id)
@@ -66,17 +67,17 @@
         }
     }
 
-    /// Carries out some decision, perhaps long after it was made.
+    /// Carries out one of the queued calls, perhaps long after the decision.
     pub(super) fn make_call(&mut self) {
         if self.calls.is_empty() {
             return;
         }
-        let place = if self.faulty {
+        let index = if self.faulty {
             self.rng.random_range(0..self.calls.len())
         } else {
             0
         };
-        let call = self.calls.remove(place);
+        let call = self.calls.remove(index);
         let name = self.entries[call.entry].name.clone();
         let (vm, grant) = (call.vm.clone(), call.grant.id);
         match call.action {
@@ -97,7 +98,8 @@
             Action::Finish(boot) => {
                 self.append(&name, vec![Change::Finish { vm, grant, boot }]);
             }
-            // The last look at the clock. In a freeze after it, the token is what holds.
+            // The last check of the clock before the call. If the entry freezes after it, only the token
+            // protects the VM.
             _ if call.grant.has_lease()
                 && self.now >= call.grant.deadline
                 && self.rng.random_bool(0.9) => {}
--- a/crates/fleet/tests/world/duties.rs
+++ b/crates/fleet/tests/world/inputs.rs
@@ -1,4 +1,4 @@
-//! What entries see of the VMs, and what operators ask for.
+//! The observations of VMs by entries, and the requests of operators.
 
 use super::{LEASE, World};
 use havenladder_fleet::{
@@ -44,8 +44,8 @@
         self.append(&name, vec![Change::Observe(seen)]);
     }
 
-    /// Operators race: each bases its order on what some entry knows.
-    pub(super) fn operate(&mut self, entry: usize) {
+    /// Appends a random request of an operator, based on the state that some entry knows.
+    pub(super) fn operator_request(&mut self, entry: usize) {
         let fleet = &self.entries[entry].fleet;
         let ids: Vec<(&String, &Vm)> = fleet.vms.iter().collect();
         let Some((id, vm)) = ids.choose(&mut self.rng) else {
--- a/crates/fleet/tests/world/machines.rs
+++ b/crates/fleet/tests/world/machines.rs
@@ -1,4 +1,4 @@
-//! The world's platform: its VMs, calls, faults and its own count.
+//! The simulated platform: its VMs, calls, faults and its own count of unavailable slots.
 
 use super::World;
 use havenladder_fleet::{Action, Grant};
@@ -8,7 +8,7 @@
     time::{Duration, SystemTime},
 };
 
-/// One VM as the platform has it.
+/// One VM as the platform knows it.
 #[derive(Clone, Debug)]
 pub struct Machine {
     pub hall: String,
@@ -20,16 +20,17 @@
     pub running: u32,
     pub pool: String,
     pub token: u64,
-    /// When it comes back, and whether the system or a fault took it down.
+    /// The time at which the VM comes back, and whether the system (rather than a fault) took it down.
     pub back: Option<(SystemTime, bool)>,
 }
 
 impl World {
-    /// The platform's own count: what the system's calls keep out of service.
+    /// Checks that the system's calls keep no more slots out of service than the budgets allow, by the
+    /// platform's own count.
     pub(super) fn check_platform(&mut self) {
         let mut pools: BTreeMap<String, (u32, u32)> = BTreeMap::new();
         for (id, machine) in &self.machines {
-            let Some(vm) = self.truth.vms.get(id) else {
+            let Some(vm) = self.reference.vms.get(id) else {
                 continue;
             };
             let by_system = machine.drained || machine.back.is_some_and(|(_, system)| system);
@@ -39,7 +40,7 @@
         }
         for (pool, (capacity, out)) in pools {
             let over = out > self.budget(&pool, capacity);
-            self.expect(
+            self.check(
                 !over,
                 "the platform counts more out of service than a budget allows",
             );
@@ -71,13 +72,13 @@
                 machine.running = 0;
                 machine.back = Some((now + Duration::from_secs(slow), true));
                 *self.reboots.entry((id.to_owned(), boot)).or_default() += 1;
-                self.expect(!cut_off, "a reboot cut off a request");
+                self.check(!cut_off, "a reboot cut off a request");
             }
             _ => {}
         }
     }
 
-    pub(super) fn pass(&mut self) {
+    pub(super) fn advance_time(&mut self) {
         self.now += Duration::from_millis(self.rng.random_range(100..4_000));
         for machine in self.machines.values_mut() {
             if machine.back.is_some_and(|(at, _)| at <= self.now) {
@@ -89,7 +90,7 @@
         }
     }
 
-    pub(super) fn fault(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         let ids: Vec<String> = self.machines.keys().cloned().collect();
         let Some(id) = ids.choose(&mut self.rng) else {
             return;
@@ -108,7 +109,7 @@
         }
     }
 
-    pub(super) fn work(&mut self) {
+    pub(super) fn change_load(&mut self) {
         for machine in self.machines.values_mut() {
             if machine.up && !machine.drained && self.rng.random_bool(0.3) {
                 machine.running = 1;
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -1,8 +1,8 @@
-//! A small world for the fold and the planner: a log, a platform that counts for itself, and
-//! entries that lag, freeze, lose answers and disagree about who is live.
+//! A simulation for the fold and the planner: a log, a platform with its own counts, and entries that lag,
+//! freeze, lose responses and disagree on which entries are live.
 
 mod calls;
-mod duties;
+mod inputs;
 mod machines;
 
 pub use machines::Machine;
@@ -21,7 +21,7 @@
 
 pub const LEASE: Duration = Duration::from_secs(10);
 
-/// A call that an entry has decided on and not yet made: it may be frozen in between.
+/// A call that an entry has decided on and not yet made, since it may be frozen in between.
 struct Call {
     entry: usize,
     vm: String,
@@ -41,15 +41,15 @@
     pub rng: SmallRng,
     pub now: SystemTime,
     pub log: Vec<LogRecord>,
-    /// The fold without lag.
-    pub truth: Fleet,
+    /// The state after applying the whole log, without lag.
+    pub reference: Fleet,
     pub machines: BTreeMap<String, Machine>,
     entries: Vec<Entry>,
     calls: Vec<Call>,
-    /// Reboots that took effect, by VM and count of boots before.
+    /// The number of reboots that took effect, by VM and number of boots before.
     pub reboots: BTreeMap<(String, u64), u32>,
     pub violations: Vec<String>,
-    /// Whether faults still happen.
+    /// Whether faults are still injected.
     pub faulty: bool,
 }
 
@@ -59,7 +59,7 @@
             rng: SmallRng::seed_from_u64(seed),
             now: UNIX_EPOCH + Duration::from_secs(1_000_000),
             log: Vec::new(),
-            truth: Fleet::default(),
+            reference: Fleet::default(),
             machines: BTreeMap::new(),
             entries: Vec::new(),
             calls: Vec::new(),
@@ -96,9 +96,9 @@
         world
     }
 
-    /// Publishes settings, based on what an entry knows.
+    /// Publishes settings, based on the state that an entry knows.
     pub fn publish(&mut self, by: &str, settings: &str, entry: usize) -> Outcome {
-        let tree = read_tree("test", settings).expect("good settings");
+        let tree = read_tree("test", settings).expect("valid settings");
         let fleet = &self.entries[entry].fleet;
         let changes = settings::diff(&fleet.tree, &tree)
             .into_iter()
@@ -111,7 +111,7 @@
         self.append(by, vec![Change::Settings(changes)]).remove(0)
     }
 
-    /// Appends one record, now and then twice as after a lost answer.
+    /// Appends one record, occasionally twice, as after a lost response.
     pub fn append(&mut self, by: &str, changes: Vec<Change>) -> Vec<Outcome> {
         let record = Record {
             id: RecordId::from_parts(0, self.rng.random()),
@@ -119,86 +119,86 @@
             expires: self.now + Duration::from_secs(15),
             changes,
         };
-        let outcomes = self.take(&record);
+        let outcomes = self.accept(&record);
         if self.faulty && self.rng.random_bool(0.1) {
-            let again = self.take(&record);
-            let had_effect = again.contains(&Outcome::Applied);
-            self.expect(!had_effect, "a second copy had an effect");
+            let copy = self.accept(&record);
+            let had_effect = copy.contains(&Outcome::Applied);
+            self.check(!had_effect, "a second copy had an effect");
         }
         outcomes
     }
 
-    fn take(&mut self, record: &Record) -> Vec<Outcome> {
+    fn accept(&mut self, record: &Record) -> Vec<Outcome> {
         let record = LogRecord {
             offset: self.log.len() as u64,
             at: self.now,
-            data: encode(record).expect("a record has a form"),
+            data: encode(record).expect("the record can be encoded"),
         };
-        let outcomes = self.truth.apply(&record);
+        let outcomes = self.reference.apply(&record);
         self.log.push(record);
         self.check_grants(&outcomes);
         outcomes
     }
 
-    /// The independent count of what a grant leaves unavailable.
+    /// Checks grants against an independent count of the slots that they make unavailable.
     fn check_grants(&mut self, outcomes: &[Outcome]) {
         if !outcomes.contains(&Outcome::Applied) {
             return;
         }
         let newest = self.log.len() as u64 - 1;
         let granted: Vec<String> = self
-            .truth
+            .reference
             .vms
             .values()
             .filter(|vm| vm.grant.as_ref().is_some_and(|grant| grant.id == newest))
             .map(|vm| vm.pool.clone())
             .collect();
         for pool in granted {
-            let members = || self.truth.vms.values().filter(|vm| vm.pool == pool);
+            let members = || self.reference.vms.values().filter(|vm| vm.pool == pool);
             let capacity: u32 = members().map(|vm| vm.slots).sum();
             let out = |vm: &&Vm| vm.grant.is_some() || vm.health != Health::Up;
             let unavailable: u32 = members().filter(out).map(|vm| vm.slots).sum();
             let over = unavailable > self.budget(&pool, capacity);
-            self.expect(!over, "a grant overran a budget");
+            self.check(!over, "a grant overran a budget");
         }
     }
 
     pub fn budget(&self, pool: &str, capacity: u32) -> u32 {
-        self.truth
+        self.reference
             .tree
             .services_of(pool)
-            .map(|path| settings::Service::resolve(&self.truth.tree, path))
+            .map(|path| settings::Service::resolve(&self.reference.tree, path))
             .map(|service| service.unavailable.slots(capacity))
             .min()
             .unwrap_or(u32::MAX)
     }
 
-    pub fn expect(&mut self, holds: bool, what: &str) {
+    pub fn check(&mut self, holds: bool, what: &str) {
         if !holds && self.violations.is_empty() {
             self.violations
                 .push(format!("{what}, at {} records", self.log.len()));
         }
     }
 
-    /// One random step.
+    /// Performs one random step.
     pub fn step(&mut self) {
         let entry = self.rng.random_range(0..self.entries.len());
         match self.rng.random_range(0..100) {
-            0..30 => self.follow(entry),
+            0..30 => self.read_log(entry),
             30..45 => self.plan(entry),
             45..65 => self.decide(entry),
             65..80 => self.make_call(),
             80..86 => self.observe_all(entry),
-            86..92 => self.pass(),
-            92..94 if self.faulty => self.fault(),
-            94..96 if self.faulty => self.operate(entry),
+            86..92 => self.advance_time(),
+            92..94 if self.faulty => self.inject_fault(),
+            94..96 if self.faulty => self.operator_request(entry),
             96..97 if self.faulty => self.restart(entry),
-            _ => self.work(),
+            _ => self.change_load(),
         }
         self.check_platform();
     }
 
-    fn follow(&mut self, entry: usize) {
+    fn read_log(&mut self, entry: usize) {
         let behind = self.log.len() - self.entries[entry].fleet.next as usize;
         let count = if self.faulty {
             self.rng.random_range(0..=behind)
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Who an entry holds for live: itself and, when faults happen, any others.
+    /// Returns the entries that an entry considers live: itself and, while faults are injected, a random
+    /// choice of others.
     fn members(&mut self, entry: usize) -> BTreeMap<EntryId, HallId> {
         let mut members = BTreeMap::new();
         for (index, other) in self.entries.iter().enumerate() {
@@ -237,16 +238,16 @@
         }
     }
 
-    /// An entry is replaced by one with an empty memory; what it had decided may still happen.
+    /// Replaces an entry by one without state. Calls on which it had decided may still be made.
     fn restart(&mut self, entry: usize) {
         self.entries[entry].fleet = Fleet::default();
     }
 
-    /// Ends the faults and lets everything that was begun come to its end.
-    pub fn calm(&mut self) {
+    /// Ends the faults, takes back the operators' drains and starts a last wave.
+    pub fn end_faults(&mut self) {
         self.faulty = false;
         let drains: Vec<Change> = self
-            .truth
+            .reference
             .vms
             .iter()
             .filter_map(|(id, vm)| Some((id, vm.grant.as_ref()?)))
@@ -265,8 +266,8 @@
         );
     }
 
-    /// Every entry's fold, brought up to date.
-    pub fn folds(&mut self) -> Vec<Fleet> {
+    /// Returns the state of every entry after it has applied the whole log.
+    pub fn states(&mut self) -> Vec<Fleet> {
         for entry in 0..self.entries.len() {
             while (self.entries[entry].fleet.next as usize) < self.log.len() {
                 let record = self.log[self.entries[entry].fleet.next as usize].clone();
