--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -50,7 +50,7 @@
     EarlierIncarnation,
     /// An entry whose process has ended.
     Ended,
-    /// Another entry, which does not respond to this one.
+    /// Another entry, which did not respond when this one asked it.
     Silent,
     /// Another entry, which responds to this one.
     Answering,
--- a/crates/fleet/src/moves.rs
+++ b/crates/fleet/src/moves.rs
@@ -92,8 +92,8 @@
         if pool == SPARE_POOL {
             return planned;
         }
-        let asked = fleet.tree.nodes.get(pool).and_then(|node| node.vms);
-        asked.map_or(0, |asked| planned.saturating_sub(asked))
+        let desired = fleet.tree.nodes.get(pool).and_then(|node| node.vms);
+        desired.map_or(0, |desired| planned.saturating_sub(desired))
     }
 }
 
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -179,7 +179,7 @@
     /// Nothing can be done now.
     Wait,
     /// The lease has expired, so that its holder must not act.
-    Lapsed,
+    LeaseExpired,
     /// The lease should be renewed first.
     Renew,
     /// Tell the platform to send no more tasks to the VM.
@@ -208,7 +208,7 @@
 ) -> Action {
     if grant.has_lease() {
         if view.now >= grant.deadline {
-            return Action::Lapsed;
+            return Action::LeaseExpired;
         }
         if view.now + view.lease / 2 > grant.deadline {
             return Action::Renew;
--- a/crates/fleet/tests/unrecorded.rs
+++ b/crates/fleet/tests/unrecorded.rs
@@ -10,7 +10,7 @@
 #[parameterized(
     reported = { UnrecordedRuns::Possible, None, true, StoreTrouble::Observed },
     released_with_none = { UnrecordedRuns::None, Some(MS), false, StoreTrouble::None },
-    last_trouble = { UnrecordedRuns::NoneAtRenewal, Some(STORE_TROUBLE_AGE - MS), true, StoreTrouble::Observed },
+    observed = { UnrecordedRuns::NoneAtRenewal, Some(STORE_TROUBLE_AGE - MS), true, StoreTrouble::Observed },
     observed_long_ago = { UnrecordedRuns::NoneAtRenewal, Some(STORE_TROUBLE_AGE), true, StoreTrouble::None },
     just_begun = { UnrecordedRuns::NoneAtRenewal, None, false, StoreTrouble::Unknown },
     calm = { UnrecordedRuns::NoneAtRenewal, None, true, StoreTrouble::None },
--- a/crates/fleet/tests/world/calls.rs
+++ b/crates/fleet/tests/world/calls.rs
@@ -81,7 +81,7 @@
         let name = self.entries[call.entry].name.clone();
         let (vm, grant) = (call.vm.clone(), call.grant.id);
         match call.action {
-            Action::Wait | Action::Lapsed => {}
+            Action::Wait | Action::LeaseExpired => {}
             Action::Renew => {
                 let deadline = self.now + LEASE;
                 let request = LeaseRequest {
--- a/crates/havenladder/src/duties/steward.rs
+++ b/crates/havenladder/src/duties/steward.rs
@@ -164,7 +164,7 @@
     let (vm, grant) = (task.id.clone(), task.grant.id);
     match action {
         Action::Wait => {}
-        Action::Lapsed => tracing::warn!(%vm, grant, "the lease has ended; not acting"),
+        Action::LeaseExpired => tracing::warn!(%vm, grant, "the lease has ended; not acting"),
         Action::Renew => {
             submit(ctx, vec![renewal(ctx, task)]);
         }
