--- a/crates/fleet/src/bound.rs
+++ b/crates/fleet/src/bound.rs
@@ -1,20 +1,20 @@
-//! How many more VMs of a wave may go down at once.
+//! The limit on how many VMs of a maintenance wave may be down at once.
 
-/// What an owner knows of a VM of a wave.
+/// The state of a VM in a wave, as far as the owner of the cell knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whereabouts {
-    /// It is up, and nobody has told it to go.
+pub enum WaveVmState {
+    /// The VM is up and has not been ordered to go down.
     Up,
-    /// This owner has told it to go, and has not seen it up again.
-    Told,
-    /// The list shows it down, whoever told it to go.
+    /// This owner has ordered the VM to go down and has not seen it up again since.
+    Ordered,
+    /// The platform lists the VM as down, whoever ordered it.
     Down,
-    /// It is up as far as the list shows, but an earlier owner may have just told it to go.
-    Doubtful,
+    /// The platform lists the VM as up, but an earlier owner may just have ordered it to go down.
+    Unconfirmed,
 }
 
-/// How many VMs may be told to go, where `most` may be down at once.
-pub fn room_to_go(most: usize, vms: impl IntoIterator<Item = Whereabouts>) -> usize {
-    let away = vms.into_iter().filter(|vm| *vm != Whereabouts::Up).count();
-    most.saturating_sub(away)
+/// Returns how many more VMs may be ordered to go down, if at most `max_down` may be down at once.
+pub fn wave_headroom(max_down: usize, vms: impl IntoIterator<Item = WaveVmState>) -> usize {
+    let down = vms.into_iter().filter(|vm| *vm != WaveVmState::Up).count();
+    max_down.saturating_sub(down)
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,66 +1,73 @@
-//! What the fleet is and may do next, decided by folding the platform's log.
+//! The agreed state of the fleet and the decisions about what may be done next, derived from the platform's
+//! log.
 //!
-//! Every entry folds the same records in offset order through [`Fleet::apply`] and so reaches the
-//! same verdicts without asking another. Nothing in here knows a socket or a clock: time is what
-//! the records carry, or an argument.
+//! Every entry applies the same records in offset order through [`Fleet::apply`] and therefore reaches the
+//! same decisions without communicating. The crate does no I/O and reads no clock: time comes from the
+//! records or from arguments.
 
-mod answer_time;
 mod backoff;
 mod bound;
 mod budget;
-mod feed;
+mod election;
 mod first_sent;
 mod fold;
 mod grant;
 mod member;
 mod moves;
+mod outage;
 mod plan;
 mod publish;
 mod rate;
 mod reach;
 mod record;
-mod silence;
+mod replication;
+mod response_time;
 mod sizing;
 mod snapshot;
 mod state;
-mod tenure;
 mod unrecorded;
 mod wave;
 
-pub use answer_time::{AnswerTime, next_wait};
 pub use backoff::Backoff;
-pub use bound::{Whereabouts, room_to_go};
-pub use budget::{Count, Hold, holds};
-pub use feed::{
-    Address, Admission, FOLLOWERS, Followers, PLACE_EXPIRY, READERS, Readers, STALE, Seeker, Source,
+pub use bound::{WaveVmState, wave_headroom};
+pub use budget::{PoolCount, TightestBudget, tightest_budget};
+pub use election::{
+    ANSWERING_OWNER_TIMEOUT, Claim, Election, Holder, LEASE_TIMEOUT, MIN_OWNERSHIP_AGE, MilliCpu,
+    SILENT_OWNER_TIMEOUT, WEAKER_CLAIM_DELAY, outranks,
 };
-pub use first_sent::{FirstSent, Place};
-pub use moves::{Room, Wanted, least_moves, next_moves};
-pub use plan::{Action, Evidence, Sight, View, free_token, next_action, plan};
+pub use first_sent::{FirstSent, LogPosition};
+pub use moves::{BudgetHeadroom, ProposedGrant, min_moves, next_moves};
+pub use outage::{ServiceReport, is_isolated, is_unavailable};
+pub use plan::{Action, Evidence, View, VmObservation, next_action, plan, token_without_grant};
 pub use rate::RateLimit;
-pub use reach::{CONFIRMED, CUT_OFF, QUIET, RENEWED, Reach};
+pub use reach::{CUT_OFF_TIMEOUT, MIN_RENEWAL_DELAY, OWNER_SILENCE_TIMEOUT, PROBE_DELAY, Reach};
 pub use record::{
-    Change, Errand, GrantRequest, LeaseRequest, Observation, Outcome, PathChange, Reason, Record,
-    Seen, WaveChange,
+    Change, GrantPurpose, GrantRequest, LeaseRequest, Observation, ObservedState, Outcome,
+    PathChange, Reason, Record, WaveChange,
+};
+pub use replication::{
+    ASSIGNMENT_TIMEOUT, Address, Admission, FollowerInfo, Followers, MAX_FOLLOWERS,
+    READERS_PER_HALL, Readers, STALE_AGE, Source,
+};
+pub use response_time::{ResponseTime, next_timeout};
+pub use sizing::{
+    DrainableVm, IdleVm, PoolDemand, Resize, SizingLimits, VmMove, lacks_vms, resize,
 };
-pub use silence::{Hearing, is_away, is_turned_away};
-pub use sizing::{IdleVm, LooseVm, PoolDemand, Resize, Shift, SizingLimits, lacks_vms, resize};
 pub use snapshot::{Chunk, SnapshotError, assemble, chunks, decode_snapshot, encode_snapshot};
-pub use state::{Fleet, Grant, Health, Mark, SPARE, Step, Vm, Wave, WaveId, WaveState};
-pub use tenure::{
-    ANSWERING_EXPIRY, Claim, DEFERENCE, EXPIRY, Holder, MilliCpu, SETTLED, SILENT_EXPIRY, Tenure,
-    outranks,
+pub use state::{
+    Fleet, Grant, Health, RecordOrigin, SPARE_POOL, Step, Vm, Wave, WaveId, WaveState,
 };
-pub use unrecorded::{Stall, TROUBLE, Told, Trouble, trouble};
+pub use unrecorded::{STORE_TROUBLE_AGE, Stall, StoreTrouble, UnrecordedRuns, store_trouble};
 pub use wave::{Progress, next_reboots, progress};
 
 use std::time::Duration;
 
-/// How far two clocks may differ; a lease is taken over only this long after its deadline.
-pub const CLOCK_SKEW: Duration = Duration::from_secs(2);
+/// The maximum difference assumed between two clocks. A lease is taken over only this long after its
+/// deadline.
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(2);
 
-/// The longest lease that a grant may have.
-pub const LONGEST_LEASE: Duration = Duration::from_secs(600);
+/// The maximum duration of a grant's lease.
+pub const MAX_LEASE: Duration = Duration::from_secs(600);
 
-/// The longest time for which a record may ask to be taken.
-pub const LONGEST_EXPIRY: Duration = Duration::from_secs(120);
+/// The maximum time ahead at which a record may set its own expiry.
+pub const MAX_RECORD_EXPIRY: Duration = Duration::from_secs(120);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,16 +1,16 @@
-//! Membership: which VMs there are, whether they are up, and the pool that each is in.
+//! Membership: which VMs exist, whether they are up, and which pool each of them belongs to.
 
 use crate::{
     fold::Context,
-    record::{Observation, Outcome, Reason, Seen},
-    state::{Fleet, Health, SPARE, Vm},
+    record::{Observation, ObservedState, Outcome, Reason},
+    state::{Fleet, Health, SPARE_POOL, Vm},
 };
 use protocol::{PoolId, VmId};
 use settings::admits_hall;
 use std::cmp::Reverse;
 
 impl Fleet {
-    /// Takes in what an entry saw; an observation of a VM that has changed since is passed over.
+    /// Applies the observations of an entry. An observation of a VM that has changed since then is ignored.
     pub(crate) fn observe(&mut self, context: &Context, seen: &[Observation]) -> Outcome {
         let mut changed = false;
         for observation in seen {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Removes a VM that is gone.
+    /// Removes a VM that the platform no longer lists.
     pub(crate) fn forget(&mut self, vm: &str) -> Outcome {
         match self.vms.get(vm).map(|vm| vm.health) {
             Some(Health::Gone) => {
@@ -44,7 +44,7 @@
             return false;
         }
         match &observation.seen {
-            Seen::Up {
+            ObservedState::Up {
                 hall,
                 rack,
                 addr,
@@ -72,9 +72,9 @@
                 self.change_vm(&observation.vm, context.offset, |vm| *vm = up);
                 true
             }
-            Seen::Leaving => self.set_health(context, &observation.vm, Health::Leaving),
-            Seen::Down => self.set_health(context, &observation.vm, Health::Down),
-            Seen::Gone => self.set_health(context, &observation.vm, Health::Gone),
+            ObservedState::Leaving => self.set_health(context, &observation.vm, Health::Leaving),
+            ObservedState::Down => self.set_health(context, &observation.vm, Health::Down),
+            ObservedState::Gone => self.set_health(context, &observation.vm, Health::Gone),
         }
     }
 
@@ -87,7 +87,7 @@
     }
 
     fn join(&mut self, context: &Context, observation: &Observation) -> bool {
-        let Seen::Up {
+        let ObservedState::Up {
             hall,
             rack,
             addr,
@@ -104,7 +104,7 @@
             slots: *slots,
             boot: *boot,
             booted: context.at,
-            pool: self.pool_for(hall),
+            pool: self.pool_for_new_vm(hall),
             health: Health::Up,
             grant: None,
             version: context.offset,
@@ -113,19 +113,20 @@
         true
     }
 
-    /// Returns the pool that lacks most VMs among those that admit `hall`.
-    fn pool_for(&self, hall: &str) -> PoolId {
+    /// Returns the pool that lacks the most VMs among those that admit `hall`, or the spare pool if none
+    /// lacks any.
+    fn pool_for_new_vm(&self, hall: &str) -> PoolId {
         self.tree
             .pools()
             .filter(|pool| admits_hall(&self.tree, pool, hall))
-            .map(|pool| (self.asked(pool).saturating_sub(self.expected(pool)), pool))
-            .filter(|(lack, _)| *lack > 0)
-            .max_by_key(|(lack, pool)| (*lack, Reverse(*pool)))
-            .map_or_else(|| SPARE.to_owned(), |(_, pool)| pool.clone())
+            .map(|pool| (self.desired(pool).saturating_sub(self.expected(pool)), pool))
+            .filter(|(shortage, _)| *shortage > 0)
+            .max_by_key(|(shortage, pool)| (*shortage, Reverse(*pool)))
+            .map_or_else(|| SPARE_POOL.to_owned(), |(_, pool)| pool.clone())
     }
 
-    /// Returns the number of VMs that a pool asks for.
-    pub fn asked(&self, pool: &str) -> u32 {
+    /// Returns the number of VMs that the settings ask for in a pool.
+    pub fn desired(&self, pool: &str) -> u32 {
         self.tree
             .nodes
             .get(pool)
@@ -133,25 +134,26 @@
             .unwrap_or_default()
     }
 
-    /// Returns the VMs that a pool has, without those that are gone.
+    /// Returns the number of VMs in a pool, without those that the platform no longer lists.
     pub fn present(&self, pool: &str) -> u32 {
         let count = self.count(pool);
         count.vms - count.gone
     }
 
-    /// Returns the VMs that a pool has, with those that are on their way to it.
+    /// Returns the number of VMs in a pool, including those that are being moved to it.
     pub fn expected(&self, pool: &str) -> u32 {
         self.present(pool) + self.count(pool).incoming
     }
 
-    /// Drops gone VMs of pools that have as many others as they ask for: they were replaced.
+    /// Removes VMs that the platform no longer lists from pools that have reached their desired size
+    /// without them, since they have been replaced.
     pub(crate) fn prune_gone(&mut self) {
         let replaced: Vec<PoolId> = self
             .counts
             .iter()
             .filter(|(_, count)| count.gone > 0)
             .map(|(pool, _)| pool.clone())
-            .filter(|pool| self.present(pool) >= self.asked(pool))
+            .filter(|pool| self.present(pool) >= self.desired(pool))
             .collect();
         for pool in replaced {
             for vm in self.gone_vms(&pool) {
--- a/crates/fleet/tests/world/duties.rs
+++ b/crates/fleet/tests/world/inputs.rs
@@ -1,7 +1,9 @@
-//! What entries see of the VMs, and what operators ask for.
+//! The observations of VMs by entries, and the requests of operators.
 
 use super::{LEASE, World};
-use havenladder_fleet::{Change, Errand, GrantRequest, Observation, Seen, Vm, WaveChange};
+use havenladder_fleet::{
+    Change, GrantPurpose, GrantRequest, Observation, ObservedState, Vm, WaveChange,
+};
 use rand::{Rng, seq::IndexedRandom};
 
 impl World {
@@ -12,7 +14,7 @@
         for (id, machine) in &self.machines {
             let known = fleet.vms.get(id);
             let what = if machine.up {
-                Seen::Up {
+                ObservedState::Up {
                     hall: machine.hall.clone(),
                     rack: machine.rack.clone(),
                     addr: "addr".into(),
@@ -20,7 +22,7 @@
                     boot: machine.boot,
                 }
             } else {
-                Seen::Down
+                ObservedState::Down
             };
             let base = known.map_or(0, |vm| vm.version);
             seen.push(Observation {
@@ -35,15 +37,15 @@
                 seen.push(Observation {
                     vm: id.clone(),
                     base,
-                    seen: Seen::Gone,
+                    seen: ObservedState::Gone,
                 });
             }
         }
         self.append(&name, vec![Change::Observe(seen)]);
     }
 
-    /// Operators race: each bases its order on what some entry knows.
-    pub(super) fn operate(&mut self, entry: usize) {
+    /// Appends a random request of an operator, based on the state that some entry knows.
+    pub(super) fn operator_request(&mut self, entry: usize) {
         let fleet = &self.entries[entry].fleet;
         let ids: Vec<(&String, &Vm)> = fleet.vms.iter().collect();
         let Some((id, vm)) = ids.choose(&mut self.rng) else {
@@ -63,7 +65,7 @@
             }
             4 => Change::Grant(GrantRequest {
                 base: vm.version,
-                errand: Errand::Move {
+                purpose: GrantPurpose::Move {
                     to: "place/two".into(),
                 },
                 holder: format!("entry-{}", self.rng.random_range(0..4)),
@@ -72,7 +74,7 @@
             }),
             _ => Change::Grant(GrantRequest {
                 base: vm.version,
-                errand: Errand::Drain,
+                purpose: GrantPurpose::Drain,
                 holder: "entry-0".into(),
                 deadline: self.now + LEASE,
                 vm: id,
--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -9,7 +9,7 @@
 use adapter::store::{Appended, Offset, Read};
 use bytes::Bytes;
 use clock::Instant;
-use fleet::{FirstSent, Tenure};
+use fleet::{Election, FirstSent};
 use std::time::Duration;
 use tokio::time;
 use tracing::{info, warn};
@@ -22,7 +22,7 @@
     /// End of the log, as far as it was read.
     pub(super) end: Offset,
     /// Decides when this entry may claim the lease, and from whom it should request the cell.
-    pub(super) election: Tenure,
+    pub(super) election: Election,
     /// Incarnation that wrote the newest record, and whether it released the cell with it.
     pub(super) holder: Option<(IncarnationId, bool)>,
     /// Time at which a renewal of the current owner was last read.
@@ -60,7 +60,7 @@
 pub(super) async fn read(node: &Node, log: &mut Log, wait: Duration) -> ReadOutcome {
     let read = store_calls::read(node, TOPIC, log.end, wait).await;
     if read.is_ok() {
-        node.update_reach(|reach| reach.note_store(Instant::now()));
+        node.update_reach(|reach| reach.on_store_response(Instant::now()));
     }
     match read {
         Ok(Read::Records(_, records)) if records.is_empty() => ReadOutcome::Nothing,
@@ -74,7 +74,7 @@
         }
         Ok(Read::Busy) | Err(_) => {
             let now = Instant::now();
-            log.election.note_trouble(now);
+            log.election.on_store_trouble(now);
             log.last_outage = Some(now);
             time::sleep(RETRY_INTERVAL).await;
             ReadOutcome::Failed
@@ -116,7 +116,7 @@
 /// Records that the owner has written a record.
 fn record_owner_contact(node: &Node, log: &mut Log, now: Instant) {
     log.last_renewal = Some(now);
-    node.update_reach(|reach| reach.note_renewal(now));
+    node.update_reach(|reach| reach.on_renewal(now));
     // An owner that writes is alive, whatever its port did during a network partition.
     node.ended_owner.set(None);
     node.suspected_owner.set(None);
@@ -156,7 +156,7 @@
         "ownership has changed"
     );
     // It is not known yet whether the new owner answers.
-    node.update_reach(fleet::Reach::note_owner);
+    node.update_reach(fleet::Reach::on_owner_change);
     node.lease_changed.notify_waiters();
 }
 
@@ -168,10 +168,10 @@
 
 /// Updates the election with the holder of the lease.
 fn update_election(log: &mut Log, lease: &Lease, now: Instant) {
-    log.election.note_record(lease.cpu, now);
+    log.election.on_record(lease.cpu, now);
     let known = log.holder.replace((lease.incarnation, lease.released));
     if known != log.holder {
-        log.election.note_change(now);
+        log.election.on_owner_change(now);
     }
 }
 
@@ -190,7 +190,7 @@
 /// there.
 pub(super) async fn write(node: &Node, log: &mut Log, lease: Lease) -> WriteOutcome {
     let offset = log.end;
-    log.first_sent = Some(FirstSent::note(log.first_sent, offset, Instant::now()));
+    log.first_sent = Some(FirstSent::record(log.first_sent, offset, Instant::now()));
     match append(node, offset, &lease).await {
         Some(Appended::Done(end)) => {
             log.end = end;
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -19,7 +19,7 @@
     suspension,
 };
 use clock::Instant;
-use fleet::{Claim, Holder, Tenure, Told, Trouble};
+use fleet::{Claim, Election, Holder, StoreTrouble, UnrecordedRuns};
 use log::{Log, RETRY_INTERVAL, ReadOutcome, WriteOutcome, write};
 use std::{convert::Infallible, rc::Rc, time::Duration};
 use tokio::{task, time};
@@ -50,14 +50,14 @@
 pub async fn run(node: Rc<Node>) {
     let mut log = Log {
         end: 0,
-        election: Tenure::new(node.settings.cpu, Instant::now()),
+        election: Election::new(node.settings.cpu, Instant::now()),
         holder: None,
         last_renewal: None,
         last_outage: None,
         predecessor: Predecessor {
             renewed: None,
             waits: Duration::ZERO,
-            trouble: Trouble::None,
+            trouble: StoreTrouble::None,
             orders: false,
         },
         first_sent: None,
@@ -68,7 +68,7 @@
     loop {
         let outcome = tokio::select! {
             outcome = log::next(&node, &mut log, wait) => outcome,
-            () = node.claim_due.notified() => ReadOutcome::Records,
+            () = node.claim_due.notified() => ReadOutcome::Records
         };
         suspension::check(&node);
         match outcome {
@@ -94,12 +94,12 @@
         Some(lease)
             if lease.node == node.settings.node && lease.incarnation != node.incarnation =>
         {
-            Holder::EarlierLife
+            Holder::EarlierIncarnation
         }
         // Its port refuses connections, so that its process has ended.
         Some(lease) if node.ended_owner.get() == Some(lease.incarnation) => Holder::Ended,
         Some(_) if node.reach.get().is_owner_silent(Instant::now()) => Holder::Silent,
-        Some(_) if node.reach.get().is_owner_heard(Instant::now()) => Holder::Answering,
+        Some(_) if node.reach.get().has_owner_answered(Instant::now()) => Holder::Answering,
         Some(_) => Holder::Other,
     }
 }
@@ -108,10 +108,10 @@
 fn next_claim(node: &Node, log: &mut Log) -> Claim {
     let now = Instant::now();
     if node.stopping.get() {
-        return Claim::At(now + fleet::EXPIRY);
+        return Claim::At(now + fleet::LEASE_TIMEOUT);
     }
     let holder = holder(node, log);
-    log.election.next(holder, now)
+    log.election.next_claim(holder, now)
 }
 
 /// Returns how long the next read waits. It does not wait if only the log has to be read before a
@@ -132,7 +132,8 @@
     let now = Instant::now();
     let lease = node.lease.borrow().clone();
     let other = lease.filter(|lease| lease.incarnation != node.incarnation && !lease.released);
-    let Some(other) = other.filter(|lease| log.election.should_ask(lease.cpu, now)) else {
+    let Some(other) = other.filter(|lease| log.election.should_request_handover(lease.cpu, now))
+    else {
         return;
     };
     let request = PeerRequest::HandOver {
@@ -172,11 +173,11 @@
 fn predecessor(node: &Node, log: &Log) -> Predecessor {
     let lease = node.lease.borrow();
     let announcement = match lease.as_ref() {
-        Some(lease) if lease.unrecorded => Told::Unrecorded,
-        Some(lease) if lease.released => Told::None,
-        Some(_) | None => Told::NoneThen,
+        Some(lease) if lease.unrecorded => UnrecordedRuns::Possible,
+        Some(lease) if lease.released => UnrecordedRuns::None,
+        Some(_) | None => UnrecordedRuns::NoneAtRenewal,
     };
-    let trouble = fleet::trouble(announcement, log.last_outage, node.began, Instant::now());
+    let trouble = fleet::store_trouble(announcement, log.last_outage, node.began, Instant::now());
     let released = lease.as_ref().filter(|lease| lease.released);
     Predecessor {
         // An owner that released the cell extends no more leases. An owner before it may be cut off
@@ -193,7 +194,7 @@
     log.predecessor = predecessor(node, log);
     // If this owner ends before it has contacted the workers, the next one has to do so.
     let lease = Lease {
-        unrecorded: log.predecessor.trouble != Trouble::None,
+        unrecorded: log.predecessor.trouble != StoreTrouble::None,
         unrecorded_orders: log.predecessor.orders,
         ..record(node, None)
     };
@@ -267,7 +268,7 @@
                 () = renew(node, log, &owner) => {}
                 // A renewal that the store does not answer takes 1.5 s, so that it is interrupted.
                 () = owner.relays_known.notified() => {}
-                never = check_outage_while_waiting(&owner) => match never {},
+                never = check_outage_while_waiting(&owner) => match never {}
             },
             Step::Release(why) => return release(node, log, &owner, why).await,
             Step::Lost => {
@@ -332,7 +333,7 @@
     match (renewed, lease) {
         (Some(renewed), Some(lease)) => {
             owner.record_renewal(renewed, &lease);
-            node.update_reach(|reach| reach.note_store(Instant::now()));
+            node.update_reach(|reach| reach.on_store_response(Instant::now()));
         }
         _ if holds_lease(node) => time::sleep(RETRY_INTERVAL).await,
         _ => {}
--- a/crates/havenladder/src/entry/maintenance.rs
+++ b/crates/havenladder/src/entry/maintenance.rs
@@ -13,7 +13,7 @@
     operator::{Wave, WaveState},
 };
 use clock::Instant;
-use fleet::{Whereabouts, room_to_go};
+use fleet::{WaveVmState, wave_headroom};
 use jobs::{Loss, Need, Takeout, WorkerId};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -228,13 +228,13 @@
 /// Returns how many more VMs of a wave may go down now.
 fn remaining_disruptions(owner: &Owner, wave: &Wave, progress: &Progress, vms: &VmList) -> usize {
     let whereabouts = |name: &String| match vms.get(name).map(|vm| vm.state) {
-        _ if progress.down.contains_key(name) => Whereabouts::Told,
+        _ if progress.down.contains_key(name) => WaveVmState::Ordered,
         // A VM in an unknown state counts against the bound.
-        Some(VmState::Upkeep | VmState::Down | VmState::Other) => Whereabouts::Down,
-        Some(VmState::Up) if owner.has_unconfirmed_order(name) => Whereabouts::Doubtful,
-        Some(VmState::Up | VmState::Moving) | None => Whereabouts::Up,
+        Some(VmState::Upkeep | VmState::Down | VmState::Other) => WaveVmState::Down,
+        Some(VmState::Up) if owner.has_unconfirmed_order(name) => WaveVmState::Unconfirmed,
+        Some(VmState::Up | VmState::Moving) | None => WaveVmState::Up,
     };
-    room_to_go(wave.most, wave.vms.iter().map(whereabouts))
+    wave_headroom(wave.most, wave.vms.iter().map(whereabouts))
 }
 
 /// Starts to drain the VMs that go down next: those with the least weight, as many as the bound allows and one more.
--- a/crates/havenladder/src/entry/moves/demands.rs
+++ b/crates/havenladder/src/entry/moves/demands.rs
@@ -4,7 +4,7 @@
 use crate::entry::{fleet::Vm, owner::Owner};
 use adapter::cloud::VmState;
 use clock::Instant;
-use fleet::{IdleVm, LooseVm, PoolDemand};
+use fleet::{DrainableVm, IdleVm, PoolDemand};
 use jobs::{Demand, Need};
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
             let mut pool = PoolDemand {
                 pool: service.name.clone(),
                 reserve: service.reserve,
-                unknown: !demand.begun,
+                demand_unknown: !demand.begun,
                 ..PoolDemand::default()
             };
             let mut present = PoolVms::default();
@@ -99,14 +99,14 @@
                 .values()
                 .filter(of_pool)
                 .filter(|vm| !is_idle(vm));
-            pool.loose = busy
+            pool.drainable = busy
                 .filter_map(|vm| self.drainable(round.owner, vm, round.now))
                 .collect();
         }
     }
 
     /// Returns when a VM would be free, if the VM may be drained and all of its runs end in time by themselves.
-    fn drainable(&self, owner: &Owner, vm: &Vm, now: Instant) -> Option<LooseVm> {
+    fn drainable(&self, owner: &Owner, vm: &Vm, now: Instant) -> Option<DrainableVm> {
         if self.stuck.get(&vm.name).is_some_and(|until| now < *until) {
             return None;
         }
@@ -117,7 +117,7 @@
             return None;
         }
         let free = now + cell.time_left(&worker.info.id, now);
-        (draining || free <= now + MAX_DRAIN_TIME).then(|| LooseVm {
+        (draining || free <= now + MAX_DRAIN_TIME).then(|| DrainableVm {
             vm: vm.name.clone(),
             free,
             draining,
@@ -147,7 +147,7 @@
     let mut cell = owner.cell.borrow_mut();
     for pool in pools.iter().filter(|pool| !pool.reserve) {
         let vms = pool.vms + idle - pool.idle.len();
-        cell.look_ahead(&pool.pool, vms as u64 * pool.room);
+        cell.look_ahead(&pool.pool, vms as u64 * pool.vm_capacity);
     }
 }
 
@@ -178,14 +178,14 @@
         0 => need.cpu,
         capacity => need.of(scarcest) * present.largest.cpu / capacity,
     };
-    pool.room = present.largest.cpu;
-    pool.busy = cores(peak);
+    pool.vm_capacity = present.largest.cpu;
+    pool.peak_running = cores(peak);
     pool.running = cores(demand.busy);
     pool.waiting = cores(demand.waiting);
     pool.late = cores(demand.late);
     pool.inflow = cores(demand.inflow);
-    pool.ahead = cores(demand.ahead);
-    pool.least = match demand.roomless.workers(present.largest) {
+    pool.forecast_inflow = cores(demand.ahead);
+    pool.min_vms = match demand.roomless.workers(present.largest) {
         0 => demand.spread,
         more => demand.spread.max(present.up + more),
     };
--- a/crates/havenladder/src/entry/moves/drain.rs
+++ b/crates/havenladder/src/entry/moves/drain.rs
@@ -17,7 +17,7 @@
     /// Keeps new runs off the VMs that are to be drained and off drained ones that move now, and reopens all others.
     pub(super) fn drain(&mut self, round: Round<'_>, plan: &Resize) {
         let stuck = self.skip_stuck(round.now);
-        let going = plan.shifts.iter().map(|shift| &shift.vm);
+        let going = plan.moves.iter().map(|shift| &shift.vm);
         let drained = going.filter(|name| self.draining.contains_key(*name));
         let draining = plan.drains.iter().filter(|name| !stuck.contains(name));
         let wanted: Vec<&String> = draining.chain(drained).collect();
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -10,7 +10,7 @@
     workers::Workers,
 };
 use clock::Instant;
-use fleet::{AnswerTime, Reach};
+use fleet::{Reach, ResponseTime};
 use std::{
     cell::{Cell, RefCell},
     rc::Rc,
@@ -34,13 +34,13 @@
     /// The platform's store.
     pub store: Store,
     /// Response times of the store.
-    pub store_times: Cell<AnswerTime>,
+    pub store_times: Cell<ResponseTime>,
     /// Client of the workers.
     pub workers: Workers,
     /// Client of the platform's VM service.
     pub cloud: Cloud,
     /// Response times of the VM list.
-    pub list_times: Cell<AnswerTime>,
+    pub list_times: Cell<ResponseTime>,
     /// Client of the service that tells which workers may run a step, if there is one.
     pub advice: Option<Advice>,
     /// Settings and orders of operators that are in force.
--- a/crates/havenladder/src/entry/operator_topic.rs
+++ b/crates/havenladder/src/entry/operator_topic.rs
@@ -17,7 +17,7 @@
 use std::{rc::Rc, time::Duration};
 use tokio::{task, time};
 use tracing::info;
-use workspaces::Next;
+use workspaces::FreshnessAction;
 
 /// Time for which a read waits for the next record. A connection that fell silent is detected soon
 /// after this, and a change must be in force within 2 s.
@@ -53,7 +53,7 @@
             backoff.reset();
         } else {
             poll_peers(&node).await;
-            time::sleep(backoff.pause(rand::random())).await;
+            time::sleep(backoff.next_delay(rand::random())).await;
         }
     }
 }
@@ -179,17 +179,18 @@
         let now = Instant::now();
         let refreshed = node.refreshed.notified();
         let next = match requirement {
-            FreshnessRequirement::Newest => node.freshness.get().next(now),
-            FreshnessRequirement::AsOf(received_at) => {
-                node.freshness.get().next_unknown(received_at, now)
-            }
+            FreshnessRequirement::Newest => node.freshness.get().next_action(now),
+            FreshnessRequirement::AsOf(received_at) => node
+                .freshness
+                .get()
+                .next_action_for_unknown(received_at, now),
         };
         match next {
-            Next::Go => return true,
-            Next::Refuse => return false,
-            Next::Look => start_refresh(node),
-            Next::Join => {}
-            Next::Wait(due) => {
+            FreshnessAction::Proceed => return true,
+            FreshnessAction::Refuse => return false,
+            FreshnessAction::Poll => start_refresh(node),
+            FreshnessAction::JoinPoll => {}
+            FreshnessAction::WaitUntil(due) => {
                 timer::sleep_until(due.min(until)).await;
                 if due < until {
                     continue;
@@ -198,7 +199,8 @@
         }
         let ended = now < until && timer::timeout_at(until, refreshed).await.is_ok();
         if !ended {
-            return node.freshness.get().unsure(Instant::now()) != Next::Refuse;
+            return node.freshness.get().action_without_poll(Instant::now())
+                != FreshnessAction::Refuse;
         }
     }
 }
@@ -206,18 +208,18 @@
 /// Starts a refresh, unless one is in progress or was started a moment ago.
 pub fn refresh_soon(node: &Rc<Node>) {
     let now = Instant::now();
-    if node.freshness.get().next_unknown(now, now) == Next::Look {
+    if node.freshness.get().next_action_for_unknown(now, now) == FreshnessAction::Poll {
         start_refresh(node);
     }
 }
 
 /// Starts a refresh of the state of operators. All calls that wait share it.
 fn start_refresh(node: &Rc<Node>) {
-    node.update_freshness(|freshness| freshness.begin_look(Instant::now()));
+    node.update_freshness(|freshness| freshness.begin_poll(Instant::now()));
     let node = Rc::clone(node);
     task::spawn_local(async move {
         let answered = refresh(&node).await;
-        node.update_freshness(|freshness| freshness.end_look(answered));
+        node.update_freshness(|freshness| freshness.end_poll(answered));
         node.refreshed.notify_waiters();
     });
 }
--- a/crates/havenladder/src/entry/outage.rs
+++ b/crates/havenladder/src/entry/outage.rs
@@ -12,7 +12,7 @@
 };
 use adapter::http::Connection;
 use clock::Instant;
-use fleet::{Hearing, is_away, is_turned_away};
+use fleet::{ServiceReport, is_isolated, is_unavailable};
 use std::{rc::Rc, time::Duration};
 use tokio::{task, time};
 use tracing::info;
@@ -52,7 +52,7 @@
 /// Time for which an owner must have owned the cell before it releases it because of an isolation.
 /// By then it has contacted its workers, and the cell does not move from entry to entry while the
 /// store is unavailable for all.
-const MIN_OWNERSHIP_AGE: Duration = fleet::SETTLED;
+const MIN_OWNERSHIP_AGE: Duration = fleet::MIN_OWNERSHIP_AGE;
 
 /// Result of the last round of checks.
 #[derive(Clone, Copy, Debug, Default)]
@@ -116,11 +116,11 @@
         // An entry that does not respond gives no evidence.
         if let Ok((peer, Ok(PeerResponse::Outage { hall, silent }), took)) = request.await {
             let answered = !silent && took <= PROMPT_TIMEOUT;
-            prompt_reports.push(Hearing {
+            prompt_reports.push(ServiceReport {
                 hall: hall.clone(),
                 silent: !answered,
             });
-            reports.push(Hearing { hall, silent });
+            reports.push(ServiceReport { hall, silent });
             relays.extend(answered.then_some(peer));
         }
     }
@@ -128,7 +128,7 @@
     // The store may have answered in the meantime.
     let is_stalled = || owner.is_alive() && owner.is_stalled(began.elapsed());
     if is_settled
-        && is_turned_away(&prompt_reports)
+        && is_isolated(&prompt_reports)
         && !own_probes.await.unwrap_or(true)
         && is_stalled()
     {
@@ -141,7 +141,7 @@
         owner.lease_due.notify_one();
         owner.relays_known.notify_one();
     }
-    if is_away(&owner.node.settings.hall, &reports, peer_count) {
+    if is_unavailable(&owner.node.settings.hall, &reports, peer_count) {
         let last = owner.outage.get();
         if !last.is_confirmed() {
             info!(
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -11,7 +11,7 @@
     },
     suspension, worker_list,
 };
-use ::fleet::Trouble;
+use ::fleet::StoreTrouble;
 use clock::{Instant, timer};
 use jobs::Batch;
 use std::{rc::Rc, time::Duration};
@@ -66,8 +66,8 @@
 /// store outage too.
 fn raise_takeover_barrier(owner: &Owner, took: Duration) {
     let trouble = owner.trouble;
-    if trouble != Trouble::None || took >= SLOW_TAKEOVER_THRESHOLD {
-        let had_outage = trouble != Trouble::Unknown;
+    if trouble != StoreTrouble::None || took >= SLOW_TAKEOVER_THRESHOLD {
+        let had_outage = trouble != StoreTrouble::Unknown;
         owner
             .cell
             .borrow_mut()
--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -100,7 +100,7 @@
             && owner.may_hold()
         {
             outage::start_check(owner);
-            if owner.stall().may_go_on() {
+            if owner.stall().may_start_unrecorded() {
                 owner.unrecorded_start_at.set(Some(Instant::now()));
                 start_unrecorded(owner, starts);
             } else {
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -16,7 +16,7 @@
 use adapter::{operator::Version, settings::Settings, store::Offset, workers::ClockMs};
 use append::SLOW_APPEND_THRESHOLD;
 use clock::Instant;
-use fleet::{MilliCpu, RateLimit, Stall, TROUBLE, Trouble};
+use fleet::{MilliCpu, RateLimit, STORE_TROUBLE_AGE, Stall, StoreTrouble};
 use jobs::{Cell as JobCell, Limits, Order, WorkerId, WorkerName};
 use std::{
     cell::{Cell, RefCell},
@@ -112,7 +112,7 @@
     /// Time for which leases of owners before it may still hold.
     pub waits: Duration,
     /// Whether there was a store outage recently.
-    pub trouble: Trouble,
+    pub trouble: StoreTrouble,
     /// Whether it may have given orders about VMs that it has not recorded.
     pub orders: bool,
 }
@@ -138,7 +138,7 @@
     /// Time until which leases of earlier owners may hold.
     pub inherited_leases_until: Instant,
     /// Whether there was a store outage when this owner started.
-    pub trouble: Trouble,
+    pub trouble: StoreTrouble,
     /// Time at which an order about VMs was last to be given without a record.
     unrecorded_order_at: Cell<Option<Instant>>,
     /// Whether the last renewal announced unrecorded orders about VMs.
@@ -311,8 +311,8 @@
         let recent = self.unrecorded_start_at.get();
         // Unrecorded runs of an earlier owner may continue until its leases have expired.
         let inherited =
-            self.trouble != Trouble::None && Instant::now() < self.inherited_leases_until;
-        inherited || recent.is_some_and(|at| at.elapsed() < TROUBLE)
+            self.trouble != StoreTrouble::None && Instant::now() < self.inherited_leases_until;
+        inherited || recent.is_some_and(|at| at.elapsed() < STORE_TROUBLE_AGE)
     }
 
     /// Notifies the owner that something has changed in the cell and sends the orders that need no
@@ -338,8 +338,8 @@
         Stall {
             since: self.appending.get(),
             announced: self.unrecorded_announced_at.get(),
-            confirmed: self.outage.get().is_confirmed(),
-            certain: self.is_certain(),
+            outage_confirmed: self.outage.get().is_confirmed(),
+            sole_owner: self.is_certain(),
         }
     }
 
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -15,7 +15,7 @@
     operator::Version,
 };
 use clock::Instant;
-use fleet::{MilliCpu, Seeker, Source};
+use fleet::{FollowerInfo, MilliCpu, Source};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Method, Response, StatusCode, body::Incoming};
 use jobs::{Evacuations, JobId, Phase, QueueId, Submission};
@@ -97,7 +97,7 @@
     },
     /// Asks which source the requesting entry should replicate from. Only the owner answers this.
     #[serde(rename = "Place")]
-    Assignment(Seeker),
+    Assignment(FollowerInfo),
     /// Asks for new records. The response is held back until there are some or the maximum hold
     /// time is over.
     #[serde(rename = "Feed")]
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -67,7 +67,7 @@
     if node.cut_off.get() {
         return;
     }
-    let at = node.reach.get().ask_at();
+    let at = node.reach.get().probe_at();
     tokio::select! {
         () = timer::sleep_until(at) => {}
         () = node.reach_due.notified() => {}
@@ -107,7 +107,7 @@
             // A port that refuses the connection shows that the owner's process has ended, not that
             // it is out of reach.
             Err(error) if is_owner && !error.is_refused() => {
-                node.update_reach(|reach| reach.note_silence(Instant::now()));
+                node.update_reach(|reach| reach.on_owner_timeout(Instant::now()));
             }
             Ok(_) | Err(_) => {}
         }
@@ -118,7 +118,7 @@
 /// Removes the entries that did not answer while one of another data centre did. They may be gone
 /// for good, and make room for those that the others know.
 fn remove_missing(node: &Node, missing: &[Address], began: Instant) {
-    if node.reach.get().was_peer_heard(began) {
+    if node.reach.get().has_peer_answered(began) {
         let mut directory = node.directory.borrow_mut();
         directory.retain(|address, _| !missing.contains(address));
     }
@@ -136,11 +136,11 @@
 /// Records that an entry has answered, and the entries that it knows.
 fn record_presence(node: &Node, address: Address, presence: Presence, is_owner: bool) {
     if is_owner {
-        node.update_reach(|reach| reach.note_answer(Instant::now()));
+        node.update_reach(|reach| reach.on_owner_response(Instant::now()));
     }
     let own_hall = &node.settings.hall;
     if presence.hall != *own_hall {
-        node.update_reach(|reach| reach.note_peer(Instant::now()));
+        node.update_reach(|reach| reach.on_peer_response(Instant::now()));
     }
     let reported = presence.known.into_iter().chain([(address, presence.hall)]);
     let mut directory = node.directory.borrow_mut();
--- a/crates/havenladder/src/entry/replication/mod.rs
+++ b/crates/havenladder/src/entry/replication/mod.rs
@@ -14,7 +14,7 @@
 use super::lease_state::Lease;
 use adapter::store::Offset;
 use clock::{Instant, timer};
-use fleet::{Address, Followers, Readers, Seeker};
+use fleet::{Address, FollowerInfo, Followers, Readers};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 use std::{cell::RefCell, time::Duration};
@@ -94,7 +94,7 @@
 pub struct Request {
     /// Description of the follower.
     #[serde(rename = "seeker")]
-    pub follower: Seeker,
+    pub follower: FollowerInfo,
     /// Offset up to which the follower has the records of operators. `None` if it has none.
     pub from: Option<Offset>,
     /// End of the lease's log, as far as the follower knows it.
--- a/crates/havenladder/src/entry/replication_client.rs
+++ b/crates/havenladder/src/entry/replication_client.rs
@@ -9,7 +9,7 @@
 };
 use adapter::store::{Offset, split_keyed};
 use clock::Instant;
-use fleet::{Address, STALE, Seeker, Source};
+use fleet::{Address, FollowerInfo, STALE_AGE, Source};
 use std::{rc::Rc, time::Duration};
 use tokio::time;
 
@@ -32,9 +32,9 @@
 const MAX_HOPS: usize = 16;
 
 /// Returns the description of this entry as a follower.
-fn follower(node: &Node) -> Seeker {
+fn follower(node: &Node) -> FollowerInfo {
     let age = node.replication.recent.borrow().age(Instant::now());
-    Seeker {
+    FollowerInfo {
         address: node.peer_address(),
         hall: node.settings.hall.clone(),
         cpu: node.settings.cpu,
@@ -124,7 +124,7 @@
     let records = update.records.into_iter();
     let records: Vec<_> = records.map(|record| record.into_vec().into()).collect();
     node.update_freshness(|freshness| freshness.confirm(confirmed, confirmed));
-    node.update_reach(|reach| reach.note_store(contacted));
+    node.update_reach(|reach| reach.on_store_response(contacted));
     if let Some((lease, end)) = update.lease {
         set_lease(node, lease, end);
     }
@@ -136,5 +136,5 @@
         None => operator_topic::apply_records(node, from.unwrap_or_default(), &records),
     }
     node.replication.recent.borrow_mut().confirm(confirmed);
-    confirmed.elapsed() <= STALE
+    confirmed.elapsed() <= STALE_AGE
 }
--- a/crates/havenladder/src/entry/replication_server.rs
+++ b/crates/havenladder/src/entry/replication_server.rs
@@ -5,14 +5,14 @@
     replication::{MAX_HOLD, Missing, Request, Response, Update},
 };
 use clock::{Instant, timer};
-use fleet::{Admission, Seeker, Source};
+use fleet::{Admission, FollowerInfo, Source};
 use serde_bytes::ByteBuf;
 use std::time::Duration;
 
 /// Assigns a source to an entry. Only the owner does so.
-pub fn assign(node: &Node, follower: Seeker) -> Source {
+pub fn assign(node: &Node, follower: FollowerInfo) -> Source {
     let mut readers = node.replication.readers.borrow_mut();
-    readers.place(follower, rand::random::<u32>() as usize, Instant::now())
+    readers.assign(follower, rand::random::<u32>() as usize, Instant::now())
 }
 
 /// Responds to a follower once there is an update for it or the maximum hold time is over, or
@@ -27,7 +27,7 @@
             began,
         )
     };
-    if let Admission::At(other) = admission {
+    if let Admission::Redirected(other) = admission {
         return Response::Redirect(other);
     }
     loop {
@@ -73,6 +73,6 @@
         lease: lease.filter(|(_, end)| *end > request.end),
         held,
         age,
-        contact_age: node.reach.get().quiet_for(now),
+        contact_age: node.reach.get().outside_silence(now),
     })
 }
--- a/crates/havenladder/src/entry/resend.rs
+++ b/crates/havenladder/src/entry/resend.rs
@@ -7,7 +7,7 @@
 
 use adapter::http::{CallError, Connection};
 use clock::{Instant, timer};
-use fleet::{AnswerTime, next_wait};
+use fleet::{ResponseTime, next_timeout};
 use std::{
     cell::Cell,
     pin::{Pin, pin},
@@ -44,7 +44,7 @@
 /// Sends an idempotent call until it is answered, all attempts have failed, or the limits are
 /// reached.
 pub async fn until_answered<T, F>(
-    times: &Cell<AnswerTime>,
+    times: &Cell<ResponseTime>,
     timeouts: Timeouts,
     send: impl Fn(Connection) -> F,
 ) -> Answered<T>
@@ -54,7 +54,7 @@
 {
     let Timeouts { hold, limit } = timeouts;
     let deadline = Instant::now() + hold + limit;
-    let mut wait = times.get().first_wait();
+    let mut wait = times.get().initial_timeout();
     let mut calls = 1;
     let mut in_flight = JoinSet::new();
     in_flight.spawn_local(timed(send(Connection::Kept)));
@@ -82,7 +82,7 @@
             None => {
                 calls += 1;
                 in_flight.spawn_local(timed(send(Connection::Fresh)));
-                wait = next_wait(wait);
+                wait = next_timeout(wait);
                 // The wait ends at the deadline, so that the caller still has time to ask others.
                 until_resend = wait.min(deadline.saturating_duration_since(Instant::now()));
             }
@@ -119,10 +119,10 @@
 
 /// Updates the response times from a response. One that came before its hold time was over could
 /// have come at any time, and is left out.
-fn record_time(times: &Cell<AnswerTime>, hold: Duration, took: Duration) {
+fn record_time(times: &Cell<ResponseTime>, hold: Duration, took: Duration) {
     if let Some(took) = took.checked_sub(hold) {
         let mut response_time = times.get();
-        response_time.note(took);
+        response_time.record(took);
         times.set(response_time);
     }
 }
--- a/crates/havenladder/src/entry/suspension.rs
+++ b/crates/havenladder/src/entry/suspension.rs
@@ -25,7 +25,7 @@
 /// calls this several times a second, whenever it reads or renews the lease. It costs two reads of
 /// a clock.
 pub fn check(node: &Node) {
-    if let Some(span) = timer::notice_suspension() {
+    if let Some(span) = timer::detect_suspension() {
         node.metrics.suspended();
         info!(ms = span.as_millis() as u64, "the machine was suspended");
     }
--- a/crates/workspaces/tests/freshness.rs
+++ b/crates/workspaces/tests/freshness.rs
@@ -1,7 +1,7 @@
-//! When an entry makes sure of its configuration before it answers.
+//! When an entry polls for a newer configuration before it handles a call.
 
 use clock::Instant;
-use havenladder_workspaces::{Freshness, Next};
+use havenladder_workspaces::{Freshness, FreshnessAction};
 use std::time::Duration;
 
 fn ms(ms: u64) -> Duration {
@@ -9,98 +9,126 @@
 }
 
 #[test]
-fn an_entry_in_touch_takes_calls_without_a_look() {
+fn a_connected_entry_handles_calls_without_a_poll() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
-    for read in 1..10u64 {
-        let now = start + ms(read * 800);
-        assert_eq!(fresh.next(now), Next::Go);
-        fresh.confirm(now, now);
+    let mut freshness = Freshness::new(start, None);
+    for number in 1..10u64 {
+        let now = start + ms(number * 800);
+        assert_eq!(freshness.next_action(now), FreshnessAction::Proceed);
+        freshness.confirm(now, now);
     }
 }
 
 #[test]
-fn one_that_woke_from_a_freeze_looks_first() {
+fn an_entry_that_resumes_from_a_freeze_polls_first() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
-    let woken = start + ms(4_000);
-    assert_eq!(fresh.next(woken), Next::Look);
-    fresh.begin_look(woken);
-    let other = fresh.next(woken + ms(1));
-    assert_eq!(other, Next::Join, "the others wait for the same look");
-    fresh.end_look(true);
-    fresh.confirm(woken, woken);
-    assert_eq!(fresh.next(woken + ms(6)), Next::Go);
+    let mut freshness = Freshness::new(start, None);
+    let resumed = start + ms(4_000);
+    assert_eq!(freshness.next_action(resumed), FreshnessAction::Poll);
+    freshness.begin_poll(resumed);
+    let other = freshness.next_action(resumed + ms(1));
+    assert_eq!(
+        other,
+        FreshnessAction::JoinPoll,
+        "other calls wait for the same poll"
+    );
+    freshness.end_poll(true);
+    freshness.confirm(resumed, resumed);
+    assert_eq!(
+        freshness.next_action(resumed + ms(6)),
+        FreshnessAction::Proceed
+    );
 }
 
 #[test]
-fn one_that_nobody_answers_goes_on_and_asks_again_now_and_then() {
+fn an_entry_whose_polls_fail_proceeds_and_retries() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
-    let mut looks = 0;
+    let mut freshness = Freshness::new(start, None);
+    let mut polls = 0;
     for now in (2_000..12_000).map(|at| start + ms(at)) {
-        match fresh.next(now) {
-            Next::Look => {
-                looks += 1;
-                fresh.begin_look(now);
-                fresh.end_look(false);
+        match freshness.next_action(now) {
+            FreshnessAction::Poll => {
+                polls += 1;
+                freshness.begin_poll(now);
+                freshness.end_poll(false);
             }
-            next => assert_eq!(next, Next::Go),
+            next => assert_eq!(next, FreshnessAction::Proceed),
         }
     }
-    assert_eq!(looks, 20, "two a second");
+    assert_eq!(polls, 20, "two polls per second");
 }
 
 #[test]
-fn where_revocation_is_strict_one_that_nobody_answers_refuses_in_time() {
+fn with_strict_revocation_an_entry_whose_polls_fail_refuses_in_time() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, Some(ms(5_000)));
-    fresh.begin_look(start + ms(2_000));
-    fresh.end_look(false);
-    assert_eq!(fresh.next(start + ms(2_100)), Next::Go);
-    fresh.begin_look(start + ms(4_900));
-    fresh.end_look(false);
-    assert_eq!(fresh.next(start + ms(5_100)), Next::Refuse);
-    assert_eq!(fresh.unsure(start + ms(5_100)), Next::Refuse);
-    let back = start + ms(6_000);
-    fresh.confirm(back, back);
-    assert_eq!(fresh.next(back + ms(1)), Next::Go);
+    let mut freshness = Freshness::new(start, Some(ms(5_000)));
+    freshness.begin_poll(start + ms(2_000));
+    freshness.end_poll(false);
+    assert_eq!(
+        freshness.next_action(start + ms(2_100)),
+        FreshnessAction::Proceed
+    );
+    freshness.begin_poll(start + ms(4_900));
+    freshness.end_poll(false);
+    assert_eq!(
+        freshness.next_action(start + ms(5_100)),
+        FreshnessAction::Refuse
+    );
+    assert_eq!(
+        freshness.action_without_poll(start + ms(5_100)),
+        FreshnessAction::Refuse
+    );
+    let restored = start + ms(6_000);
+    freshness.confirm(restored, restored);
+    assert_eq!(
+        freshness.next_action(restored + ms(1)),
+        FreshnessAction::Proceed
+    );
 }
 
 #[test]
-fn a_key_that_nobody_knows_is_looked_for_once() {
+fn an_unknown_key_causes_one_poll() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
-    fresh.confirm(start, start);
-    let came = start + ms(5);
-    assert_eq!(fresh.next_unknown(came, came), Next::Look);
-    fresh.begin_look(came);
-    fresh.end_look(true);
-    fresh.confirm(came, came);
-    assert_eq!(fresh.next_unknown(came, came + ms(4)), Next::Go);
+    let mut freshness = Freshness::new(start, None);
+    freshness.confirm(start, start);
+    let received = start + ms(5);
+    assert_eq!(
+        freshness.next_action_for_unknown(received, received),
+        FreshnessAction::Poll
+    );
+    freshness.begin_poll(received);
+    freshness.end_poll(true);
+    freshness.confirm(received, received);
+    assert_eq!(
+        freshness.next_action_for_unknown(received, received + ms(4)),
+        FreshnessAction::Proceed
+    );
 }
 
 #[test]
-fn a_thousand_guessed_keys_a_second_cause_ten_looks() {
+fn a_thousand_guessed_keys_per_second_cause_ten_polls() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
-    let mut looks = 0;
+    let mut freshness = Freshness::new(start, None);
+    let mut polls = 0;
     for now in (0..1_000).map(|at| start + ms(at)) {
-        if fresh.next_unknown(now, now) == Next::Look {
-            looks += 1;
-            fresh.begin_look(now);
-            fresh.end_look(true);
-            fresh.confirm(now, now);
+        if freshness.next_action_for_unknown(now, now) == FreshnessAction::Poll {
+            polls += 1;
+            freshness.begin_poll(now);
+            freshness.end_poll(true);
+            freshness.confirm(now, now);
         }
     }
-    assert_eq!(looks, 10);
+    assert_eq!(polls, 10);
 }
 
 #[test]
-fn a_key_that_nobody_can_be_asked_about_is_refused_by_what_is_known() {
+fn an_unknown_key_is_decided_without_a_poll_if_polls_fail() {
     let start = Instant::now();
-    let mut fresh = Freshness::new(start, None);
-    fresh.begin_look(start);
-    fresh.end_look(false);
-    assert_eq!(fresh.next_unknown(start + ms(50), start + ms(50)), Next::Go);
+    let mut freshness = Freshness::new(start, None);
+    freshness.begin_poll(start);
+    freshness.end_poll(false);
+    assert_eq!(
+        freshness.next_action_for_unknown(start + ms(50), start + ms(50)),
+        FreshnessAction::Proceed
+    );
 }
