--- a/crates/havenladder/src/entry/moves/demands.rs
+++ b/crates/havenladder/src/entry/moves/demands.rs
@@ -146,7 +146,7 @@
     let mut cell = owner.cell.borrow_mut();
     for pool in pools.iter().filter(|pool| !pool.reserve) {
         let vms = pool.vms + idle - pool.idle.len();
-        cell.look_ahead(&pool.pool, vms as u64 * pool.room);
+        cell.update_backlog(&pool.pool, vms as u64 * pool.room);
     }
 }
 
--- a/crates/havenladder/src/entry/owner/answer.rs
+++ b/crates/havenladder/src/entry/owner/answer.rs
@@ -8,7 +8,7 @@
 };
 use adapter::operator::Version;
 use fleet::{MilliCpu, outranks};
-use jobs::{Accepted, Cancelled, Foreseen, JobId, Phase, Submission};
+use jobs::{Accepted, Cancelled, Forecast, JobId, Phase, Submission};
 use std::{rc::Rc, time::Duration};
 use tokio::time;
 use tracing::info;
@@ -150,9 +150,9 @@
         if cell.jobs.contains_key(&given.id) {
             return None;
         }
-        match cell.foresee(given) {
-            Foreseen::Worthwhile => None,
-            Foreseen::Hopeless(ms) => Some(ms),
+        match cell.forecast(given) {
+            Forecast::Worthwhile => None,
+            Forecast::TooLate(ms) => Some(ms),
         }
     }
 
--- a/crates/jobs/src/cell/outlook.rs
+++ b/crates/jobs/src/cell/backlog.rs
@@ -26,7 +26,7 @@
 
 /// What is known of the work that waits for a service: cores times ms, with what was taken in since the last look.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(super) struct Outlook {
+pub(super) struct Backlog {
     /// All of it.
     work: f64,
     /// That of each workspace.
@@ -35,7 +35,7 @@
     cores: f64,
 }
 
-impl Outlook {
+impl Backlog {
     /// Counts the work of a job.
     fn add(&mut self, workspace: Option<&WorkspaceId>, work: f64) {
         self.work += work;
@@ -58,34 +58,34 @@
 
 /// What is foreseen of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Foreseen {
+pub enum Forecast {
     /// It may be done in time, or late, but while somebody waits for it.
     Worthwhile,
     /// It would be done too late, and in so many ms there may be room for it.
-    Hopeless(u64),
+    TooLate(u64),
 }
 
 impl Cell {
     /// Takes in how many thousandths of a core a service's pool can have, and sums up the work that waits for it.
-    pub fn look_ahead(&mut self, service: &str, cpu: u64) {
-        let mut outlook = Outlook {
+    pub fn update_backlog(&mut self, service: &str, cpu: u64) {
+        let mut backlog = Backlog {
             cores: cpu as f64 / 1_000.0,
-            ..Outlook::default()
+            ..Backlog::default()
         };
         for rank in self.waiting.get(service).into_iter().flatten() {
             if let Some((workspace, work)) = self.work_of(rank) {
-                outlook.add(workspace, work);
+                backlog.add(workspace, work);
             }
         }
-        self.outlooks.insert(service.to_owned(), outlook);
+        self.backlogs.insert(service.to_owned(), backlog);
     }
 
     /// Whether a job that is handed in now would be done while somebody waits for it.
-    pub fn foresee(&self, given: &Submission) -> Foreseen {
-        let outlook = self.outlooks.get(&given.service);
-        let known = outlook.filter(|outlook| outlook.cores > 0.0);
-        let Some(outlook) = known.filter(|_| is_timed(given)) else {
-            return Foreseen::Worthwhile;
+    pub fn forecast(&self, given: &Submission) -> Forecast {
+        let backlog = self.backlogs.get(&given.service);
+        let known = backlog.filter(|backlog| backlog.cores > 0.0);
+        let Some(backlog) = known.filter(|_| is_timed(given)) else {
+            return Forecast::Worthwhile;
         };
         let pace = self.pace_of(&given.queue);
         let chain = longest_chain(&given.spec.steps) as f64 * pace;
@@ -96,18 +96,18 @@
         let allowed = limit * (given.stretch * chain + given.slack as f64) - chain;
         let workspace = given.workspace.as_ref();
         let part = workspace.map_or(1.0, |id| self.shares.part(&given.service, id));
-        let wait = outlook.wait(workspace, part);
+        let wait = backlog.wait(workspace, part);
         if wait <= allowed {
-            return Foreseen::Worthwhile;
+            return Forecast::Worthwhile;
         }
-        Foreseen::Hopeless((wait - allowed) as u64)
+        Forecast::TooLate((wait - allowed) as u64)
     }
 
     /// How many thousandths of a core of a service's pool its jobs can fill; none if that is not known.
     pub(super) fn room_of_service(&self, service: &str) -> Option<f64> {
-        let outlook = self.outlooks.get(service);
-        let cores = outlook
-            .map(|outlook| outlook.cores)
+        let backlog = self.backlogs.get(service);
+        let cores = backlog
+            .map(|backlog| backlog.cores)
             .filter(|cores| *cores > 0.0);
         cores.map(|cores| cores * 1_000.0 * FILL)
     }
@@ -115,9 +115,9 @@
     /// Counts a job that is taken in to the work that waits.
     pub(super) fn note_work(&mut self, given: &Submission) {
         let pace = self.pace_of(&given.queue);
-        if let Some(outlook) = self.outlooks.get_mut(&given.service) {
+        if let Some(backlog) = self.backlogs.get_mut(&given.service) {
             let work = work_of_steps(&given.spec.steps) * pace / 1_000.0;
-            outlook.add(given.workspace.as_ref(), work);
+            backlog.add(given.workspace.as_ref(), work);
         }
     }
 
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -1,5 +1,6 @@
 //! The jobs and workers that one owner decides about, and what each event changes.
 
+mod backlog;
 mod carry_over;
 mod crashes;
 mod demand;
@@ -11,18 +12,17 @@
 mod limits;
 mod lives;
 mod margins;
-mod outlook;
 mod queue;
 mod runs;
 mod shares;
 mod takeover;
 mod withdraw;
 
+pub use backlog::Forecast;
 pub use demand::{Demand, Roomless};
 pub use ledger::BoundWait;
 pub(crate) use ledger::charge_of;
 pub use limits::Limits;
-pub use outlook::Foreseen;
 
 use crate::{
     Charge, HallId, Job, JobId, Need, Order, Phase, QueueId, RunId, ServiceId, Submission, TaskId,
@@ -36,11 +36,11 @@
     suspicion::Suspicions,
     worker::{Load, RunKind},
 };
+use backlog::Backlog;
 use clock::Instant;
 use gate::Gate;
 use ledger::Ledger;
 use margins::Margins;
-use outlook::Outlook;
 use shares::Shares;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -97,7 +97,7 @@
     /// What workspaces have handed in at each service.
     shares: Shares,
     /// The work that waits for each service.
-    outlooks: HashMap<ServiceId, Outlook>,
+    backlogs: HashMap<ServiceId, Backlog>,
     /// The jobs of which nothing has been recorded.
     fresh: HashSet<JobId>,
     /// The jobs whose state has changed since the last batch.
--- a/crates/jobs/tests/load/mod.rs
+++ b/crates/jobs/tests/load/mod.rs
@@ -3,7 +3,7 @@
 use crate::fixture::{job, step, worker};
 use clock::Instant;
 use havenladder_jobs::{
-    Accepted, Bound, Cell, EndRow, Foreseen, How, JobId, Limits, Need, Order, Phase, Report, RunId,
+    Accepted, Bound, Cell, EndRow, Forecast, How, JobId, Limits, Need, Order, Phase, Report, RunId,
     RunRow, Submission, TaskId, WorkerId, WorkerInfo, WorkspaceId,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -156,7 +156,7 @@
     fn look_ahead(&mut self) {
         if self.now.is_multiple_of(100) {
             let cpu = self.workers.len() as u64 * 4_000;
-            self.cell.look_ahead(SERVICE, cpu);
+            self.cell.update_backlog(SERVICE, cpu);
         }
     }
 
@@ -184,7 +184,7 @@
         self.next += 1;
         let got = self.got.entry(stream.workspace).or_default();
         got.asked += 1;
-        if self.cell.foresee(&given) != Foreseen::Worthwhile {
+        if self.cell.forecast(&given) != Forecast::Worthwhile {
             got.refused += 1;
             return;
         }
