--- a/crates/havenladder/src/entry/moves/demands.rs
+++ b/crates/havenladder/src/entry/moves/demands.rs
@@ -26,7 +26,7 @@
             let mut pool = PoolDemand {
                 pool: service.name.clone(),
                 reserve: service.reserve,
-                unknown: !asked.begun,
+                unknown: !asked.has_finite_jobs,
                 ..PoolDemand::default()
             };
             let mut there = There::default();
@@ -183,9 +183,9 @@
     pool.waiting = cores(asked.waiting);
     pool.late = cores(asked.late);
     pool.inflow = cores(asked.inflow);
-    pool.ahead = cores(asked.ahead);
-    pool.least = match asked.roomless.workers(there.room) {
-        0 => asked.spread,
-        more => asked.spread.max(there.up + more),
+    pool.ahead = cores(asked.forecast_inflow);
+    pool.least = match asked.unschedulable.workers(there.room) {
+        0 => asked.anti_affinity_workers,
+        more => asked.anti_affinity_workers.max(there.up + more),
     };
 }
--- a/crates/jobs/src/cell/demand.rs
+++ b/crates/jobs/src/cell/demand.rs
@@ -18,31 +18,31 @@
     /// What the jobs that came of late will take, as long as as many come.
     pub inflow: Need,
     /// The same once a VM that is ordered now is there, if what comes goes on growing as it does.
-    pub ahead: Need,
+    pub forecast_inflow: Need,
     /// Whether the service has had a job that ends by itself.
-    pub begun: bool,
+    pub has_finite_jobs: bool,
     /// How many workers the widest step needs whose tasks must be apart, and one more, so that a
     /// task whose worker is lost or taken out finds another.
-    pub spread: usize,
+    pub anti_affinity_workers: usize,
     /// The lasting tasks that found no room.
-    pub roomless: Roomless,
+    pub unschedulable: Unschedulable,
 }
 
 /// Lasting tasks that found no room at the last look, however much room the workers have in sum: what is free
 /// may be too small on each of them, or on workers that have such a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Roomless {
+pub struct Unschedulable {
     /// What they need.
     pub need: Need,
     /// How many workers the most of one step need that must be apart.
-    pub apart: usize,
+    pub anti_affinity_workers: usize,
 }
 
-impl Roomless {
+impl Unschedulable {
     /// How many more workers with this room they need.
     pub fn workers(&self, room: Need) -> usize {
         let filled = self.need.workers_of(self.need.scarcest(room), room);
-        self.apart.max(filled.ceil() as usize)
+        self.anti_affinity_workers.max(filled.ceil() as usize)
     }
 }
 
@@ -72,30 +72,31 @@
             waiting: Need::sum(queue().filter_map(needs)),
             late: Need::sum(late),
             inflow: inflow.now,
-            ahead: inflow.ahead,
-            begun: self.begun.contains(service),
-            spread: self.spread(service),
-            roomless: self.roomless(service),
+            forecast_inflow: inflow.ahead,
+            has_finite_jobs: self.begun.contains(service),
+            anti_affinity_workers: self.anti_affinity_workers(service),
+            unschedulable: self.unschedulable_demand(service),
         }
     }
 
     /// The lasting tasks of a service that found no room at the last look.
-    fn roomless(&self, service: &str) -> Roomless {
-        let mut roomless = Roomless::default();
+    fn unschedulable_demand(&self, service: &str) -> Unschedulable {
+        let mut unschedulable = Unschedulable::default();
         let mut steps: BTreeMap<StepId, u32> = BTreeMap::new();
-        for task in self.roomless.get(service).into_iter().flatten() {
+        for task in self.unschedulable.get(service).into_iter().flatten() {
             let Some(job) = self.jobs.get(&task.job).filter(|job| !job.phase.is_over()) else {
                 continue;
             };
-            roomless.need.add(room_of(job, *task));
+            unschedulable.need.add(room_of(job, *task));
             if let Some(most) = job.step(task.step).apart {
                 let tasks = steps.entry(step_of(*task)).or_default();
                 *tasks += 1;
                 let workers = tasks.div_ceil(most.max(1)) as usize;
-                roomless.apart = roomless.apart.max(workers);
+                unschedulable.anti_affinity_workers =
+                    unschedulable.anti_affinity_workers.max(workers);
             }
         }
-        roomless
+        unschedulable
     }
 
     /// What the jobs that come take, as long as as many come.
@@ -120,7 +121,7 @@
 
     /// How many workers the widest step of a service's live jobs needs whose tasks must be apart, and one
     /// more; 0 if there is no such step.
-    fn spread(&self, service: &str) -> usize {
+    fn anti_affinity_workers(&self, service: &str) -> usize {
         let of_service = |id: &JobId| {
             self.jobs
                 .get(id)
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -19,7 +19,7 @@
 mod withdraw;
 
 pub use backlog::Forecast;
-pub use demand::{Demand, Roomless};
+pub use demand::{Demand, Unschedulable};
 pub use ledger::BoundWait;
 pub(crate) use ledger::charge_of;
 pub use limits::Limits;
@@ -139,7 +139,7 @@
     /// When runs are to be looked at next that may stand still.
     pub(crate) still_due: Option<Instant>,
     /// The lasting tasks of each service that found no room in its last pass.
-    pub(crate) roomless: HashMap<ServiceId, Vec<TaskId>>,
+    pub(crate) unschedulable: HashMap<ServiceId, Vec<TaskId>>,
     /// What tasks need that found no room in this pass of a service.
     pub(crate) misfits: Vec<Need>,
     /// The workers that are kept free, in this pass, for tasks that fit nowhere.
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -37,7 +37,7 @@
 mod workspace;
 
 pub use account::{Account, Charge};
-pub use cell::{Accepted, BoundWait, Cancelled, Cell, Demand, Forecast, Limits, Roomless};
+pub use cell::{Accepted, BoundWait, Cancelled, Cell, Demand, Forecast, Limits, Unschedulable};
 pub use duty::Holder;
 pub use evacuations::{Evacuations, HallOrder};
 pub use explain::Obstacle;
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -56,7 +56,7 @@
         self.near.begin_pass();
         self.misfits.clear();
         self.place_suspects(service, now, log);
-        if let Some(roomless) = self.roomless.get_mut(service) {
+        if let Some(roomless) = self.unschedulable.get_mut(service) {
             roomless.clear();
         }
         let mut misfits = 0;
@@ -122,7 +122,7 @@
         if rank.is_lasting() {
             self.reserve(rank.task(), now);
             if self.wants_room(rank.task()) {
-                let roomless = self.roomless.entry(service.to_owned()).or_default();
+                let roomless = self.unschedulable.entry(service.to_owned()).or_default();
                 roomless.push(rank.task());
             }
         }
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -77,7 +77,7 @@
     assert_eq!(world.run().len(), 5);
     let demand = world.cell.demand("s");
     assert_eq!(demand.waiting, Need::default());
-    assert_eq!(demand.roomless.need, Need::default());
+    assert_eq!(demand.unschedulable.need, Need::default());
 }
 
 #[test]
@@ -89,7 +89,7 @@
     };
     world.cell.accept(job_of(SCHOOL, 1, vec![lasting]));
     assert_eq!(world.run().len(), 2);
-    assert_eq!(world.cell.demand("s").roomless.need, Need::default());
+    assert_eq!(world.cell.demand("s").unschedulable.need, Need::default());
     assert!(world.cell.waiting_lasting().is_empty());
 }
 
--- a/crates/jobs/tests/demand.rs
+++ b/crates/jobs/tests/demand.rs
@@ -46,11 +46,11 @@
     assert_eq!(world.run().len(), 2);
     let demand = world.cell.demand("s");
     // Nine tenths of a worker are free: less than the two have, more than the third needs.
-    assert_eq!(demand.roomless.workers(worker("a1").capacity), 1);
+    assert_eq!(demand.unschedulable.workers(worker("a1").capacity), 1);
     world.join("c1");
     assert_eq!(world.run().len(), 1);
     let demand = world.cell.demand("s");
-    assert_eq!(demand.roomless.workers(worker("a1").capacity), 0);
+    assert_eq!(demand.unschedulable.workers(worker("a1").capacity), 0);
 }
 
 #[test]
@@ -63,7 +63,7 @@
     world.cell.accept(job(1, vec![apart]));
     assert_eq!(world.run().len(), 1);
     let demand = world.cell.demand("s");
-    assert_eq!(demand.roomless.workers(worker("a1").capacity), 3);
+    assert_eq!(demand.unschedulable.workers(worker("a1").capacity), 3);
 }
 
 #[parameterized(
@@ -76,7 +76,7 @@
     world.run();
     let demand = world.cell.demand("s");
     assert_ne!(demand.waiting, Need::default());
-    assert_eq!(demand.roomless.workers(worker("a1").capacity), 0);
+    assert_eq!(demand.unschedulable.workers(worker("a1").capacity), 0);
 }
 
 /// Hands in jobs of eight tasks of one core and one second, one each `gap` ms until `until` ms have passed.
@@ -145,7 +145,7 @@
     grow(&mut world, 10_000, 11_000, 10.0, 340.0);
     let demand = world.cell.demand("s");
     let then = 8_000.0 * (10.0 + 330.0 * 2.6);
-    let foreseen = demand.ahead.cpu as f64 / then;
+    let foreseen = demand.forecast_inflow.cpu as f64 / then;
     assert!((0.5..1.33).contains(&foreseen), "{foreseen} {demand:?}");
     let now = demand.inflow.cpu as f64 / then;
     assert!(now < 0.5, "what comes now is far less: {now}");
@@ -156,10 +156,10 @@
     let mut world = World::new(&["a1"]);
     grow(&mut world, 10_000, 14_000, 100.0, 100.0);
     let demand = world.cell.demand("s");
-    assert_eq!(demand.ahead, demand.inflow);
+    assert_eq!(demand.forecast_inflow, demand.inflow);
     grow(&mut world, 14_000, 16_000, 100.0, 20.0);
     let demand = world.cell.demand("s");
-    assert_eq!(demand.ahead, demand.inflow, "nor while it falls");
+    assert_eq!(demand.forecast_inflow, demand.inflow, "nor while it falls");
 }
 
 #[test]
@@ -169,7 +169,7 @@
     arrive(&mut world, 12_000, 100, 13_000);
     let demand = world.cell.demand("s");
     assert_eq!(
-        demand.ahead, demand.inflow,
+        demand.forecast_inflow, demand.inflow,
         "ten in place of five may be chance"
     );
 }
@@ -184,10 +184,16 @@
     // The next turn, a second on: the growth alone would foresee three times what comes now.
     grow(&mut world, 22_000, 23_600, 10.0, 240.0);
     let demand = world.cell.demand("s");
-    assert!(demand.ahead.cpu > demand.inflow.cpu, "{demand:?}");
-    assert!(demand.ahead.cpu <= first * 5 / 4, "{first} {demand:?}");
+    assert!(demand.forecast_inflow.cpu > demand.inflow.cpu, "{demand:?}");
+    assert!(
+        demand.forecast_inflow.cpu <= first * 5 / 4,
+        "{first} {demand:?}"
+    );
     // One that is higher than all before is foreseen as the first was.
     grow(&mut world, 23_600, 25_000, 240.0, 900.0);
     let demand = world.cell.demand("s");
-    assert!(demand.ahead.cpu > first * 5 / 2, "{first} {demand:?}");
+    assert!(
+        demand.forecast_inflow.cpu > first * 5 / 2,
+        "{first} {demand:?}"
+    );
 }
