--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -68,7 +68,7 @@
         owner
             .cell
             .borrow_mut()
-            .close_gate(owner.inherited, troubled);
+            .raise_takeover_barrier(owner.inherited, troubled);
     }
 }
 
--- a/crates/jobs/src/cell/hosts.rs
+++ b/crates/jobs/src/cell/hosts.rs
@@ -23,7 +23,7 @@
         }
         let mut worker = Worker::new(info);
         worker.emptied = emptied;
-        worker.met = self.gate.listed;
+        worker.met = self.takeover_barrier.listed;
         let orphans = self.orphans.remove(&worker.info.id);
         for Orphan { task, run, charge } in orphans.unwrap_or_default() {
             let Some(job) = self.jobs.get(&task.job) else {
@@ -117,7 +117,7 @@
 
     /// Gives a worker up: its life has ended, or its lease has run out for certain. None if nothing is known of it.
     pub fn lose_worker(&mut self, id: &str, loss: Loss, now: Instant) -> Option<LostWorker> {
-        self.gate.expected.remove(name_of(id));
+        self.takeover_barrier.expected.remove(name_of(id));
         let orphans = self.orphans.remove(id);
         let worker = self.workers.remove(id);
         self.lives.forget(id);
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -6,7 +6,6 @@
 mod demand;
 mod durable;
 mod ends;
-mod gate;
 mod hosts;
 mod ledger;
 mod limits;
@@ -16,6 +15,7 @@
 mod runs;
 mod shares;
 mod takeover;
+mod takeover_barrier;
 mod withdraw;
 
 pub use backlog::Forecast;
@@ -38,11 +38,11 @@
 };
 use backlog::Backlog;
 use clock::Instant;
-use gate::Gate;
 use ledger::Ledger;
 use margins::Margins;
 use shares::Shares;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use takeover_barrier::TakeoverBarrier;
 
 /// What became of a job that was handed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,7 +115,7 @@
     /// Which tasks may have ended workers.
     pub(crate) suspicions: Suspicions,
     /// What keeps the tasks of earlier owners from starting.
-    pub(crate) gate: Gate,
+    pub(crate) takeover_barrier: TakeoverBarrier,
     pub(crate) duty: Duty,
     /// Which workers may run the steps of queues that ask for it.
     pub(crate) permits: HashMap<StepId, Permits>,
--- a/crates/jobs/src/cell/gate.rs
+++ b/crates/jobs/src/cell/takeover_barrier.rs
@@ -6,7 +6,7 @@
 
 /// What has to be known before the tasks that waited under an earlier owner start.
 #[derive(Debug, Default)]
-pub(crate) struct Gate {
+pub(crate) struct TakeoverBarrier {
     /// The jobs before this place in the order of arrival are held.
     order: u64,
     /// When nothing of the earlier owner can run any more.
@@ -24,12 +24,12 @@
     /// the log was away, that owner may have started runs that it could not record. Its leases have
     /// run out at `expires`. If the log was away of late, the list of workers may lack some that live,
     /// and the list of VMs is asked, too.
-    pub fn close_gate(&mut self, expires: Instant, troubled: bool) {
-        self.gate = Gate {
+    pub fn raise_takeover_barrier(&mut self, expires: Instant, troubled: bool) {
+        self.takeover_barrier = TakeoverBarrier {
             order: self.next_order,
             expires: Some(expires),
             wants_vms: troubled,
-            ..Gate::default()
+            ..TakeoverBarrier::default()
         };
         self.charge_unrecorded();
     }
@@ -38,7 +38,7 @@
     /// run unknown.
     pub(crate) fn settle_unrecorded(&mut self, now: Instant) {
         for service in self.unrecorded_services() {
-            if !self.is_gated(0, &service, now) {
+            if !self.is_blocked_by_barrier(0, &service, now) {
                 self.forget_unrecorded(&service);
             }
         }
@@ -46,7 +46,7 @@
 
     /// The list of workers has been read for the first time.
     pub fn mark_listed(&mut self) {
-        self.gate.listed = true;
+        self.takeover_barrier.listed = true;
     }
 
     /// The list of VMs has been read for the first time: these workers run on them.
@@ -55,19 +55,19 @@
         let met = |name: &WorkerName| life(name).is_some_and(|worker| worker.met);
         let unmet = workers.into_iter().filter(|(name, _)| !met(name));
         let expected = unmet.collect();
-        self.gate.expected = expected;
-        self.gate.wants_vms = false;
+        self.takeover_barrier.expected = expected;
+        self.takeover_barrier.wants_vms = false;
     }
 
     /// Whether a task waits for workers to be met.
-    pub(crate) fn is_gated(&self, order: u64, service: &str, now: Instant) -> bool {
-        let gate = &self.gate;
-        if order >= gate.order || gate.expires.is_some_and(|at| now >= at) {
+    pub(crate) fn is_blocked_by_barrier(&self, order: u64, service: &str, now: Instant) -> bool {
+        let barrier = &self.takeover_barrier;
+        if order >= barrier.order || barrier.expires.is_some_and(|at| now >= at) {
             return false;
         }
-        !gate.listed
-            || gate.wants_vms
-            || gate.expected.values().any(|of| of == service)
+        !barrier.listed
+            || barrier.wants_vms
+            || barrier.expected.values().any(|of| of == service)
             || self.workers.of(service).any(|w| !w.met)
     }
 }
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -49,7 +49,7 @@
         host.refused = None;
         host.lapsed.clear();
         host.heard = host.heard.max(Some(asked));
-        self.gate.expected.remove(name_of(worker));
+        self.takeover_barrier.expected.remove(name_of(worker));
         let noted = host.noted;
         self.carry_over(worker, report, now);
         for end in report.ended.iter().filter(|end| end.number > noted) {
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -113,7 +113,7 @@
     pub(crate) fn is_held(&self, service: &str, rank: &Rank, now: Instant, log: Log) -> bool {
         let task = rank.task();
         let lost = log == Log::Away && self.lost.contains(&task);
-        lost || self.is_gated(rank.order(), service, now) || self.has_run(task)
+        lost || self.is_blocked_by_barrier(rank.order(), service, now) || self.has_run(task)
     }
 
     /// Does what brings a task that finds no room nearer to some.
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -223,7 +223,7 @@
     world.log.extend(batch.entries);
     world.take_over();
     let expires = world.now + Duration::from_secs(9);
-    world.cell.close_gate(expires, false);
+    world.cell.raise_takeover_barrier(expires, false);
     set(&mut world, cores(1));
     world.cell.accept(job_of(SCHOOL, 3, vec![step(1)]));
     world.cell.see_worker(worker("a1"), world.now);
--- a/crates/jobs/tests/history/mod.rs
+++ b/crates/jobs/tests/history/mod.rs
@@ -202,7 +202,7 @@
         self.cell = Cell::new(limits);
         self.cell.load(decoded);
         let expires = self.instant() + Duration::from_millis(GRACE + self.lease());
-        self.cell.close_gate(expires, false);
+        self.cell.raise_takeover_barrier(expires, false);
         self.tell_bounds();
         self.leased.clear();
         self.noted.clear();
--- a/crates/jobs/tests/odd_bounds.rs
+++ b/crates/jobs/tests/odd_bounds.rs
@@ -60,7 +60,7 @@
     world.run();
     world.take_over();
     let expires = world.now + Duration::from_secs(9);
-    world.cell.close_gate(expires, false);
+    world.cell.raise_takeover_barrier(expires, false);
     let used = |world: &World| world.cell.account(SCHOOL).unwrap().used();
     assert_eq!(used(&world).cpu, u64::MAX, "all of it may run");
     world.cell.see_worker(worker("a1"), world.now);
--- a/crates/jobs/tests/takeover.rs
+++ b/crates/jobs/tests/takeover.rs
@@ -83,7 +83,7 @@
     assert_eq!(world.run().len(), 8);
     world.take_over();
     let expires = world.now + Duration::from_millis(10_000);
-    world.cell.close_gate(expires, false);
+    world.cell.raise_takeover_barrier(expires, false);
     world.cell.see_worker(worker("a1"), world.now);
     world.cell.see_worker(worker("b1"), world.now);
     world.report("a1", Report::default());
@@ -178,7 +178,7 @@
     assert_eq!(world.run().len(), 8);
     world.take_over();
     let expires = world.now + Duration::from_millis(10_000);
-    world.cell.close_gate(expires, true);
+    world.cell.raise_takeover_barrier(expires, true);
     world.join("a1");
     world.cell.mark_listed();
     assert!(world.run().is_empty(), "the list of VMs has not been read");
