--- a/crates/jobs/src/cell/ledger.rs
+++ b/crates/jobs/src/cell/ledger.rs
@@ -1,6 +1,6 @@
 //! Keeps what workspaces have running within their bounds.
 //!
-//! Tasks that wait for their workspace's bound are parked apart from those that wait for room: they hold nobody else up,
+//! Tasks that wait for their workspace's bound are blocked apart from those that wait for room: they hold nobody else up,
 //! and no VM is ordered for them. They go back in their order as soon as the first of them may start, so that a large
 //! task is not passed by smaller ones of its workspace for ever.
 
@@ -21,7 +21,7 @@
     /// The bounds in force; none before a configuration is known.
     bounds: Option<HashMap<WorkspaceId, Bound>>,
     /// The tasks that wait for their workspace's bound, in the order in which they go on.
-    parked: HashMap<WorkspaceId, BTreeSet<Rank>>,
+    blocked: HashMap<WorkspaceId, BTreeSet<Rank>>,
     /// What an earlier owner may have started without a record, by the service where it would run.
     unrecorded: HashMap<ServiceId, Vec<Charge>>,
     /// The workspaces that have begun or ceased to wait for their bounds since this was last asked.
@@ -55,10 +55,10 @@
         account
     }
 
-    /// Whether anything of a workspace is parked that goes before this.
+    /// Whether anything of a workspace is blocked that goes before this.
     fn has_before(&self, id: &WorkspaceId, rank: &Rank) -> bool {
-        let parked = self.parked.get(id);
-        parked.is_some_and(|ranks| ranks.first().is_some_and(|first| first < rank))
+        let blocked = self.blocked.get(id);
+        blocked.is_some_and(|ranks| ranks.first().is_some_and(|first| first < rank))
     }
 
     /// Notes that a workspace begins or ceases to wait.
@@ -92,8 +92,8 @@
     }
 
     /// How many tasks of a workspace wait for its bound.
-    pub fn parked(&self, workspace: &str) -> usize {
-        self.ledger.parked.get(workspace).map_or(0, BTreeSet::len)
+    pub fn blocked_tasks(&self, workspace: &str) -> usize {
+        self.ledger.blocked.get(workspace).map_or(0, BTreeSet::len)
     }
 
     /// The workspaces that have begun or ceased to wait for their bounds since the last call.
@@ -114,7 +114,7 @@
     /// Whether tasks of a job's workspace wait for its bound.
     pub(super) fn is_at_bound(&self, given: &Submission) -> bool {
         let workspace = given.workspace.as_ref();
-        workspace.is_some_and(|workspace| self.parked(workspace) > 0)
+        workspace.is_some_and(|workspace| self.blocked_tasks(workspace) > 0)
     }
 
     /// Gives a job the account of its workspace.
@@ -185,36 +185,36 @@
     }
 
     /// Takes a task out of those that wait for room, until its workspace's bound allows it.
-    pub(crate) fn park(&mut self, service: &str, rank: &Rank) {
+    pub(crate) fn block_on_bound(&mut self, service: &str, rank: &Rank) {
         let Some((_, account)) = self.account_of(rank.task()) else {
             return;
         };
         let account = Rc::clone(account);
         self.drop_rank(service, rank);
         self.near.forget(rank.task());
-        let parked = self.ledger.parked.entry(account.id.clone()).or_default();
-        let begins = parked.is_empty();
-        parked.insert(*rank);
+        let blocked = self.ledger.blocked.entry(account.id.clone()).or_default();
+        let begins = blocked.is_empty();
+        blocked.insert(*rank);
         if begins {
             self.ledger.note(&account, true);
         }
     }
 
-    /// Lets the parked tasks wait for room again that their workspaces' bounds allow now.
-    pub(crate) fn unpark(&mut self) {
-        let ids: Vec<WorkspaceId> = self.ledger.parked.keys().cloned().collect();
+    /// Lets the blocked tasks wait for room again that their workspaces' bounds allow now.
+    pub(crate) fn unblock_tasks(&mut self) {
+        let ids: Vec<WorkspaceId> = self.ledger.blocked.keys().cloned().collect();
         for id in ids {
-            self.unpark_workspace(&id);
+            self.unblock_workspace(&id);
         }
     }
 
     /// The same for one workspace: as many of its first tasks as may start together.
-    fn unpark_workspace(&mut self, id: &WorkspaceId) {
+    fn unblock_workspace(&mut self, id: &WorkspaceId) {
         let Some(account) = self.ledger.accounts.get(id).cloned() else {
             return;
         };
         let mut promised = account.used();
-        while let Some(rank) = self.first_parked(id) {
+        while let Some(rank) = self.first_blocked(id) {
             let open = self
                 .jobs
                 .get(&rank.task().job)
@@ -233,27 +233,27 @@
                 self.waiting.entry(service).or_default().insert(rank);
             }
             self.ledger
-                .parked
+                .blocked
                 .entry(id.clone())
                 .or_default()
                 .pop_first();
         }
-        self.ledger.parked.remove(id);
+        self.ledger.blocked.remove(id);
         self.ledger.note(&account, false);
     }
 
-    /// The first of a workspace's parked tasks.
-    fn first_parked(&self, id: &WorkspaceId) -> Option<Rank> {
-        self.ledger.parked.get(id)?.first().copied()
+    /// The first of a workspace's blocked tasks.
+    fn first_blocked(&self, id: &WorkspaceId) -> Option<Rank> {
+        self.ledger.blocked.get(id)?.first().copied()
     }
 
-    /// Forgets the parked tasks of a job.
-    pub(super) fn unpark_job(&mut self, id: JobId) {
+    /// Forgets the blocked tasks of a job.
+    pub(super) fn forget_blocked_tasks(&mut self, id: JobId) {
         let Some(account) = self.jobs.get(&id).and_then(|job| job.account.clone()) else {
             return;
         };
-        if let Some(parked) = self.ledger.parked.get_mut(&account.id) {
-            parked.retain(|rank| rank.task().job != id);
+        if let Some(blocked) = self.ledger.blocked.get_mut(&account.id) {
+            blocked.retain(|rank| rank.task().job != id);
         }
     }
 
--- a/crates/jobs/src/cell/withdraw.rs
+++ b/crates/jobs/src/cell/withdraw.rs
@@ -28,7 +28,7 @@
                 host.remove(task, run);
             }
         }
-        self.unpark_job(id);
+        self.forget_blocked_tasks(id);
         self.jobs.remove(&id);
         true
     }
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -42,7 +42,7 @@
     fn schedule_all(&mut self, now: Instant, log: Log) {
         self.duty.forget_old(now);
         self.settle_unrecorded(now);
-        self.unpark();
+        self.unblock_tasks();
         let services: Vec<_> = self.waiting.keys().cloned().collect();
         for service in services {
             self.schedule_service(&service, now, log);
@@ -70,7 +70,7 @@
             after = Some(rank);
             match self.try_rank(service, &rank, now, log) {
                 Placing::Held => {}
-                Placing::Bound => self.park(service, &rank),
+                Placing::Bound => self.block_on_bound(service, &rank),
                 Placing::Done => {
                     self.near.forget(rank.task());
                     self.drop_rank(service, &rank);
--- a/crates/jobs/src/quarantine.rs
+++ b/crates/jobs/src/quarantine.rs
@@ -49,7 +49,7 @@
                 continue;
             }
             if self.waits_for_bound(&rank) {
-                self.park(service, &rank);
+                self.block_on_bound(service, &rank);
                 continue;
             }
             match self.place_in_quarantine(task, now) {
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -57,7 +57,7 @@
     world.cell.accept(job_of(SCHOOL, 1, vec![step(5)]));
     let started = world.run();
     assert_eq!(started.len(), 3);
-    assert_eq!(world.cell.parked(SCHOOL), 2);
+    assert_eq!(world.cell.blocked_tasks(SCHOOL), 2);
     let (id, task, run) = started[0].clone();
     world.end(&id, 1, task, run, How::Done);
     assert_eq!(world.run().len(), 1, "one ended, one starts");
