--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -41,7 +41,7 @@
     fn of(listed: cloud::Vm, owner: &Owner) -> Self {
         let cell = owner.cell.borrow();
         let life = |name: WorkerName| {
-            let current = cell.current_life(&name).cloned();
+            let current = cell.current_incarnation(&name).cloned();
             current.unwrap_or_else(|| WorkerId::new(&name, None))
         };
         Vm {
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -242,7 +242,7 @@
     /// meant for a life of the worker before the one that answers now: such a call may still be under way, and would
     /// start again what has been done or is started elsewhere.
     pub fn fence(&self, worker: &str) -> Fence {
-        let changes = self.cell.borrow().changes_of(worker);
+        let changes = self.cell.borrow().incarnation_changes(worker);
         (self.epoch << LIFE_BITS) + changes.min((1 << LIFE_BITS) - 1)
     }
 
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -105,7 +105,7 @@
 
 /// Gives a life of a worker up, and with it those before it that waited for what it would say of their runs.
 fn give_up_with_former(owner: &Rc<Owner>, id: &WorkerId, loss: Loss) {
-    let former = owner.cell.borrow().former(id);
+    let former = owner.cell.borrow().former_incarnations(id);
     give_up(owner, id, loss);
     for life in former {
         give_up(owner, &life, Loss::Ended);
@@ -135,7 +135,10 @@
 fn take_answer(owner: &Rc<Owner>, id: &WorkerId, answer: &Answer) -> Watch {
     let now = Instant::now();
     let Answer { asked, told } = answer;
-    let hearing = owner.cell.borrow_mut().hear(id, told.born, *asked, now);
+    let hearing = owner
+        .cell
+        .borrow_mut()
+        .record_response(id, told.born, *asked, now);
     match hearing {
         Hearing::Same { began } => {
             if began {
@@ -179,7 +182,7 @@
     ends::log_listed(owner, id, &told.value);
     let mut cell = owner.cell.borrow_mut();
     let vanished = cell.report(id, &told.value, *asked, now);
-    let outlived = cell.outlived(id, *asked);
+    let outlived = cell.outlived_incarnations(id, *asked);
     drop(cell);
     ends::log_vanished(owner, id, &vanished);
     for life in outlived {
@@ -270,7 +273,7 @@
         give_up_runs(owner, id);
     }
     // What was on its way to them may have come here, and has run out as well.
-    let former = owner.cell.borrow().former(id);
+    let former = owner.cell.borrow().former_incarnations(id);
     for life in former {
         give_up(owner, &life, Loss::Ended);
     }
--- a/crates/jobs/src/cell/carry_over.rs
+++ b/crates/jobs/src/cell/carry_over.rs
@@ -14,7 +14,7 @@
     /// the next life. Without this such a run would count as lost with the former life and be started elsewhere, while
     /// it goes on or after it was done.
     pub(crate) fn carry_over(&mut self, worker: &str, report: &Report, now: Instant) {
-        let lives = self.lives.of(name_of(worker));
+        let lives = self.incarnations.of(name_of(worker));
         let others: Vec<WorkerId> = lives.filter(|life| **life != *worker).cloned().collect();
         for other in &others {
             let running = report.running.iter().map(|row| (row.task, row.run));
--- a/crates/jobs/src/cell/hosts.rs
+++ b/crates/jobs/src/cell/hosts.rs
@@ -13,7 +13,7 @@
 impl Cell {
     /// Takes note of what the platform's list says of a life of a worker.
     pub fn see_worker(&mut self, info: WorkerInfo, now: Instant) {
-        self.lives.know(&info.id, Some(now));
+        self.incarnations.know(&info.id, Some(now));
         let emptied = self.is_emptied(&info.hall);
         if let Some(worker) = self.workers.get_mut(&info.id) {
             worker.emptied = emptied;
@@ -59,8 +59,8 @@
     /// A worker's entry is gone from the list: none of its lives gets new runs, and their own answers tell what becomes
     /// of the others. Returns the lives that the cell has.
     pub fn unlist_worker(&mut self, name: &str, now: Instant) -> Vec<WorkerId> {
-        let lives = self.lives_of(name);
-        self.lives.unlist(name);
+        let lives = self.incarnations_of(name);
+        self.incarnations.unlist(name);
         for life in &lives {
             if let Some(worker) = self.workers.get_mut(life)
                 && !worker.info.draining
@@ -77,7 +77,7 @@
 
     /// The workers whose entries are to be looked for in a whole list.
     pub fn listed_names(&self) -> Vec<WorkerName> {
-        self.lives.names().cloned().collect()
+        self.incarnations.names().cloned().collect()
     }
 
     /// A worker's newest entry is none of a worker: it gets no new runs until another one is. True if the one before
@@ -85,7 +85,7 @@
     pub fn distrust_worker(&mut self, name: &str) -> bool {
         let mut changed = false;
         let mut known = false;
-        for life in self.lives_of(name) {
+        for life in self.incarnations_of(name) {
             if let Some(worker) = self.workers.get_mut(&life) {
                 known = true;
                 changed |= !mem::replace(&mut worker.unusable, true);
@@ -120,7 +120,7 @@
         self.takeover_barrier.expected.remove(name_of(id));
         let orphans = self.orphans.remove(id);
         let worker = self.workers.remove(id);
-        self.lives.forget(id);
+        self.incarnations.forget(id);
         if orphans.is_none() && worker.is_none() {
             return None;
         }
--- a/crates/jobs/src/cell/lives.rs
+++ b/crates/jobs/src/cell/incarnations.rs
@@ -7,13 +7,13 @@
     /// Takes in an entry of the list, which may be of any life of its worker. Lives that only entries have named are
     /// forgotten where too many are.
     pub fn list_worker(&mut self, mut info: WorkerInfo, now: Instant) -> Listing {
-        let listing = self.lives.list(info.id.name(), info.id.born());
+        let listing = self.incarnations.list(info.id.name(), info.id.born());
         let Listing::Of(life) = &listing else {
             return listing;
         };
         info.id = life.clone();
         self.see_worker(info, now);
-        for surplus in self.lives.surplus(life.name()) {
+        for surplus in self.incarnations.surplus(life.name()) {
             let worker = self.workers.get(&surplus);
             if surplus != *life && worker.is_some_and(|worker| !worker.is_real()) {
                 self.lose_worker(&surplus, Loss::Lapsed, now);
@@ -24,7 +24,7 @@
 
     /// Takes in which life of a worker has answered at `now` what `meant` was asked at `asked`. A worker that is over
     /// gets no new runs; it is given up once the one in its place has been asked what it runs ([`Cell::outlived`]).
-    pub fn hear(
+    pub fn record_response(
         &mut self,
         meant: &WorkerId,
         born: Option<BornMs>,
@@ -35,7 +35,7 @@
             // It was given up meanwhile.
             return Hearing::Overtaken;
         }
-        let hearing = self.lives.hear(meant, born, asked, now);
+        let hearing = self.incarnations.hear(meant, born, asked, now);
         if let Hearing::Over { next, .. } = &hearing {
             self.mute_worker(meant, now);
             self.succeed(meant, next, now);
@@ -67,29 +67,29 @@
 
     /// The lives of a worker that are over for certain, now that this one has answered a question that was asked at
     /// `asked`: what they ran ended with them, and what was on its way to them is listed, or never comes.
-    pub fn outlived(&self, life: &str, asked: Instant) -> Vec<WorkerId> {
-        self.lives.outlived(life, asked)
+    pub fn outlived_incarnations(&self, life: &str, asked: Instant) -> Vec<WorkerId> {
+        self.incarnations.outlived(life, asked)
     }
 
     /// The lives of a worker that are over since this one has answered, while it may still list what they were to run.
-    pub fn former(&self, life: &str) -> Vec<WorkerId> {
-        self.lives.former(life)
+    pub fn former_incarnations(&self, life: &str) -> Vec<WorkerId> {
+        self.incarnations.former(life)
     }
 
     /// The life of a worker that counts, by the worker's name; none if nothing is known of it.
-    pub fn current_life(&self, name: &str) -> Option<&WorkerId> {
-        self.lives.current(name)
+    pub fn current_incarnation(&self, name: &str) -> Option<&WorkerId> {
+        self.incarnations.current(name)
     }
 
     /// All lives of a worker that may have runs, by the worker's name.
-    pub fn lives_of(&self, name: &str) -> Vec<WorkerId> {
-        self.lives.of(name).cloned().collect()
+    pub fn incarnations_of(&self, name: &str) -> Vec<WorkerId> {
+        self.incarnations.of(name).cloned().collect()
     }
 
     /// How often this owner has found another life of a worker in the place of one. A worker keeps the highest fence
     /// that it has seen and does nothing for a lower one: a fence that rises with this count shuts out what is still
     /// under way to the lives before.
-    pub fn changes_of(&self, life: &str) -> u64 {
-        self.lives.changes(life)
+    pub fn incarnation_changes(&self, life: &str) -> u64 {
+        self.incarnations.changes(life)
     }
 }
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -7,9 +7,9 @@
 mod durable;
 mod ends;
 mod hosts;
+mod incarnations;
 mod ledger;
 mod limits;
-mod lives;
 mod margins;
 mod queue;
 mod runs;
@@ -89,7 +89,7 @@
     /// The rounds that are not due: when, in ms since 1970, of which job, and which round.
     timed: BTreeSet<(u64, JobId, u32)>,
     /// Which lives of each worker are known.
-    lives: LifeTable,
+    incarnations: LifeTable,
     /// The runs that an earlier owner placed on workers that no list has named since.
     orphans: HashMap<WorkerId, Vec<Orphan>>,
     /// What workspaces have running, and the tasks that wait for it to be less.
--- a/crates/jobs/src/cell/takeover_barrier.rs
+++ b/crates/jobs/src/cell/takeover_barrier.rs
@@ -51,7 +51,7 @@
 
     /// The list of VMs has been read for the first time: these workers run on them.
     pub fn expect_workers(&mut self, workers: impl IntoIterator<Item = (WorkerName, ServiceId)>) {
-        let life = |name: &WorkerName| self.workers.get(self.lives.current(name)?);
+        let life = |name: &WorkerName| self.workers.get(self.incarnations.current(name)?);
         let met = |name: &WorkerName| life(name).is_some_and(|worker| worker.met);
         let unmet = workers.into_iter().filter(|(name, _)| !met(name));
         let expected = unmet.collect();
--- a/crates/jobs/tests/history/calls.rs
+++ b/crates/jobs/tests/history/calls.rs
@@ -50,7 +50,7 @@
                 if lapsed && (self.fatal.is_some() || self.restarts.is_some()) {
                     self.cell.mute_worker(&id, asked);
                     self.cell.lapse_worker(&id, asked);
-                    for former in self.cell.former(&id) {
+                    for former in self.cell.former_incarnations(&id) {
                         self.cell.lose_worker(&former, Loss::Ended, asked);
                     }
                 } else if lapsed {
@@ -66,7 +66,7 @@
             let lease = if succeeded { HOLD } else { LEASE };
             host.leased = host.leased.max(now + lease);
             // The first of two questions tells which life answers; only the second tells which ends are durable.
-            match self.cell.hear(&id, born, asked, asked) {
+            match self.cell.record_response(&id, born, asked, asked) {
                 Hearing::Same { began: false } => host.heard = true,
                 Hearing::Same { began: true } => {
                     self.leased.insert(id.clone(), now + HOLD);
@@ -94,7 +94,7 @@
             if !lost {
                 let report = tell(host, now);
                 self.cell.report(&id, &report, asked, asked);
-                for over in self.cell.outlived(&id, asked) {
+                for over in self.cell.outlived_incarnations(&id, asked) {
                     self.cell.lose_worker(&over, Loss::Ended, asked);
                 }
             }
@@ -104,7 +104,7 @@
     /// Gives a life of a worker up, and those before it.
     fn lose(&mut self, id: &WorkerId, loss: Loss) {
         let now = self.instant();
-        let former = self.cell.former(id);
+        let former = self.cell.former_incarnations(id);
         self.cell.lose_worker(id, loss, now);
         for life in former {
             self.cell.lose_worker(&life, Loss::Ended, now);
--- a/crates/jobs/tests/history/mod.rs
+++ b/crates/jobs/tests/history/mod.rs
@@ -227,7 +227,7 @@
 
     /// The fence of calls to a worker.
     fn fence_of(&self, life: &str) -> u64 {
-        (self.fence << 20) + self.cell.changes_of(life)
+        (self.fence << 20) + self.cell.incarnation_changes(life)
     }
 
     fn keep(&mut self, entries: &[Entry]) {
--- a/crates/jobs/tests/lives.rs
+++ b/crates/jobs/tests/lives.rs
@@ -37,7 +37,7 @@
     world.pass(1);
     let asked = world.now;
     world.pass(1);
-    world.cell.hear(meant, born, asked, world.now)
+    world.cell.record_response(meant, born, asked, world.now)
 }
 
 /// A life answers a question that was meant for it. Those that it has outlived are given up; returns them.
@@ -46,7 +46,7 @@
     assert!(matches!(hearing, Hearing::Same { .. }), "{hearing:?}");
     let asked = world.now - Duration::from_millis(1);
     world.cell.report(life, report, asked, world.now);
-    let outlived = world.cell.outlived(life, asked);
+    let outlived = world.cell.outlived_incarnations(life, asked);
     for over in &outlived {
         world.cell.lose_worker(over, Loss::Ended, world.now);
     }
@@ -148,7 +148,7 @@
     );
     let asked = world.now - Duration::from_millis(1);
     assert!(
-        world.cell.outlived(&life(9), asked).is_empty(),
+        world.cell.outlived_incarnations(&life(9), asked).is_empty(),
         "it was asked with a fence that lets calls to the life before pass"
     );
     assert_eq!(answer(&mut world, &life(9), &Report::default()), [life(5)]);
@@ -157,12 +157,12 @@
 #[test]
 fn the_fence_of_calls_rises_with_each_life() {
     let mut world = met(5);
-    assert_eq!(world.cell.changes_of(&life(5)), 0);
+    assert_eq!(world.cell.incarnation_changes(&life(5)), 0);
     ask(&mut world, &life(5), Some(9));
-    assert_eq!(world.cell.changes_of(&life(9)), 1);
+    assert_eq!(world.cell.incarnation_changes(&life(9)), 1);
     answer(&mut world, &life(9), &Report::default());
     ask(&mut world, &life(9), Some(7));
-    assert_eq!(world.cell.changes_of("a1"), 2);
+    assert_eq!(world.cell.incarnation_changes("a1"), 2);
 }
 
 #[test]
@@ -173,7 +173,7 @@
         answer(&mut world, &life(3), &Report::default()),
         [life(1_000)]
     );
-    assert_eq!(world.cell.current_life("a1"), Some(&life(3)));
+    assert_eq!(world.cell.current_incarnation("a1"), Some(&life(3)));
 }
 
 #[test]
@@ -183,9 +183,11 @@
     let early = world.now;
     ask(&mut world, &life(5), Some(9));
     answer(&mut world, &life(9), &Report::default());
-    let late = world.cell.hear(&life(9), Some(5), early, world.now);
+    let late = world
+        .cell
+        .record_response(&life(9), Some(5), early, world.now);
     assert_eq!(late, Hearing::Overtaken);
-    assert_eq!(world.cell.current_life("a1"), Some(&life(9)));
+    assert_eq!(world.cell.current_incarnation("a1"), Some(&life(9)));
 }
 
 #[test]
@@ -203,7 +205,7 @@
     world.cell.accept(job(1, vec![step(1)]));
     world.run();
     assert_eq!(list(&mut world, Some(9)), Listing::Of(life(9)));
-    assert_eq!(world.cell.current_life("a1"), Some(&life(5)));
+    assert_eq!(world.cell.current_incarnation("a1"), Some(&life(5)));
     // Another writer's: the worker goes on to answer.
     assert_eq!(
         ask(&mut world, &life(9), Some(5)),
@@ -234,7 +236,7 @@
     assert_eq!(world.run(), [(id.clone(), task(1, 0, 0), 1)]);
     answer(&mut world, &id, &report(&[], &[(task(1, 0, 0), 1)]));
     assert_eq!(world.cell.jobs[&1].phase, Phase::Succeeded);
-    assert_eq!(world.cell.changes_of(&id), 0);
+    assert_eq!(world.cell.incarnation_changes(&id), 0);
 }
 
 #[test]
@@ -337,7 +339,9 @@
     let (named, unnamed) = (task(1, 0, 0), task(1, 0, 1));
     world.cell.started(&life(5), unnamed, 1, world.now);
     let one = report(&[(named, 1)], &[]);
-    world.cell.hear(&life(5), Some(5), world.now, world.now);
+    world
+        .cell
+        .record_response(&life(5), Some(5), world.now, world.now);
     world.cell.report(
         &life(5),
         &one,
@@ -362,7 +366,7 @@
     for born in 100..200 {
         list(&mut world, Some(born));
     }
-    assert!(world.cell.lives_of("a1").len() <= 4);
+    assert!(world.cell.incarnations_of("a1").len() <= 4);
     assert!(world.cell.workers.get(&life(5)).is_some());
 }
 
