--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -67,7 +67,7 @@
 
 /// Sends a stop until the worker has taken it, or it is not wanted any more.
 async fn stop(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId) {
-    while owner.is_alive() && owner.cell.borrow().wants_stop(worker, task, run) {
+    while owner.is_alive() && owner.cell.borrow().is_stopping(worker, task, run) {
         let Some(info) = find(owner, worker) else {
             return;
         };
@@ -77,7 +77,7 @@
                 owner
                     .cell
                     .borrow_mut()
-                    .stop_answered(worker, task, run, Instant::now());
+                    .stop_accepted(worker, task, run, Instant::now());
                 return;
             }
             Err(WorkerError::Replaced) => {
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -32,7 +32,7 @@
     let confirmed = owner
         .cell
         .borrow_mut()
-        .confirm_start(worker, task, run, Instant::now());
+        .prepare_start(worker, task, run, Instant::now());
     if !confirmed {
         owner.wake();
         return;
@@ -57,7 +57,7 @@
         owner
             .cell
             .borrow_mut()
-            .refused(worker, task, run, Refusal::Unwell, Instant::now());
+            .start_refused(worker, task, run, Refusal::Unwell, Instant::now());
         return owner.wake();
     };
     let fence = owner.fence(worker);
@@ -107,7 +107,7 @@
 fn give_up(owner: &Owner, worker: &str, task: TaskId, run: RunId) {
     let now = Instant::now();
     let mut cell = owner.cell.borrow_mut();
-    cell.refused(worker, task, run, Refusal::Late, now);
+    cell.start_refused(worker, task, run, Refusal::Late, now);
 }
 
 /// Waits for a turn to send a start to a worker; none if the worker is not there any more.
@@ -239,12 +239,12 @@
     match outcome {
         Ok(told) => {
             watch::set_clock(owner, worker, told.clock, now);
-            cell.started(worker, task, run, now);
+            cell.start_accepted(worker, task, run, now);
         }
         // Another life refuses it; it may have taken the first of two calls.
-        Err(WorkerError::Refused(Refusal::Fenced)) if raised => cell.unsure(worker, task, run),
+        Err(WorkerError::Refused(Refusal::Fenced)) if raised => cell.unacked(worker, task, run),
         Err(WorkerError::Refused(Refusal::Fenced)) => owner.end("a worker has seen a newer owner"),
-        Err(WorkerError::Refused(why)) => cell.refused(worker, task, run, why, now),
+        Err(WorkerError::Refused(why)) => cell.start_refused(worker, task, run, why, now),
         Err(WorkerError::Replaced) => {
             drop(cell);
             give_up_worker(owner, worker, Loss::Ended);
@@ -252,10 +252,10 @@
         Err(WorkerError::Call(CallError::Refused | CallError::Unreachable)) => {
             // It gets nothing more until it has answered a question.
             cell.mark_silent(worker, now);
-            cell.refused(worker, task, run, Refusal::Unwell, now);
+            cell.start_refused(worker, task, run, Refusal::Unwell, now);
         }
         Err(WorkerError::Call(CallError::Unanswered) | WorkerError::Odd(_)) => {
-            cell.unsure(worker, task, run);
+            cell.unacked(worker, task, run);
         }
     }
 }
--- a/crates/jobs/src/cell/runs.rs
+++ b/crates/jobs/src/cell/runs.rs
@@ -14,7 +14,7 @@
 
 impl Cell {
     /// Whether a start whose record is durable is still to be sent. One that is not is taken back.
-    pub fn confirm_start(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) -> bool {
+    pub fn prepare_start(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) -> bool {
         if self.is_over_bound(task) {
             self.take_back(task);
         }
@@ -41,7 +41,7 @@
     }
 
     /// The worker has taken a start.
-    pub fn started(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
+    pub fn start_accepted(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
         let Some(state) = self.run_mut(worker, task, run) else {
             return;
         };
@@ -55,7 +55,14 @@
     }
 
     /// The worker has refused a start; nothing runs there because of it.
-    pub fn refused(&mut self, worker: &str, task: TaskId, run: RunId, why: Refusal, now: Instant) {
+    pub fn start_refused(
+        &mut self,
+        worker: &str,
+        task: TaskId,
+        run: RunId,
+        why: Refusal,
+        now: Instant,
+    ) {
         let Some(host) = self.workers.get_mut(worker) else {
             return;
         };
@@ -75,7 +82,7 @@
 
     /// A start has had no answer: the run may be there, or may come later. It is told to stop,
     /// after which the worker refuses it for good.
-    pub fn unsure(&mut self, worker: &str, task: TaskId, run: RunId) {
+    pub fn unacked(&mut self, worker: &str, task: TaskId, run: RunId) {
         self.stop_run(worker, task, run);
     }
 
@@ -104,7 +111,7 @@
     }
 
     /// The worker has taken a stop: once it had its time, a report tells whether the run is gone.
-    pub fn stop_answered(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
+    pub fn stop_accepted(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
         let stop = self.limits.stop;
         if let Some(state) = self.run_mut(worker, task, run) {
             state.settled = Some(now + stop);
@@ -112,7 +119,7 @@
     }
 
     /// Whether a stop is still to be sent.
-    pub fn wants_stop(&self, worker: &str, task: TaskId, run: RunId) -> bool {
+    pub fn is_stopping(&self, worker: &str, task: TaskId, run: RunId) -> bool {
         let state = self
             .workers
             .get(worker)
--- a/crates/jobs/tests/blame.rs
+++ b/crates/jobs/tests/blame.rs
@@ -352,8 +352,8 @@
     let starts = world.cell.take_batch().starts;
     assert_eq!(starts.len(), 1, "it begins in quarantine");
     let now = world.now;
-    assert!(world.cell.confirm_start("b1", task(1, 0, 0), 2, now));
-    world.cell.unsure("b1", task(1, 0, 0), 2);
+    assert!(world.cell.prepare_start("b1", task(1, 0, 0), 2, now));
+    world.cell.unacked("b1", task(1, 0, 0), 2);
     let lost = crash(&mut world, "b1");
     assert!(lost.given_up.is_empty(), "nothing shows that it began");
 }
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -120,7 +120,7 @@
     world.cell.cancel(1);
     world.cell.accept(job_of(SCHOOL, 2, vec![step(1)]));
     assert!(world.run().is_empty(), "the first is being stopped");
-    world.cell.stop_answered(&id, first, run, world.now);
+    world.cell.stop_accepted(&id, first, run, world.now);
     assert!(world.run().is_empty(), "it has its time to end");
     world.pass(1_000);
     let gone = Report::default();
@@ -133,7 +133,7 @@
     let mut world = world(cores(1));
     world.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, task, run) = world.run().remove(0);
-    world.cell.unsure(&id, task, run);
+    world.cell.unacked(&id, task, run);
     world.cell.accept(job_of(SCHOOL, 2, vec![step(1)]));
     assert!(world.run().is_empty());
     assert_eq!(used(&world), 1);
@@ -144,7 +144,9 @@
     let mut world = world(cores(1));
     world.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, task, run) = world.run().remove(0);
-    world.cell.refused(&id, task, run, Refusal::Room, world.now);
+    world
+        .cell
+        .start_refused(&id, task, run, Refusal::Room, world.now);
     assert_eq!(used(&world), 0);
 }
 
@@ -404,7 +406,7 @@
     let mut sent = 0;
     for order in batch.starts {
         if let Order::Start { worker, task, run } = order
-            && world.cell.confirm_start(&worker, task, run, world.now)
+            && world.cell.prepare_start(&worker, task, run, world.now)
         {
             sent += 1;
         }
--- a/crates/jobs/tests/cell.rs
+++ b/crates/jobs/tests/cell.rs
@@ -92,12 +92,12 @@
     let mut world = World::new(&["a1"]);
     world.cell.accept(job(1, vec![step(1)]));
     let (id, first, run) = world.run().remove(0);
-    world.cell.unsure(&id, first, run);
+    world.cell.unacked(&id, first, run);
     assert_eq!(world.stops().len(), 1);
     world.pass(2_000);
     world.report("a1", Report::default());
     assert!(world.run().is_empty(), "the start may still come");
-    world.cell.stop_answered("a1", first, run, world.now);
+    world.cell.stop_accepted("a1", first, run, world.now);
     world.report("a1", Report::default());
     assert!(world.run().is_empty(), "the run may not have ended yet");
     world.pass(500);
@@ -113,7 +113,7 @@
     let batch = world.cell.take_batch();
     assert_eq!(batch.starts.len(), 1);
     world.cell.cancel(1);
-    assert!(!world.cell.confirm_start("a1", task(1, 0, 0), 1, world.now));
+    assert!(!world.cell.prepare_start("a1", task(1, 0, 0), 1, world.now));
     let worker = world.cell.workers.get("a1").unwrap();
     assert!(worker.runs.is_empty());
     assert_eq!(world.cell.cancel(2), Cancelled::Unknown);
@@ -127,7 +127,7 @@
     assert_eq!(started.len(), 4);
     world
         .cell
-        .refused("a1", started[0].1, 1, Refusal::Room, world.now);
+        .start_refused("a1", started[0].1, 1, Refusal::Room, world.now);
     assert!(
         world.run().is_empty(),
         "the worker is set aside for a moment"
@@ -382,7 +382,7 @@
     assert_eq!(world.cell.permit(started[0].1, "b1").unwrap().ticket, "t");
     world
         .cell
-        .refused("b1", started[0].1, 1, Refusal::Ticket, world.now);
+        .start_refused("b1", started[0].1, 1, Refusal::Ticket, world.now);
     world.pass(400);
     assert!(world.run().is_empty(), "it is asked for anew");
     assert!(matches!(
--- a/crates/jobs/tests/crash/mod.rs
+++ b/crates/jobs/tests/crash/mod.rs
@@ -374,7 +374,7 @@
 
     fn start(&mut self, id: &str, task: TaskId, run: RunId) {
         let now = self.instant();
-        if !self.cell.confirm_start(id, task, run, now) {
+        if !self.cell.prepare_start(id, task, run, now) {
             return;
         }
         let crashes = self.crashers.contains(&task.job) && task.index == 0;
@@ -384,7 +384,7 @@
             false => self.rng.random_range(1_500..3_000),
         };
         let Some(host) = self.hosts.get_mut(id) else {
-            return self.cell.unsure(id, task, run);
+            return self.cell.unacked(id, task, run);
         };
         let ends = match (crashes, self.plan.lasting) {
             (true, _) => self.now + self.plan.delay,
@@ -395,7 +395,7 @@
         if crashes {
             *self.outcome.starts.entry(task).or_default() += 1;
         }
-        self.cell.started(id, task, run, now);
+        self.cell.start_accepted(id, task, run, now);
         let quarantine = self
             .cell
             .workers
@@ -413,7 +413,7 @@
             return;
         };
         host.running.remove(&(task, run));
-        self.cell.stop_answered(id, task, run, now);
+        self.cell.stop_accepted(id, task, run, now);
         // The next report shows it gone.
         host.asked = 0;
     }
--- a/crates/jobs/tests/emptied_halls.rs
+++ b/crates/jobs/tests/emptied_halls.rs
@@ -70,7 +70,7 @@
     world.cell.confirm(&batch);
     assert_eq!(batch.starts.len(), 1);
     empty(&mut world, "a");
-    let confirmed = world.cell.confirm_start("a1", task(1, 0, 0), 1, world.now);
+    let confirmed = world.cell.prepare_start("a1", task(1, 0, 0), 1, world.now);
     assert!(!confirmed);
     world.cell.close_worker("b1", false);
     assert_eq!(started(&mut world), ["b1"]);
--- a/crates/jobs/tests/history/calls.rs
+++ b/crates/jobs/tests/history/calls.rs
@@ -115,7 +115,7 @@
         let now = self.instant();
         for order in orders {
             if let Order::Start { worker, task, run } = &order
-                && !self.cell.confirm_start(worker, *task, *run, now)
+                && !self.cell.prepare_start(worker, *task, *run, now)
             {
                 continue;
             }
@@ -149,24 +149,25 @@
         let now = self.instant();
         match (&order, cut, late) {
             (Order::Start { worker, task, run }, true, _) => {
-                self.cell.refused(worker, *task, *run, Refusal::Unwell, now);
+                self.cell
+                    .start_refused(worker, *task, *run, Refusal::Unwell, now);
             }
-            (Order::Start { worker, task, run }, _, true) => self.cell.unsure(worker, *task, *run),
+            (Order::Start { worker, task, run }, _, true) => self.cell.unacked(worker, *task, *run),
             (Order::Start { worker, task, run }, ..) => {
                 match self.carry_out(fence, &order, false) {
-                    Ok(()) => self.cell.started(worker, *task, *run, now),
-                    Err(why) => self.cell.refused(worker, *task, *run, why, now),
+                    Ok(()) => self.cell.start_accepted(worker, *task, *run, now),
+                    Err(why) => self.cell.start_refused(worker, *task, *run, why, now),
                 }
                 let leased = self.leased.entry(worker.clone()).or_default();
                 *leased = (*leased).max(self.now + LEASE);
             }
             (Order::Stop { worker, task, run }, false, false) => {
                 let _ = self.carry_out(fence, &order, false);
-                self.cell.stop_answered(worker, *task, *run, now);
+                self.cell.stop_accepted(worker, *task, *run, now);
             }
             // A stop without an answer is sent again at the next step.
             (Order::Stop { worker, task, run }, ..)
-                if self.cell.wants_stop(worker, *task, *run) =>
+                if self.cell.is_stopping(worker, *task, *run) =>
             {
                 self.late.push(Late {
                     at: self.now + 250,
@@ -198,14 +199,14 @@
             }
             if let Order::Stop { worker, task, run } = &late.order
                 && late.fence >> 20 == self.fence
-                && self.cell.wants_stop(worker, *task, *run)
+                && self.cell.is_stopping(worker, *task, *run)
             {
                 match cut {
                     true => self.late.push(Late {
                         at: self.now + 250,
                         ..late
                     }),
-                    false => self.cell.stop_answered(worker, *task, *run, self.instant()),
+                    false => self.cell.stop_accepted(worker, *task, *run, self.instant()),
                 }
             }
         }
--- a/crates/jobs/tests/lives.rs
+++ b/crates/jobs/tests/lives.rs
@@ -337,7 +337,7 @@
     world.cell.accept(job(1, vec![step(2)]));
     world.run();
     let (named, unnamed) = (task(1, 0, 0), task(1, 0, 1));
-    world.cell.started(&life(5), unnamed, 1, world.now);
+    world.cell.start_accepted(&life(5), unnamed, 1, world.now);
     let one = report(&[(named, 1)], &[]);
     world
         .cell
--- a/crates/jobs/tests/load/mod.rs
+++ b/crates/jobs/tests/load/mod.rs
@@ -237,10 +237,10 @@
             let Order::Start { worker, task, run } = order else {
                 continue;
             };
-            if !self.cell.confirm_start(&worker, task, run, now) {
+            if !self.cell.prepare_start(&worker, task, run, now) {
                 continue;
             }
-            self.cell.started(&worker, task, run, now);
+            self.cell.start_accepted(&worker, task, run, now);
             let ms = self.open.get(&task.job).map_or(0, |(_, _, ms)| *ms);
             let took = (ms as f64 * self.rng.random_range(0.8..1.2)) as u64;
             let ends = self.now + took;
--- a/crates/jobs/tests/rooms.rs
+++ b/crates/jobs/tests/rooms.rs
@@ -57,7 +57,7 @@
     let mut confirmed = 0;
     for order in batch.starts {
         if let Order::Start { worker, task, run } = order {
-            confirmed += usize::from(world.cell.confirm_start(&worker, task, run, now));
+            confirmed += usize::from(world.cell.prepare_start(&worker, task, run, now));
         }
     }
     assert_eq!(confirmed, 3);
--- a/crates/jobs/tests/stops.rs
+++ b/crates/jobs/tests/stops.rs
@@ -29,13 +29,13 @@
 fn a_run_that_goes_on_after_its_stop_is_stopped_again() {
     let (mut world, first, run) = started_late();
     assert_eq!(world.stops(), [("a1".into(), first, run)]);
-    world.cell.stop_answered("a1", first, run, world.now);
+    world.cell.stop_accepted("a1", first, run, world.now);
     world.report("a1", running(first, run));
     assert!(world.stops().is_empty(), "the stop has not had its time");
     world.pass(1_000);
     world.report("a1", running(first, run));
     assert_eq!(world.stops(), [("a1".into(), first, run)]);
-    world.cell.stop_answered("a1", first, run, world.now);
+    world.cell.stop_accepted("a1", first, run, world.now);
     world.pass(1_000);
     world.report("a1", Report::default());
     world.report("a1", running(task(2, 0, 0), 1));
@@ -49,7 +49,7 @@
     world.cell.upsert_worker(worker("a1"), world.now);
     world.report("a1", running(first, run));
     assert_eq!(world.stops(), [("a1".into(), first, run)]);
-    world.cell.stop_answered("a1", first, run, world.now);
+    world.cell.stop_accepted("a1", first, run, world.now);
     world.pass(1_000);
     world.report("a1", running(first, run));
     assert_eq!(world.stops(), [("a1".into(), first, run)]);
--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/world/mod.rs
@@ -109,8 +109,8 @@
             let Order::Start { worker, task, run } = order else {
                 continue;
             };
-            if self.cell.confirm_start(&worker, task, run, self.now) {
-                self.cell.started(&worker, task, run, self.now);
+            if self.cell.prepare_start(&worker, task, run, self.now) {
+                self.cell.start_accepted(&worker, task, run, self.now);
                 started.push((worker, task, run));
             }
         }
