--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -114,8 +114,8 @@
     cell.mark_due(wall_ms());
     cell.stop_still(now);
     cell.schedule_unrecorded(now);
-    let mut known = cell.take_known(starts);
-    known.extend(cell.take_unrecorded());
+    let mut known = cell.extract_durable_starts(starts);
+    known.extend(cell.take_durable_starts());
     drop(cell);
     owner.send_urgent();
     owner.send(known);
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -344,9 +344,9 @@
 /// The limits of a cell's decisions that the platform tells, with the others as they are.
 fn limits(settings: &Settings) -> Limits {
     Limits {
-        stop: settings.stop,
-        hold: longest(settings.hold),
-        far: settings.far,
+        stop_timeout: settings.stop,
+        max_lease: longest(settings.hold),
+        remote_slowdown: settings.far,
         ..Limits::default()
     }
 }
--- a/crates/havenladder/src/entry/upkeep.rs
+++ b/crates/havenladder/src/entry/upkeep.rs
@@ -112,7 +112,7 @@
 async fn advance(owner: &Rc<Owner>, wave: &Wave, course: &mut Course, vms: &VmList) -> bool {
     if course.began.is_none() {
         course.began = Some(Instant::now());
-        course.done = owner.cell.borrow().upkept(wave.number);
+        course.done = owner.cell.borrow().maintained_vms(wave.number);
         say(owner, wave, course, WaveState::Running).await;
     }
     confirm(owner, course, vms);
@@ -358,7 +358,10 @@
     match outcome {
         Some(Ordered::Done) => {
             course.done.insert(vm.name.clone());
-            owner.cell.borrow_mut().note_upkeep(wave.number, &vm.name);
+            owner
+                .cell
+                .borrow_mut()
+                .record_maintenance(wave.number, &vm.name);
             owner.wake();
             if let Some(down) = course.down.get_mut(&vm.name) {
                 down.answered = Some(Instant::now());
--- a/crates/jobs/src/cell/durable.rs
+++ b/crates/jobs/src/cell/durable.rs
@@ -19,14 +19,19 @@
     }
 
     /// The VMs that have had their upkeep in a wave.
-    pub fn upkept(&self, wave: u64) -> BTreeSet<String> {
-        self.upkept.get(&wave).cloned().unwrap_or_default()
+    pub fn maintained_vms(&self, wave: u64) -> BTreeSet<String> {
+        self.maintained_vms.get(&wave).cloned().unwrap_or_default()
     }
 
     /// A VM has had its upkeep in a wave.
-    pub fn note_upkeep(&mut self, wave: u64, vm: &str) {
-        if self.upkept.entry(wave).or_default().insert(vm.to_owned()) {
-            self.upkept_dirty.insert(wave);
+    pub fn record_maintenance(&mut self, wave: u64, vm: &str) {
+        if self
+            .maintained_vms
+            .entry(wave)
+            .or_default()
+            .insert(vm.to_owned())
+        {
+            self.unrecorded_waves.insert(wave);
         }
     }
 
@@ -37,7 +42,7 @@
 
     /// Takes the starts of jobs that are durable themselves, from those that wait for their records:
     /// while the log is away, work goes on with what it holds.
-    pub fn take_known(&self, starts: &mut Vec<Order>) -> Vec<Order> {
+    pub fn extract_durable_starts(&self, starts: &mut Vec<Order>) -> Vec<Order> {
         let known = |order: &mut Order| match order {
             Order::Start { task, .. } => self
                 .jobs
@@ -49,9 +54,9 @@
     }
 
     /// Takes the starts that wait for a batch, where their jobs are durable.
-    pub fn take_unrecorded(&mut self) -> Vec<Order> {
+    pub fn take_durable_starts(&mut self) -> Vec<Order> {
         let mut starts = std::mem::take(&mut self.starts);
-        let known = self.take_known(&mut starts);
+        let known = self.extract_durable_starts(&mut starts);
         self.starts = starts;
         known
     }
@@ -73,8 +78,10 @@
             batch.entries.push(encode_state(job));
             batch.shown.push((id, job.phase));
         }
-        for wave in std::mem::take(&mut self.upkept_dirty) {
-            batch.entries.push(encode_upkept(wave, &self.upkept[&wave]));
+        for wave in std::mem::take(&mut self.unrecorded_waves) {
+            batch
+                .entries
+                .push(encode_upkept(wave, &self.maintained_vms[&wave]));
         }
         if let Some(vms) = self.duty.take_change() {
             batch.entries.push(encode_ordered(&vms));
--- a/crates/jobs/src/cell/hosts.rs
+++ b/crates/jobs/src/cell/hosts.rs
@@ -151,7 +151,7 @@
     /// A run that no report of this life has named is kept for as long as the longest lease that a worker grants: its
     /// start may have come to another life, on whose clock the end of the lease lies far ahead.
     pub fn expire_lease(&mut self, id: &str, now: Instant) -> Option<LostWorker> {
-        let hold = self.limits.hold;
+        let hold = self.limits.max_lease;
         let worker = self.workers.get_mut(id)?;
         let kept = worker.unnamed(now, hold);
         if kept.len() == worker.runs.len() {
--- a/crates/jobs/src/cell/limits.rs
+++ b/crates/jobs/src/cell/limits.rs
@@ -6,34 +6,34 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// How long a worker may take to end a run that it was told to stop.
-    pub stop: Duration,
+    pub stop_timeout: Duration,
     /// How long a run may show no progress before it is tried elsewhere.
-    pub still: Duration,
+    pub stall_timeout: Duration,
     /// The longest lease that a worker grants, whatever it is asked for, on a clock as slow as they may be.
-    pub hold: Duration,
+    pub max_lease: Duration,
     /// How many bad ends in a row set a worker aside.
-    pub failures: u32,
+    pub max_failures: u32,
     /// For how long a worker is set aside.
-    pub aside: Duration,
+    pub suspension: Duration,
     /// How many times as long a task takes on a worker that is not near its data.
-    pub far: f64,
+    pub remote_slowdown: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            stop: Duration::from_millis(400),
+            stop_timeout: Duration::from_millis(400),
             // A run of the longest usual kind, 4 s, on a worker 6 times slower than others, still
             // moves by one hundredth in 250 ms; eight times that leaves room for late reports.
-            still: Duration::from_millis(2_000),
+            stall_timeout: Duration::from_millis(2_000),
             // The platform tells its own figure; without one, leases are as long as they are asked for.
-            hold: Duration::ZERO,
+            max_lease: Duration::ZERO,
             // One run in 500 fails by its own fault: three in a row do so once in 10^8.
-            failures: 3,
+            max_failures: 3,
             // Twice the mean time of a run, so that a worker that is well again is soon back.
-            aside: Duration::from_millis(3_000),
+            suspension: Duration::from_millis(3_000),
             // The platform tells its own figure; this is the lower of the two that it has told.
-            far: 2.0,
+            remote_slowdown: 2.0,
         }
     }
 }
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -137,7 +137,7 @@
     /// The tasks that wait for room near their data.
     pub(crate) near: Near,
     /// When runs are to be looked at next that may stand still.
-    pub(crate) still_due: Option<Instant>,
+    pub(crate) stall_check_due: Option<Instant>,
     /// The lasting tasks of each service that found no room in its last pass.
     pub(crate) unschedulable: HashMap<ServiceId, Vec<TaskId>>,
     /// What tasks need that found no room in this pass of a service.
@@ -145,9 +145,9 @@
     /// The workers that are kept free, in this pass, for tasks that fit nowhere.
     pub(crate) reserved: HashSet<WorkerId>,
     /// The VMs that have had their upkeep, by wave.
-    upkept: BTreeMap<u64, BTreeSet<String>>,
+    maintained_vms: BTreeMap<u64, BTreeSet<String>>,
     /// The waves in which VMs have had their upkeep since the last batch.
-    upkept_dirty: BTreeSet<u64>,
+    unrecorded_waves: BTreeSet<u64>,
 }
 
 impl Cell {
--- a/crates/jobs/src/cell/runs.rs
+++ b/crates/jobs/src/cell/runs.rs
@@ -112,7 +112,7 @@
 
     /// The worker has taken a stop: once it had its time, a report tells whether the run is gone.
     pub fn stop_accepted(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
-        let stop = self.limits.stop;
+        let stop = self.limits.stop_timeout;
         if let Some(state) = self.run_mut(worker, task, run) {
             state.settled = Some(now + stop);
         }
--- a/crates/jobs/src/cell/takeover.rs
+++ b/crates/jobs/src/cell/takeover.rs
@@ -27,7 +27,7 @@
                 }
                 Decoded::Ordered(vms) => self.duty.inherited = vms,
                 Decoded::Upkept(wave, vms) => {
-                    self.upkept.insert(wave, vms);
+                    self.maintained_vms.insert(wave, vms);
                 }
             }
         }
--- a/crates/jobs/src/near.rs
+++ b/crates/jobs/src/near.rs
@@ -61,7 +61,7 @@
         let rack = step.near.clone()?;
         let expected = step.estimate as f64 * self.pace_of(&job.given.queue);
         let work = expected * step.need.cpu as f64;
-        Some((rack, work, expected * (self.limits.far - 1.0)))
+        Some((rack, work, expected * (self.limits.remote_slowdown - 1.0)))
     }
 
     /// In how many ms the rack will have dealt with what it has, as far as is known; none if no worker
@@ -93,6 +93,10 @@
             .near
             .as_ref()
             .is_some_and(|rack| host.is_some_and(|host| !host.info.has_label(rack)));
-        if far { self.limits.far } else { 1.0 }
+        if far {
+            self.limits.remote_slowdown
+        } else {
+            1.0
+        }
     }
 }
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -66,11 +66,11 @@
 
     /// Stops runs that show no progress, so that they are tried elsewhere.
     pub fn stop_still(&mut self, now: Instant) {
-        if self.still_due.is_some_and(|due| now < due) {
+        if self.stall_check_due.is_some_and(|due| now < due) {
             return;
         }
-        self.still_due = Some(now + STILL_GAP);
-        let still = self.limits.still;
+        self.stall_check_due = Some(now + STILL_GAP);
+        let still = self.limits.stall_timeout;
         let mut stuck = Vec::new();
         for worker in self.workers.values() {
             let rows = worker.runs.iter().filter(|(_, state)| {
@@ -140,7 +140,7 @@
             return;
         };
         host.failures += 1;
-        if host.failures < limits.failures {
+        if host.failures < limits.max_failures {
             return;
         }
         let service = host.info.service.clone();
@@ -153,7 +153,7 @@
             return;
         }
         if let Some(host) = self.workers.get_mut(worker) {
-            host.aside = Some(now + limits.aside);
+            host.aside = Some(now + limits.suspension);
             host.failures = 0;
         }
     }
--- a/crates/jobs/tests/history/mod.rs
+++ b/crates/jobs/tests/history/mod.rs
@@ -75,7 +75,7 @@
             start: Instant::now(),
             now: 0,
             cell: Cell::new(Limits {
-                stop: Duration::from_millis(100),
+                stop_timeout: Duration::from_millis(100),
                 ..Limits::default()
             }),
             fence: 1,
@@ -248,7 +248,7 @@
         }
         if self.now < self.away {
             // The log is away: only what it holds goes on.
-            let starts = self.cell.take_unrecorded();
+            let starts = self.cell.take_durable_starts();
             self.send(starts);
         } else if let Some(batch) = self.pending.take() {
             self.keep(&batch.entries);
--- a/crates/jobs/tests/history/restarts.rs
+++ b/crates/jobs/tests/history/restarts.rs
@@ -46,7 +46,7 @@
     pub(super) fn begin_restarts(&mut self, seed: u64) {
         self.restarts = Some(Restarts::new(seed));
         let limits = Limits {
-            hold: Duration::from_millis(HOLD),
+            max_lease: Duration::from_millis(HOLD),
             ..self.cell.limits.clone()
         };
         self.cell = havenladder_jobs::Cell::new(limits);
--- a/crates/jobs/tests/lives.rs
+++ b/crates/jobs/tests/lives.rs
@@ -331,7 +331,7 @@
 fn a_run_that_its_life_never_listed_outlasts_the_lease() {
     let mut world = met(5);
     world.cell.limits = Limits {
-        hold: HOLD,
+        max_lease: HOLD,
         ..Limits::default()
     };
     world.cell.accept(job(1, vec![step(2)]));
--- a/crates/jobs/tests/takeover.rs
+++ b/crates/jobs/tests/takeover.rs
@@ -54,10 +54,10 @@
 #[test]
 fn the_vms_of_a_wave_are_known_to_a_new_owner() {
     let mut world = World::new(&["a1"]);
-    world.cell.note_upkeep(7, "vm-1");
+    world.cell.record_maintenance(7, "vm-1");
     world.run();
     world.take_over();
-    assert!(world.cell.upkept(7).contains("vm-1"));
+    assert!(world.cell.maintained_vms(7).contains("vm-1"));
 }
 
 #[test]
@@ -71,7 +71,7 @@
         world.end(&id, number, task, run, How::Done);
     }
     world.cell.schedule(world.now);
-    let known = world.cell.take_unrecorded();
+    let known = world.cell.take_durable_starts();
     assert_eq!(known.len(), 1, "job 2 is not durable");
     assert_eq!(world.run().len(), 1, "it starts once it is");
 }
@@ -125,7 +125,7 @@
     world.cell.abandon_worker(&lost, Loss::Ended, world.now);
     world.cell.schedule_unrecorded(world.now);
     assert!(
-        world.cell.take_unrecorded().is_empty(),
+        world.cell.take_durable_starts().is_empty(),
         "a newer owner may have met it"
     );
     assert_eq!(
