--- a/crates/havenladder/src/entry/owner/load.rs
+++ b/crates/havenladder/src/entry/owner/load.rs
@@ -29,7 +29,7 @@
             Ok(Some(newest)) => {
                 let records: Vec<_> = newest.records.iter().filter_map(decode).collect();
                 let count = records.len();
-                let odd = owner.cell.borrow_mut().load(records);
+                let odd = owner.cell.borrow_mut().load_records(records);
                 odd.into_iter().take(MOST_ODD).for_each(|job| {
                     warn!(
                         job = format!("{job:016x}"),
--- a/crates/jobs/benches/placement.rs
+++ b/crates/jobs/benches/placement.rs
@@ -142,7 +142,7 @@
                 };
                 let records: Vec<Decoded> = entries.iter().filter_map(decode).collect();
                 let mut next = Cell::new(Limits::default());
-                next.load(records);
+                next.load_records(records);
                 next
             });
         });
--- a/crates/jobs/src/cell/carry_over.rs
+++ b/crates/jobs/src/cell/adopted_runs.rs
@@ -13,20 +13,23 @@
     /// names the worker, not the life, so that one that was on its way when the worker started again may have come to
     /// the next life. Without this such a run would count as lost with the former life and be started elsewhere, while
     /// it goes on or after it was done.
-    pub(crate) fn carry_over(&mut self, worker: &str, report: &Report, now: Instant) {
-        let lives = self.incarnations.of(name_of(worker));
-        let others: Vec<WorkerId> = lives.filter(|life| **life != *worker).cloned().collect();
+    pub(crate) fn adopt_runs(&mut self, worker: &str, report: &Report, now: Instant) {
+        let incarnations = self.incarnations.of(name_of(worker));
+        let others: Vec<WorkerId> = incarnations
+            .filter(|incarnation| **incarnation != *worker)
+            .cloned()
+            .collect();
         for other in &others {
             let running = report.running.iter().map(|row| (row.task, row.run));
             let ended = report.ended.iter().map(|end| (end.task, end.run));
             for (task, run) in running.chain(ended) {
-                self.carry_run(other, worker, task, run, now);
+                self.adopt_run(other, worker, task, run, now);
             }
         }
     }
 
     /// Moves what is known of a run from one life of a worker to another, if the former has it.
-    fn carry_run(&mut self, from: &str, to: &str, task: TaskId, run: RunId, now: Instant) {
+    fn adopt_run(&mut self, from: &str, to: &str, task: TaskId, run: RunId, now: Instant) {
         let Some(state) = self.take_run(from, task, run, now) else {
             return;
         };
@@ -35,13 +38,13 @@
         let Some(worker) = self.workers.get_mut(to) else {
             return;
         };
-        let life = worker.info.id.clone();
+        let incarnation = worker.info.id.clone();
         worker.add(task, run, state);
         if was_current {
             let job = self.jobs.get_mut(&task.job);
             let placed = job.and_then(|job| job.task_mut(task.round, task.step, task.index));
             if let Some(placed) = placed {
-                placed.phase = TaskPhase::Placed(life);
+                placed.phase = TaskPhase::Placed(incarnation);
                 self.mark_dirty(task.job);
             }
         }
@@ -56,9 +59,9 @@
             return worker.remove(task, run);
         }
         let placed = self.orphans.get_mut(from)?;
-        let is_it = |orphan: &Orphan| orphan.task == task && orphan.run == run;
-        let place = placed.iter().position(is_it)?;
-        let Orphan { charge, .. } = placed.swap_remove(place);
+        let is_run = |orphan: &Orphan| orphan.task == task && orphan.run == run;
+        let position = placed.iter().position(is_run)?;
+        let Orphan { charge, .. } = placed.swap_remove(position);
         let load = load_of(self.jobs.get(&task.job)?, task);
         Some(RunState::inherited(load, charge, now))
     }
--- a/crates/jobs/src/cell/backlog.rs
+++ b/crates/jobs/src/cell/backlog.rs
@@ -14,15 +14,15 @@
 /// Up to how many times its objective a job of a workspace is taken in. What is foreseen to be later goes behind what can be
 /// in time as long as more comes than there is room for: of 426 jobs of a workspace that sent eight times its usual, 67 were
 /// taken in for nothing at 2 and 28 at 1.2, where 23 more were in time (tests/overload.rs).
-const WORTH_DOING: f64 = 1.2;
+const MAX_OBJECTIVE_FACTOR: f64 = 1.2;
 
 /// The same where there are no workspaces to be kept from each other: until then, what is late is worth something to its
 /// caller. With 1.2, 0.08 of what 1,100 VMs were asked for on a calm day was refused while the owner was short of processor
 /// time, and none with as much as it wants.
-const WORTH_DOING_ALONE: f64 = 3.0;
+const MAX_OBJECTIVE_FACTOR_WITHOUT_WORKSPACES: f64 = 3.0;
 
 /// The part of a pool's room that its jobs fill while others wait: sizes of tasks leave gaps.
-const FILL: f64 = 0.9;
+const FILL_RATIO: f64 = 0.9;
 
 /// What is known of the work that waits for a service: cores times ms, with what was taken in since the last look.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -30,7 +30,7 @@
     /// All of it.
     work: f64,
     /// That of each workspace.
-    parts: HashMap<WorkspaceId, f64>,
+    workspace_work: HashMap<WorkspaceId, f64>,
     /// How many cores its pool can have.
     cores: f64,
 }
@@ -40,19 +40,19 @@
     fn add(&mut self, workspace: Option<&WorkspaceId>, work: f64) {
         self.work += work;
         let Some(workspace) = workspace else { return };
-        match self.parts.get_mut(workspace) {
-            Some(part) => *part += work,
-            None => drop(self.parts.insert(workspace.clone(), work)),
+        match self.workspace_work.get_mut(workspace) {
+            Some(total) => *total += work,
+            None => drop(self.workspace_work.insert(workspace.clone(), work)),
         }
     }
 
     /// How many ms of the pool's work go before a job: all that waits, or, where that is less, what its workspace has
     /// waiting, by the part of the pool that it has beside the others that are at work.
-    fn wait(&self, workspace: Option<&WorkspaceId>, part: f64) -> f64 {
-        let cores = self.cores * FILL;
+    fn queue_wait_ms(&self, workspace: Option<&WorkspaceId>, share: f64) -> f64 {
+        let cores = self.cores * FILL_RATIO;
         let all = self.work / cores;
-        let own = workspace.map(|id| self.parts.get(id).copied().unwrap_or(0.0));
-        own.map_or(all, |own| all.min(own / (cores * part)))
+        let own = workspace.map(|id| self.workspace_work.get(id).copied().unwrap_or(0.0));
+        own.map_or(all, |own| all.min(own / (cores * share)))
     }
 }
 
@@ -81,43 +81,43 @@
     }
 
     /// Whether a job that is handed in now would be done while somebody waits for it.
-    pub fn forecast(&self, given: &Submission) -> Forecast {
-        let backlog = self.backlogs.get(&given.service);
+    pub fn forecast(&self, submission: &Submission) -> Forecast {
+        let backlog = self.backlogs.get(&submission.service);
         let known = backlog.filter(|backlog| backlog.cores > 0.0);
-        let Some(backlog) = known.filter(|_| is_timed(given)) else {
+        let Some(backlog) = known.filter(|_| has_objective(submission)) else {
             return Forecast::Worthwhile;
         };
-        let pace = self.pace_of(&given.queue);
-        let chain = longest_chain(&given.spec.steps) as f64 * pace;
-        let limit = match given.workspace {
-            Some(_) => WORTH_DOING,
-            None => WORTH_DOING_ALONE,
+        let factor = self.estimate_factor(&submission.queue);
+        let chain = longest_chain(&submission.spec.steps) as f64 * factor;
+        let limit = match submission.workspace {
+            Some(_) => MAX_OBJECTIVE_FACTOR,
+            None => MAX_OBJECTIVE_FACTOR_WITHOUT_WORKSPACES,
         };
-        let allowed = limit * (given.stretch * chain + given.slack as f64) - chain;
-        let workspace = given.workspace.as_ref();
-        let part = workspace.map_or(1.0, |id| self.shares.part(&given.service, id));
-        let wait = backlog.wait(workspace, part);
-        if wait <= allowed {
+        let allowed_ms = limit * (submission.stretch * chain + submission.slack as f64) - chain;
+        let workspace = submission.workspace.as_ref();
+        let share = workspace.map_or(1.0, |id| self.shares.share(&submission.service, id));
+        let wait_ms = backlog.queue_wait_ms(workspace, share);
+        if wait_ms <= allowed_ms {
             return Forecast::Worthwhile;
         }
-        Forecast::TooLate((wait - allowed) as u64)
+        Forecast::TooLate((wait_ms - allowed_ms) as u64)
     }
 
     /// How many thousandths of a core of a service's pool its jobs can fill; none if that is not known.
-    pub(super) fn room_of_service(&self, service: &str) -> Option<f64> {
+    pub(super) fn usable_cpu(&self, service: &str) -> Option<f64> {
         let backlog = self.backlogs.get(service);
         let cores = backlog
             .map(|backlog| backlog.cores)
             .filter(|cores| *cores > 0.0);
-        cores.map(|cores| cores * 1_000.0 * FILL)
+        cores.map(|cores| cores * 1_000.0 * FILL_RATIO)
     }
 
     /// Counts a job that is taken in to the work that waits.
-    pub(super) fn note_work(&mut self, given: &Submission) {
-        let pace = self.pace_of(&given.queue);
-        if let Some(backlog) = self.backlogs.get_mut(&given.service) {
-            let work = work_of_steps(&given.spec.steps) * pace / 1_000.0;
-            backlog.add(given.workspace.as_ref(), work);
+    pub(super) fn add_to_backlog(&mut self, submission: &Submission) {
+        let factor = self.estimate_factor(&submission.queue);
+        if let Some(backlog) = self.backlogs.get_mut(&submission.service) {
+            let work = work_of_steps(&submission.spec.steps) * factor / 1_000.0;
+            backlog.add(submission.workspace.as_ref(), work);
         }
     }
 
@@ -134,21 +134,21 @@
         } else {
             1.0
         };
-        let work = work(step, members, self.pace_of(&job.given.queue));
+        let work = work(step, members, self.estimate_factor(&job.given.queue));
         Some((job.given.workspace.as_ref(), work))
     }
 }
 
 /// The work of so many tasks of a step: cores times ms.
-fn work(step: &Step, tasks: f64, pace: f64) -> f64 {
+fn work(step: &Step, tasks: f64, factor: f64) -> f64 {
     let Need { cpu, .. } = step.need;
     let cpu = if step.fills { 0 } else { cpu };
-    cpu as f64 / 1_000.0 * step.estimate as f64 * pace * tasks
+    cpu as f64 / 1_000.0 * step.estimate as f64 * factor * tasks
 }
 
 /// Whether somebody waits for a job's end: it runs at once and ends by itself, and its queue says what is in time.
-fn is_timed(given: &Submission) -> bool {
-    let guessed = given.spec.steps.iter().all(|step| step.estimate > 0);
-    let ends = !given.spec.lasts() && given.spec.schedule.is_none();
-    ends && guessed && given.stretch > 0.0 && given.slack > 0
+fn has_objective(submission: &Submission) -> bool {
+    let guessed = submission.spec.steps.iter().all(|step| step.estimate > 0);
+    let ends = !submission.spec.lasts() && submission.spec.schedule.is_none();
+    ends && guessed && submission.stretch > 0.0 && submission.slack > 0
 }
--- a/crates/jobs/src/cell/crashes.rs
+++ b/crates/jobs/src/cell/crashes.rs
@@ -8,7 +8,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 /// The same task in all repeats of a job: these run the same work, so that what one has done speaks for all.
-type Work = (JobId, u32, u32);
+type RepeatedTask = (JobId, u32, u32);
 
 impl Cell {
     /// Counts the end of a worker without notice against the runs that may be the cause. Returns the tasks that are
@@ -17,7 +17,7 @@
     /// A worker that has ended lists no ends: without this, four such tasks on 20 workers at half their load were
     /// started up to 38 times in a minute and ended 1,679 runs of others; with it, twice each and 50
     /// (tests/crashes.rs, means of ten plays).
-    pub(super) fn blame_end(
+    pub(super) fn attribute_crash(
         &mut self,
         worker: &str,
         runs: &[LostRun],
@@ -27,33 +27,36 @@
         let ages = suspects.iter().map(|run| run.age);
         self.suspicions.note_ages(ages, now);
         let fresh = suspects.iter().filter(|run| run.bearing.is_fresh()).count();
-        let mut seen: BTreeSet<Work> = BTreeSet::new();
-        let mut blamed = BTreeSet::new();
+        let mut seen: BTreeSet<RepeatedTask> = BTreeSet::new();
+        let mut attributed = BTreeSet::new();
         for run in &suspects {
             let TaskId {
                 job, step, index, ..
             } = run.task;
             let first = seen.insert((job, step, index));
-            if first && self.blame_run(run, fresh == 1) {
-                blamed.insert(run.task);
+            if first && self.attribute_crash_to_run(run, fresh == 1) {
+                attributed.insert(run.task);
             }
         }
-        let repeats: Vec<TaskId> = blamed.iter().flat_map(|task| self.repeats(*task)).collect();
-        let given_up = blamed.iter().copied();
-        let given_up: Vec<TaskId> = given_up
+        let repeats: Vec<TaskId> = attributed
+            .iter()
+            .flat_map(|task| self.repeats(*task))
+            .collect();
+        let failed = attributed.iter().copied();
+        let failed: Vec<TaskId> = failed
             .filter(|task| self.standing(*task, now) == Standing::GivenUp)
             .collect();
         self.suspicions.tasks.extend(repeats);
-        self.suspicions.note_end(worker, blamed, now);
-        for task in &given_up {
+        self.suspicions.note_end(worker, attributed, now);
+        for task in &failed {
             self.suspicions.note_proven(now);
             self.finish(task.job, Phase::Failed);
         }
-        given_up
+        failed
     }
 
     /// Counts the end of a worker against a task, in all repeats of its job; false if it does not count.
-    fn blame_run(&mut self, run: &LostRun, one_fresh: bool) -> bool {
+    fn attribute_crash_to_run(&mut self, run: &LostRun, one_fresh: bool) -> bool {
         let fresh = run.bearing.is_fresh();
         let crash = Crash {
             age: run.age.map(|age| age.as_millis() as u64),
@@ -105,12 +108,12 @@
     }
 
     /// The age that a run of a task must outlive to end its quarantine; none if the task is not in quarantine.
-    pub(crate) fn quarantine_bar(&self, task: TaskId, now: Instant) -> Option<Duration> {
+    pub(crate) fn quarantine_threshold(&self, task: TaskId, now: Instant) -> Option<Duration> {
         if !self.suspicions.tasks.contains(&task) {
             return None;
         }
         match self.standing(task, now) {
-            Standing::Quarantined(bar) => Some(bar),
+            Standing::Quarantined(threshold) => Some(threshold),
             // An earlier owner, who knew of accidents that this one does not know of, has not given it up.
             Standing::GivenUp => Some(self.crash_history(task)?.bar()),
             Standing::Clear => None,
@@ -118,7 +121,7 @@
     }
 
     /// Clears the tasks whose runs on a worker have outlived what they were under suspicion for.
-    pub(crate) fn clear_proven(&mut self, worker: &str, now: Instant) {
+    pub(crate) fn clear_outlived_suspects(&mut self, worker: &str, now: Instant) {
         let Some(host) = self.workers.get_mut(worker) else {
             return;
         };
@@ -134,15 +137,15 @@
             .iter()
             .map(|((task, _), state)| (*task, host.lived(state)));
         let proven: Vec<(TaskId, Duration)> = lived
-            .filter(|(task, lived)| self.has_outlived(*task, *lived))
+            .filter(|(task, lived)| self.outlives_suspicion(*task, *lived))
             .collect();
         for (task, lived) in proven {
-            self.clear(task, lived, now);
+            self.clear_suspicion(task, lived, now);
         }
     }
 
     /// Whether a task is under suspicion and a run that has been at work for so long speaks for it.
-    fn has_outlived(&self, task: TaskId, lived: Duration) -> bool {
+    fn outlives_suspicion(&self, task: TaskId, lived: Duration) -> bool {
         if !self.suspicions.tasks.contains(&task) {
             return false;
         }
@@ -151,7 +154,7 @@
     }
 
     /// Clears a task that has been at work for so long, in all repeats of its job.
-    pub(crate) fn clear(&mut self, task: TaskId, lived: Duration, now: Instant) {
+    pub(crate) fn clear_suspicion(&mut self, task: TaskId, lived: Duration, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
--- a/crates/jobs/src/cell/demand.rs
+++ b/crates/jobs/src/cell/demand.rs
@@ -1,7 +1,7 @@
 //! How much room the jobs of a service ask for: what runs, what waits, and what comes.
 
 use crate::{
-    Cell, Job, JobId, Need, Step, StepId, Submission, arrivals::Inflow, cell::room_of,
+    Cell, Job, JobId, Need, Step, StepId, Submission, arrivals::Inflow, cell::need_of,
     permit::step_of, rank::Rank,
 };
 use std::collections::BTreeMap;
@@ -40,8 +40,8 @@
 
 impl Unschedulable {
     /// How many more workers with this room they need.
-    pub fn workers(&self, room: Need) -> usize {
-        let filled = self.need.workers_of(self.need.scarcest(room), room);
+    pub fn workers(&self, capacity: Need) -> usize {
+        let filled = self.need.workers_of(self.need.scarcest(capacity), capacity);
         self.anti_affinity_workers.max(filled.ceil() as usize)
     }
 }
@@ -62,7 +62,7 @@
             } else {
                 1.0
             };
-            Some(room_of(job, task).times(members))
+            Some(need_of(job, task).times(members))
         };
         let queue = || self.waiting.get(service).into_iter().flatten();
         let late = queue().filter(|rank| rank.is_late()).filter_map(needs);
@@ -73,7 +73,7 @@
             late: Need::sum(late),
             inflow: inflow.now,
             forecast_inflow: inflow.ahead,
-            has_finite_jobs: self.begun.contains(service),
+            has_finite_jobs: self.finite_services.contains(service),
             anti_affinity_workers: self.anti_affinity_workers(service),
             unschedulable: self.unschedulable_demand(service),
         }
@@ -87,11 +87,11 @@
             let Some(job) = self.jobs.get(&task.job).filter(|job| !job.phase.is_over()) else {
                 continue;
             };
-            unschedulable.need.add(room_of(job, *task));
-            if let Some(most) = job.step(task.step).apart {
+            unschedulable.need.add(need_of(job, *task));
+            if let Some(max_per_worker) = job.step(task.step).apart {
                 let tasks = steps.entry(step_of(*task)).or_default();
                 *tasks += 1;
-                let workers = tasks.div_ceil(most.max(1)) as usize;
+                let workers = tasks.div_ceil(max_per_worker.max(1)) as usize;
                 unschedulable.anti_affinity_workers =
                     unschedulable.anti_affinity_workers.max(workers);
             }
@@ -101,22 +101,22 @@
 
     /// What the jobs that come take, as long as as many come.
     fn inflow(&self, service: &str) -> Inflow {
-        let came = self.came.get(service);
-        came.map_or(Inflow::default(), |came| came.inflow(self.wall))
+        let arrivals = self.arrivals.get(service);
+        arrivals.map_or(Inflow::default(), |arrivals| arrivals.inflow(self.wall_ms))
     }
 
     /// Notes the work of a job: what it needs, times seconds.
-    pub(super) fn note_inflow(&mut self, given: &Submission) {
-        let pace = self.pace_of(&given.queue);
-        let finite = given.spec.steps.iter().filter(|step| !step.lasting);
+    pub(super) fn record_inflow(&mut self, submission: &Submission) {
+        let factor = self.estimate_factor(&submission.queue);
+        let finite = submission.spec.steps.iter().filter(|step| !step.lasting);
         let work = |step: &Step| {
             let cpu = if step.fills { 0 } else { step.need.cpu };
-            let seconds = step.estimate as f64 * pace / 1_000.0;
+            let seconds = step.estimate as f64 * factor / 1_000.0;
             Need { cpu, ..step.need }.times(f64::from(step.count) * seconds)
         };
         let work = Need::sum(finite.map(work));
-        let came = self.came.entry(given.service.clone()).or_default();
-        came.note(self.wall, work);
+        let arrivals = self.arrivals.entry(submission.service.clone()).or_default();
+        arrivals.note(self.wall_ms, work);
     }
 
     /// How many workers the widest step of a service's live jobs needs whose tasks must be apart, and one
@@ -127,20 +127,24 @@
                 .get(id)
                 .is_some_and(|job| job.given.service == service)
         };
-        let spreads = self.spreads.iter().filter(|(id, _)| of_service(id));
-        let widest = spreads.map(|(_, spread)| *spread).max();
+        let of_jobs = self
+            .anti_affinity_jobs
+            .iter()
+            .filter(|(id, _)| of_service(id));
+        let widest = of_jobs.map(|(_, workers)| *workers).max();
         widest.map_or(0, |widest| widest + 1)
     }
 
     /// Notes what a job asks for whose tasks must be apart.
-    pub(super) fn note_spread(&mut self, id: JobId) {
-        let spread = self.jobs.get(&id).and_then(widest_spread);
-        self.spreads.extend(spread.map(|spread| (id, spread)));
+    pub(super) fn record_anti_affinity(&mut self, id: JobId) {
+        let workers = self.jobs.get(&id).and_then(widest_anti_affinity);
+        self.anti_affinity_jobs
+            .extend(workers.map(|workers| (id, workers)));
     }
 }
 
 /// How many workers the widest step of a job needs whose tasks must be apart; none if it has no such step.
-fn widest_spread(job: &Job) -> Option<usize> {
+fn widest_anti_affinity(job: &Job) -> Option<usize> {
     let steps = job.given.spec.steps.iter();
     let apart = steps.filter_map(|step| Some(step.count.div_ceil(step.apart?)));
     apart.max().map(|widest| widest as usize)
--- a/crates/jobs/src/cell/durable.rs
+++ b/crates/jobs/src/cell/durable.rs
@@ -14,8 +14,8 @@
 
     /// The ends of a worker up to this number have been taken in: once the next batch is durable, the
     /// worker may forget them.
-    pub(crate) fn note(&mut self, worker: &str, number: u64) {
-        self.noted.insert(worker.into(), number);
+    pub(crate) fn acknowledge_ends(&mut self, worker: &str, number: u64) {
+        self.acknowledged.insert(worker.into(), number);
     }
 
     /// The VMs that have had their upkeep in a wave.
@@ -43,22 +43,22 @@
     /// Takes the starts of jobs that are durable themselves, from those that wait for their records:
     /// while the log is away, work goes on with what it holds.
     pub fn extract_durable_starts(&self, starts: &mut Vec<Order>) -> Vec<Order> {
-        let known = |order: &mut Order| match order {
+        let is_durable = |order: &mut Order| match order {
             Order::Start { task, .. } => self
                 .jobs
                 .get(&task.job)
                 .is_some_and(|job| job.shown.is_some()),
             Order::Stop { .. } | Order::Pace { .. } | Order::Ask { .. } => true,
         };
-        starts.extract_if(.., known).collect()
+        starts.extract_if(.., is_durable).collect()
     }
 
     /// Takes the starts that wait for a batch, where their jobs are durable.
     pub fn take_durable_starts(&mut self) -> Vec<Order> {
         let mut starts = std::mem::take(&mut self.starts);
-        let known = self.extract_durable_starts(&mut starts);
+        let durable = self.extract_durable_starts(&mut starts);
         self.starts = starts;
-        known
+        durable
     }
 
     /// Takes the records and starts that have come up since the last batch.
@@ -69,10 +69,10 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let fresh = self.fresh.remove(&id);
-            if fresh && !job.phase.is_over() {
+            let is_new = self.new_jobs.remove(&id);
+            if is_new && !job.phase.is_over() {
                 batch.entries.push(encode_given(job));
-            } else if !fresh && job.phase.is_over() {
+            } else if !is_new && job.phase.is_over() {
                 batch.entries.push(forget_given(id));
             }
             batch.entries.push(encode_state(job));
@@ -83,18 +83,18 @@
                 .entries
                 .push(encode_upkept(wave, &self.maintained_vms[&wave]));
         }
-        if let Some(vms) = self.duty.take_change() {
+        if let Some(vms) = self.vm_orders.take_change() {
             batch.entries.push(encode_ordered(&vms));
         }
-        batch.ordered = self.duty.taken;
+        batch.ordered = self.vm_orders.taken;
         batch.starts = std::mem::take(&mut self.starts);
-        batch.noted = std::mem::take(&mut self.noted).into_iter().collect();
+        batch.noted = std::mem::take(&mut self.acknowledged).into_iter().collect();
         batch
     }
 
     /// The records of a batch are durable: what they say may be shown.
     pub fn confirm(&mut self, batch: &Batch) {
-        self.duty.durable = self.duty.durable.max(batch.ordered);
+        self.vm_orders.durable = self.vm_orders.durable.max(batch.ordered);
         for (id, phase) in &batch.shown {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.shown = Some(*phase);
--- a/crates/jobs/src/cell/ends.rs
+++ b/crates/jobs/src/cell/ends.rs
@@ -13,10 +13,10 @@
         how: How,
         saved: &str,
     ) {
-        self.note_begun(task.job);
+        self.mark_begun(task.job);
         let current = self.is_current(worker, task, run);
         let progress = if current { saved } else { "" };
-        let Some(step) = self.note_end(task, run, progress) else {
+        let Some(step) = self.record_end(task, run, progress) else {
             return;
         };
         let (gang, lasting) = (step.gang, step.lasting);
@@ -35,7 +35,7 @@
 
     /// Notes the number and the saved progress of a run that has ended. The step that it belongs to,
     /// unless its job is over or has no such task.
-    fn note_end(&mut self, task: TaskId, run: RunId, saved: &str) -> Option<&Step> {
+    fn record_end(&mut self, task: TaskId, run: RunId, saved: &str) -> Option<&Step> {
         let job = self.jobs.get_mut(&task.job)?;
         if job.phase.is_over() {
             return None;
@@ -77,13 +77,13 @@
         } else {
             task.index..task.index + 1
         };
-        let Closed {
-            count: closed,
+        let CompletedTasks {
+            count: completed,
             placed,
-        } = close_tasks(job, task, members);
+        } = complete_tasks(job, task, members);
         let round = &mut job.rounds[task.round as usize];
         let open = &mut round.open[task.step as usize];
-        *open = open.saturating_sub(closed);
+        *open = open.saturating_sub(completed);
         let ended = *open == 0;
         let over = job.rounds.iter().all(Round::is_done);
         if !gang {
@@ -93,7 +93,7 @@
                 .for_each(|(on, task, run)| self.stop_run(on, *task, *run));
         }
         if over {
-            self.learn_margin(task.job);
+            self.learn_slack(task.job);
             self.finish(task.job, Phase::Succeeded);
         } else if ended {
             self.enqueue_round(task.job, task.round);
@@ -108,9 +108,9 @@
         job.phase = phase;
         job.rounds = Vec::new();
         let service = job.given.service.clone();
-        self.running.remove(&id);
+        self.begun_jobs.remove(&id);
         self.dirty.insert(id);
-        self.forget_wishes(id);
+        self.clear_job_requests(id);
         let runs: Vec<(WorkerId, TaskId, RunId)> = self.runs_of(id, &service);
         for (worker, task, run) in runs {
             self.stop_run(&worker, task, run);
@@ -118,11 +118,11 @@
     }
 
     /// Forgets what a job asked for that is over or gone: room apart, permits, and times that have not come.
-    pub(super) fn forget_wishes(&mut self, id: JobId) {
-        self.spreads.remove(&id);
+    pub(super) fn clear_job_requests(&mut self, id: JobId) {
+        self.anti_affinity_jobs.remove(&id);
         self.suspicions.drop_job(id);
         self.permits.retain(|(job, ..), _| *job != id);
-        self.timed.retain(|(_, job, _)| *job != id);
+        self.round_timers.retain(|(_, job, _)| *job != id);
     }
 
     /// All runs of a job that workers of its service have, or may have.
@@ -150,7 +150,7 @@
 }
 
 /// The tasks of a step that have just been marked as done.
-struct Closed {
+struct CompletedTasks {
     /// How many were not done before.
     count: u32,
     /// The runs that they were placed with.
@@ -158,8 +158,8 @@
 }
 
 /// Marks tasks of the step of `task` as done.
-fn close_tasks(job: &mut Job, task: TaskId, members: Range<u32>) -> Closed {
-    let mut closed = Closed {
+fn complete_tasks(job: &mut Job, task: TaskId, members: Range<u32>) -> CompletedTasks {
+    let mut completed = CompletedTasks {
         count: 0,
         placed: Vec::new(),
     };
@@ -171,11 +171,11 @@
             TaskPhase::Done => continue,
             TaskPhase::Placed(on) => {
                 let task = TaskId { index, ..task };
-                closed.placed.push((on, task, state.run));
+                completed.placed.push((on, task, state.run));
             }
             TaskPhase::Waiting => {}
         }
-        closed.count += 1;
+        completed.count += 1;
     }
-    closed
+    completed
 }
--- a/crates/jobs/src/cell/incarnations.rs
+++ b/crates/jobs/src/cell/incarnations.rs
@@ -8,14 +8,14 @@
     /// forgotten where too many are.
     pub fn list_worker(&mut self, mut info: WorkerInfo, now: Instant) -> Listing {
         let listing = self.incarnations.list(info.id.name(), info.id.born());
-        let Listing::Of(life) = &listing else {
+        let Listing::Of(incarnation) = &listing else {
             return listing;
         };
-        info.id = life.clone();
+        info.id = incarnation.clone();
         self.upsert_worker(info, now);
-        for surplus in self.incarnations.surplus(life.name()) {
+        for surplus in self.incarnations.surplus(incarnation.name()) {
             let worker = self.workers.get(&surplus);
-            if surplus != *life && worker.is_some_and(|worker| !worker.is_real()) {
+            if surplus != *incarnation && worker.is_some_and(|worker| !worker.is_real()) {
                 self.abandon_worker(&surplus, Loss::Lapsed, now);
             }
         }
@@ -67,13 +67,13 @@
 
     /// The lives of a worker that are over for certain, now that this one has answered a question that was asked at
     /// `asked`: what they ran ended with them, and what was on its way to them is listed, or never comes.
-    pub fn outlived_incarnations(&self, life: &str, asked: Instant) -> Vec<WorkerId> {
-        self.incarnations.outlived(life, asked)
+    pub fn outlived_incarnations(&self, incarnation: &str, asked: Instant) -> Vec<WorkerId> {
+        self.incarnations.outlived(incarnation, asked)
     }
 
     /// The lives of a worker that are over since this one has answered, while it may still list what they were to run.
-    pub fn former_incarnations(&self, life: &str) -> Vec<WorkerId> {
-        self.incarnations.former(life)
+    pub fn former_incarnations(&self, incarnation: &str) -> Vec<WorkerId> {
+        self.incarnations.former(incarnation)
     }
 
     /// The life of a worker that counts, by the worker's name; none if nothing is known of it.
@@ -89,7 +89,7 @@
     /// How often this owner has found another life of a worker in the place of one. A worker keeps the highest fence
     /// that it has seen and does nothing for a lower one: a fence that rises with this count shuts out what is still
     /// under way to the lives before.
-    pub fn incarnation_changes(&self, life: &str) -> u64 {
-        self.incarnations.changes(life)
+    pub fn incarnation_changes(&self, incarnation: &str) -> u64 {
+        self.incarnations.changes(incarnation)
     }
 }
--- a/crates/jobs/src/cell/ledger.rs
+++ b/crates/jobs/src/cell/ledger.rs
@@ -56,13 +56,13 @@
     }
 
     /// Whether anything of a workspace is blocked that goes before this.
-    fn has_before(&self, id: &WorkspaceId, rank: &Rank) -> bool {
+    fn has_earlier_blocked(&self, id: &WorkspaceId, rank: &Rank) -> bool {
         let blocked = self.blocked.get(id);
         blocked.is_some_and(|ranks| ranks.first().is_some_and(|first| first < rank))
     }
 
     /// Notes that a workspace begins or ceases to wait.
-    fn note(&mut self, account: &Account, waits: bool) {
+    fn record_change(&mut self, account: &Account, waits: bool) {
         self.changes.push(BoundWait {
             workspace: account.id.clone(),
             waits,
@@ -112,8 +112,8 @@
     }
 
     /// Whether tasks of a job's workspace wait for its bound.
-    pub(super) fn is_at_bound(&self, given: &Submission) -> bool {
-        let workspace = given.workspace.as_ref();
+    pub(super) fn is_at_bound(&self, submission: &Submission) -> bool {
+        let workspace = submission.workspace.as_ref();
         workspace.is_some_and(|workspace| self.blocked_tasks(workspace) > 0)
     }
 
@@ -141,7 +141,7 @@
         let Some(step) = job.find_step(task) else {
             return false;
         };
-        !account.allows(start_need(step)) || self.ledger.has_before(&account.id, rank)
+        !account.allows(start_need(step)) || self.ledger.has_earlier_blocked(&account.id, rank)
     }
 
     /// Whether a start that has been decided goes over its workspace's bound by now: it may have waited for its record while
@@ -155,7 +155,7 @@
     }
 
     /// Takes the starts of a task, or of its whole gang, back that have not been sent.
-    pub(super) fn take_back(&mut self, task: TaskId) {
+    pub(super) fn withdraw_starts(&mut self, task: TaskId) {
         for member in self.members(task) {
             let Some((worker, run)) = self.unsent_run(member) else {
                 continue;
@@ -196,7 +196,7 @@
         let begins = blocked.is_empty();
         blocked.insert(*rank);
         if begins {
-            self.ledger.note(&account, true);
+            self.ledger.record_change(&account, true);
         }
     }
 
@@ -239,7 +239,7 @@
                 .pop_first();
         }
         self.ledger.blocked.remove(id);
-        self.ledger.note(&account, false);
+        self.ledger.record_change(&account, false);
     }
 
     /// The first of a workspace's blocked tasks.
@@ -281,7 +281,7 @@
     }
 
     /// All workers of a service have been met, or their leases have run out: nothing of it runs unknown.
-    pub(crate) fn forget_unrecorded(&mut self, service: &str) {
+    pub(crate) fn release_unrecorded(&mut self, service: &str) {
         self.ledger.unrecorded.remove(service);
     }
 }
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -1,22 +1,22 @@
 //! The jobs and workers that one owner decides about, and what each event changes.
 
+mod adopted_runs;
 mod backlog;
-mod carry_over;
 mod crashes;
 mod demand;
 mod durable;
 mod ends;
-mod hosts;
 mod incarnations;
 mod ledger;
 mod limits;
-mod margins;
 mod queue;
 mod runs;
 mod shares;
+mod slack;
 mod takeover;
 mod takeover_barrier;
 mod withdraw;
+mod workers;
 
 pub use backlog::Forecast;
 pub use demand::{Demand, Unschedulable};
@@ -39,8 +39,8 @@
 use backlog::Backlog;
 use clock::Instant;
 use ledger::Ledger;
-use margins::Margins;
 use shares::Shares;
+use slack::SlackTargets;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use takeover_barrier::TakeoverBarrier;
 
@@ -81,13 +81,13 @@
     /// The workers that the platform lists.
     pub workers: Workers,
     /// The data centres that are to be emptied.
-    pub(crate) emptied: BTreeSet<HallId>,
+    pub(crate) drained_halls: BTreeSet<HallId>,
     /// The jobs, also those that are over.
     pub jobs: HashMap<JobId, Job>,
     /// The tasks that wait for room, in the order in which they get it.
     pub(crate) waiting: BTreeMap<ServiceId, BTreeSet<Rank>>,
     /// The rounds that are not due: when, in ms since 1970, of which job, and which round.
-    timed: BTreeSet<(u64, JobId, u32)>,
+    round_timers: BTreeSet<(u64, JobId, u32)>,
     /// Which lives of each worker are known.
     incarnations: LifeTable,
     /// The runs that an earlier owner placed on workers that no list has named since.
@@ -99,11 +99,11 @@
     /// The work that waits for each service.
     backlogs: HashMap<ServiceId, Backlog>,
     /// The jobs of which nothing has been recorded.
-    fresh: HashSet<JobId>,
+    new_jobs: HashSet<JobId>,
     /// The jobs whose state has changed since the last batch.
     dirty: HashSet<JobId>,
     /// Up to which number the ends of a worker have been taken in since the last batch.
-    noted: BTreeMap<WorkerId, u64>,
+    acknowledged: BTreeMap<WorkerId, u64>,
     /// The starts that wait for the records of their tasks to be durable.
     pub(crate) starts: Vec<Order>,
     /// The orders that need no record.
@@ -111,29 +111,29 @@
     /// The place of the next job in the order of arrival.
     next_order: u64,
     /// Tasks whose last run was given up without an end that a worker listed.
-    pub(crate) lost: HashSet<TaskId>,
+    pub(crate) lost_tasks: HashSet<TaskId>,
     /// Which tasks may have ended workers.
     pub(crate) suspicions: Suspicions,
     /// What keeps the tasks of earlier owners from starting.
     pub(crate) takeover_barrier: TakeoverBarrier,
-    pub(crate) duty: Duty,
+    pub(crate) vm_orders: Duty,
     /// Which workers may run the steps of queues that ask for it.
     pub(crate) permits: HashMap<StepId, Permits>,
     /// The time of day of the last look at what is due, in ms since 1970.
-    wall: u64,
+    wall_ms: u64,
     /// The jobs that came of late: when, in ms since 1970, and their work: what they need, times seconds.
-    came: HashMap<ServiceId, Arrivals>,
+    arrivals: HashMap<ServiceId, Arrivals>,
     /// The jobs that are not over and of which a worker has run a task.
-    running: HashSet<JobId>,
+    begun_jobs: HashSet<JobId>,
     /// How many workers the widest step of a live job needs whose tasks must be apart, for the jobs that have
     /// such a step.
-    spreads: HashMap<JobId, usize>,
+    anti_affinity_jobs: HashMap<JobId, usize>,
     /// The services that have had a job that ends by itself.
-    begun: HashSet<ServiceId>,
+    finite_services: HashSet<ServiceId>,
     /// How long the runs of a queue take, as a multiple of what their callers estimate.
-    pub(crate) pace: HashMap<QueueId, f64>,
+    pub(crate) estimate_factors: HashMap<QueueId, f64>,
     /// How much time in hand the jobs of a queue need at their start.
-    margins: Margins,
+    slack_targets: SlackTargets,
     /// The tasks that wait for room near their data.
     pub(crate) near: Near,
     /// When runs are to be looked at next that may stand still.
@@ -141,9 +141,9 @@
     /// The lasting tasks of each service that found no room in its last pass.
     pub(crate) unschedulable: HashMap<ServiceId, Vec<TaskId>>,
     /// What tasks need that found no room in this pass of a service.
-    pub(crate) misfits: Vec<Need>,
+    pub(crate) unplaced_needs: Vec<Need>,
     /// The workers that are kept free, in this pass, for tasks that fit nowhere.
-    pub(crate) reserved: HashSet<WorkerId>,
+    pub(crate) reserved_workers: HashSet<WorkerId>,
     /// The VMs that have had their upkeep, by wave.
     maintained_vms: BTreeMap<u64, BTreeSet<String>>,
     /// The waves in which VMs have had their upkeep since the last batch.
@@ -160,26 +160,26 @@
     }
 
     /// Takes a job in, unless it is there.
-    pub fn accept(&mut self, given: Submission) -> Accepted {
-        let id = given.id;
+    pub fn accept(&mut self, submission: Submission) -> Accepted {
+        let id = submission.id;
         if self.jobs.contains_key(&id) {
             return Accepted::Known;
         }
-        self.note_work(&given);
-        if !given.spec.lasts() {
-            self.begun.insert(given.service.clone());
+        self.add_to_backlog(&submission);
+        if !submission.spec.lasts() {
+            self.finite_services.insert(submission.service.clone());
             // What waits for its workspace's bound needs no more VMs, however much of it comes.
-            if !self.is_at_bound(&given) {
-                self.note_inflow(&given);
+            if !self.is_at_bound(&submission) {
+                self.record_inflow(&submission);
             }
         }
-        let job = Job::new(given, self.next_order);
+        let job = Job::new(submission, self.next_order);
         self.next_order += 1;
         self.jobs.insert(id, job);
         self.open_account(id);
-        self.share_out(id);
-        self.note_spread(id);
-        self.fresh.insert(id);
+        self.assign_virtual_start(id);
+        self.record_anti_affinity(id);
+        self.new_jobs.insert(id);
         self.dirty.insert(id);
         self.set_timers(id);
         self.enqueue_all(id);
@@ -204,15 +204,15 @@
         let waits = |job: &&Job| {
             job.given.queue == queue
                 && !job.phase.is_over()
-                && !self.running.contains(&job.given.id)
+                && !self.begun_jobs.contains(&job.given.id)
         };
         self.jobs.values().filter(waits).count()
     }
 
     /// A worker has said that it runs, or has run, a task of this job.
-    pub(crate) fn note_begun(&mut self, id: JobId) {
+    pub(crate) fn mark_begun(&mut self, id: JobId) {
         if self.jobs.get(&id).is_some_and(|job| !job.phase.is_over()) {
-            self.running.insert(id);
+            self.begun_jobs.insert(id);
         }
     }
 
@@ -230,8 +230,8 @@
 
     /// How long the runs of a queue take, as a multiple of what their callers estimate: 1 until some
     /// have ended.
-    pub(crate) fn pace_of(&self, queue: &str) -> f64 {
-        self.pace.get(queue).copied().unwrap_or(1.0)
+    pub(crate) fn estimate_factor(&self, queue: &str) -> f64 {
+        self.estimate_factors.get(queue).copied().unwrap_or(1.0)
     }
 }
 
@@ -251,6 +251,6 @@
 }
 
 /// What a run of a task takes of a worker's room.
-pub(crate) fn room_of(job: &Job, task: TaskId) -> Need {
+pub(crate) fn need_of(job: &Job, task: TaskId) -> Need {
     load_of(job, task).need
 }
--- a/crates/jobs/src/cell/queue.rs
+++ b/crates/jobs/src/cell/queue.rs
@@ -4,13 +4,13 @@
 
 impl Cell {
     /// Marks the rounds whose time has come; `wall` is the time of day in ms since 1970.
-    pub fn mark_due(&mut self, wall: u64) {
-        self.wall = wall;
-        while let Some((at, id, round)) = self.timed.first().copied() {
-            if at > wall {
+    pub fn mark_due(&mut self, wall_ms: u64) {
+        self.wall_ms = wall_ms;
+        while let Some((at, id, round)) = self.round_timers.first().copied() {
+            if at > wall_ms {
                 return;
             }
-            self.timed.pop_first();
+            self.round_timers.pop_first();
             if let Some(state) = self
                 .jobs
                 .get_mut(&id)
@@ -28,9 +28,9 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
         };
-        let pace = self.pace_of(&job.given.queue);
-        let left = job.tails[task.step as usize] as f64 * pace;
-        self.wall as f64 + left * (1.0 + self.margin_of(job)) > job.goal(task.round, pace)
+        let factor = self.estimate_factor(&job.given.queue);
+        let left = job.tails[task.step as usize] as f64 * factor;
+        self.wall_ms as f64 + left * (1.0 + self.required_slack(job)) > job.goal(task.round, factor)
     }
 
     /// Puts a task back among those that wait.
@@ -57,7 +57,7 @@
         for round in 0..job.rounds.len() as u32 {
             match job.due_at(round) {
                 Some(at) if !job.rounds[round as usize].due => {
-                    self.timed.insert((at, id, round));
+                    self.round_timers.insert((at, id, round));
                 }
                 _ => job.rounds[round as usize].due = true,
             }
--- a/crates/jobs/src/cell/runs.rs
+++ b/crates/jobs/src/cell/runs.rs
@@ -6,17 +6,17 @@
 
 /// For how long a worker gets no new runs after it refused one for want of room: its own count of its
 /// room is ahead of ours by one report at the most.
-const FULL: Duration = Duration::from_millis(200);
+const FULL_SUSPENSION: Duration = Duration::from_millis(200);
 
 /// For how long a worker gets no new runs after it was not well, took no connection, or has not told
 /// its clock.
-const UNWELL: Duration = Duration::from_millis(1_000);
+const UNHEALTHY_SUSPENSION: Duration = Duration::from_millis(1_000);
 
 impl Cell {
     /// Whether a start whose record is durable is still to be sent. One that is not is taken back.
     pub fn prepare_start(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) -> bool {
         if self.is_over_bound(task) {
-            self.take_back(task);
+            self.withdraw_starts(task);
         }
         let current = self.is_current(worker, task, run);
         let Some(host) = self.workers.get_mut(worker) else {
@@ -51,7 +51,7 @@
         if state.phase == RunPhase::Ordered {
             state.phase = RunPhase::Running;
         }
-        self.note_begun(task.job);
+        self.mark_begun(task.job);
     }
 
     /// The worker has refused a start; nothing runs there because of it.
@@ -70,8 +70,8 @@
             return;
         }
         match why {
-            Refusal::Room => host.aside = Some(now + FULL),
-            Refusal::Unwell => host.aside = Some(now + UNWELL),
+            Refusal::Room => host.aside = Some(now + FULL_SUSPENSION),
+            Refusal::Unwell => host.aside = Some(now + UNHEALTHY_SUSPENSION),
             Refusal::Ticket => self.drop_permit(task, worker),
             Refusal::Fenced | Refusal::Old | Refusal::Late | Refusal::Invalid => {}
         }
--- a/crates/jobs/src/cell/shares.rs
+++ b/crates/jobs/src/cell/shares.rs
@@ -16,30 +16,30 @@
 
 /// From how many times its objective on a job counts as beyond its workspace's part, if it had that part alone. Nearer,
 /// workspaces that send a little more than usual at a peak go behind where there is room for all in time.
-const FAR_BEYOND: f64 = 3.0;
+const OVER_SHARE_FACTOR: f64 = 3.0;
 
 /// The virtual time of a service: thousandths of a core times ms, by a weight of 1.
 #[derive(Debug, Default)]
-struct Clock {
+struct VirtualClock {
     /// The latest moment at which a job that has begun was to begin.
     now: f64,
     /// Up to where each workspace has handed in work.
-    ends: HashMap<WorkspaceId, f64>,
+    finish_times: HashMap<WorkspaceId, f64>,
 }
 
 /// The weights of workspaces, and how far each has come at each service.
 #[derive(Debug, Default)]
 pub(super) struct Shares {
     weights: HashMap<WorkspaceId, f64>,
-    clocks: HashMap<ServiceId, Clock>,
+    clocks: HashMap<ServiceId, VirtualClock>,
 }
 
 impl Shares {
     /// Takes in a job of so much work. Returns when it begins in virtual time, and how long after the jobs that begin now.
-    fn hand_in(&mut self, service: &str, workspace: &WorkspaceId, work: f64) -> (f64, f64) {
+    fn submit(&mut self, service: &str, workspace: &WorkspaceId, work: f64) -> (f64, f64) {
         let weight = self.weight(workspace);
         let clock = self.clocks.entry(service.to_owned()).or_default();
-        let end = clock.ends.entry(workspace.clone()).or_default();
+        let end = clock.finish_times.entry(workspace.clone()).or_default();
         let begin = end.max(clock.now);
         *end = begin + work / weight;
         (begin, begin - clock.now)
@@ -47,19 +47,19 @@
 
     /// The weights of the workspaces that are at work at a service, and that of this one: those whose last job is still to
     /// begin, or has just begun.
-    fn weights_at_work(&self, service: &str, workspace: &str) -> f64 {
+    fn active_weight(&self, service: &str, workspace: &str) -> f64 {
         let own = self.weight(workspace);
         let Some(clock) = self.clocks.get(service) else {
             return own;
         };
-        let others = clock.ends.iter();
-        let at_work = others.filter(|(id, end)| *id != workspace && **end > clock.now);
-        own + at_work.map(|(id, _)| self.weight(id)).sum::<f64>()
+        let others = clock.finish_times.iter();
+        let active = others.filter(|(id, end)| *id != workspace && **end > clock.now);
+        own + active.map(|(id, _)| self.weight(id)).sum::<f64>()
     }
 
     /// The part of a service that a workspace has beside the others that are at work there.
-    pub(super) fn part(&self, service: &str, workspace: &str) -> f64 {
-        self.weight(workspace) / self.weights_at_work(service, workspace)
+    pub(super) fn share(&self, service: &str, workspace: &str) -> f64 {
+        self.weight(workspace) / self.active_weight(service, workspace)
     }
 
     /// The weight of a workspace; 1 of one that has none.
@@ -77,7 +77,7 @@
     }
 
     /// Finds out whether a job is beyond its workspace's part.
-    pub(super) fn share_out(&mut self, id: JobId) {
+    pub(super) fn assign_virtual_start(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -85,30 +85,32 @@
             return;
         };
         let service = job.given.service.clone();
-        let pace = self.pace_of(&job.given.queue);
+        let factor = self.estimate_factor(&job.given.queue);
         let steps = &job.given.spec.steps;
-        let work = work_of_steps(steps) * pace;
-        let chain = longest_chain(steps) as f64 * pace;
+        let work = work_of_steps(steps) * factor;
+        let chain = longest_chain(steps) as f64 * factor;
         let objective = job.given.stretch * chain + job.given.slack as f64;
-        let (begin, ahead) = self.shares.hand_in(&service, &workspace, work);
-        let weights = self.shares.weights_at_work(&service, &workspace);
-        let room = self.room_of_service(&service);
+        let (begin, ahead) = self.shares.submit(&service, &workspace, work);
+        let active_weight = self.shares.active_weight(&service, &workspace);
+        let cpu = self.usable_cpu(&service);
         if let Some(job) = self.jobs.get_mut(&id) {
             job.begins = begin;
-            job.beyond = room.is_some_and(|room| ahead * weights / room > FAR_BEYOND * objective);
+            job.beyond =
+                cpu.is_some_and(|cpu| ahead * active_weight / cpu > OVER_SHARE_FACTOR * objective);
         }
     }
 
     /// The same for the jobs that an earlier owner left, in the order in which they came.
-    pub(super) fn share_out_all(&mut self) {
+    pub(super) fn assign_virtual_starts(&mut self) {
         let open = self.jobs.values().filter(|job| !job.phase.is_over());
         let mut jobs: Vec<(u64, JobId)> = open.map(|job| (job.order, job.given.id)).collect();
         jobs.sort_unstable();
-        jobs.into_iter().for_each(|(_, id)| self.share_out(id));
+        jobs.into_iter()
+            .for_each(|(_, id)| self.assign_virtual_start(id));
     }
 
     /// A run of a job is ordered: virtual time goes on to where the job begins.
-    pub(crate) fn pass_time(&mut self, id: JobId) {
+    pub(crate) fn advance_virtual_time(&mut self, id: JobId) {
         let Some(Job { given, begins, .. }) = self.jobs.get(&id) else {
             return;
         };
--- a/crates/jobs/src/cell/takeover.rs
+++ b/crates/jobs/src/cell/takeover.rs
@@ -10,29 +10,32 @@
     /// Restores the jobs from what the log holds, in any order of records. What an earlier owner
     /// had placed stays placed until its worker has reported or has been given up. Returns the jobs that are left out,
     /// since their records do not fit each other: an owner that ended on one would take each next one with it.
-    pub fn load(&mut self, records: Vec<Decoded>) -> Vec<JobId> {
+    pub fn load_records(&mut self, records: Vec<Decoded>) -> Vec<JobId> {
         let mut states = HashMap::new();
         for record in records {
             match record {
-                Decoded::Given(_, given) if given.spec.check().is_err() => {}
-                Decoded::Given(order, given) => {
+                Decoded::Given(_, submission) if submission.spec.check().is_err() => {}
+                Decoded::Given(order, submission) => {
                     self.next_order = self.next_order.max(order + 1);
-                    if !given.spec.lasts() {
-                        self.begun.insert(given.service.clone());
+                    if !submission.spec.lasts() {
+                        self.finite_services.insert(submission.service.clone());
                     }
-                    self.jobs.insert(given.id, Job::new(given, order));
+                    self.jobs.insert(submission.id, Job::new(submission, order));
                 }
                 Decoded::State(id, state) => {
                     states.insert(id, state);
                 }
-                Decoded::Ordered(vms) => self.duty.inherited = vms,
+                Decoded::Ordered(vms) => self.vm_orders.inherited = vms,
                 Decoded::Upkept(wave, vms) => {
                     self.maintained_vms.insert(wave, vms);
                 }
             }
         }
         for (id, state) in states {
-            let job = self.jobs.entry(id).or_insert_with(|| Job::new(over(id), 0));
+            let job = self
+                .jobs
+                .entry(id)
+                .or_insert_with(|| Job::new(finished_submission(id), 0));
             job.phase = state.phase;
             job.shown = Some(state.phase);
             if state.phase.is_over() {
@@ -50,16 +53,16 @@
             let known = job.phase.is_over() || !job.given.spec.steps.is_empty();
             job.shown.is_some() && known
         };
-        let odd = self.jobs.extract_if(|_, job| !is_whole(job));
-        let odd: Vec<JobId> = odd.map(|(id, _)| id).collect();
-        self.share_out_all();
+        let invalid = self.jobs.extract_if(|_, job| !is_whole(job));
+        let invalid: Vec<JobId> = invalid.map(|(id, _)| id).collect();
+        self.assign_virtual_starts();
         let ids: Vec<JobId> = self.jobs.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.restore(id));
-        odd
+        ids.into_iter().for_each(|id| self.restore_job(id));
+        invalid
     }
 
     /// Takes in what an earlier owner placed of a job, and lets what waits of it wait on.
-    fn restore(&mut self, id: JobId) {
+    fn restore_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -68,7 +71,7 @@
         }
         let placed = placed_runs(job);
         self.open_account(id);
-        self.note_spread(id);
+        self.record_anti_affinity(id);
         self.restore_suspicions(id);
         for (worker, task, run) in placed {
             self.incarnations.know(&worker, None);
@@ -82,7 +85,7 @@
 }
 
 /// What stands for a job that is over and of which only the outcome is kept.
-fn over(id: JobId) -> Submission {
+fn finished_submission(id: JobId) -> Submission {
     let spec = JobSpec {
         text: String::new(),
         steps: Vec::new(),
--- a/crates/jobs/src/cell/withdraw.rs
+++ b/crates/jobs/src/cell/withdraw.rs
@@ -14,11 +14,11 @@
         let Some(service) = open.map(|job| job.given.service.clone()) else {
             return false;
         };
-        if !self.fresh.remove(&id) {
+        if !self.new_jobs.remove(&id) {
             return false;
         }
         self.dirty.remove(&id);
-        self.forget_wishes(id);
+        self.clear_job_requests(id);
         if let Some(queue) = self.waiting.get_mut(&service) {
             queue.retain(|rank| rank.task().job != id);
         }
--- a/crates/jobs/src/cell/hosts.rs
+++ b/crates/jobs/src/cell/workers.rs
@@ -14,15 +14,15 @@
     /// Takes note of what the platform's list says of a life of a worker.
     pub fn upsert_worker(&mut self, info: WorkerInfo, now: Instant) {
         self.incarnations.know(&info.id, Some(now));
-        let emptied = self.is_emptied(&info.hall);
+        let is_drained = self.is_emptied(&info.hall);
         if let Some(worker) = self.workers.get_mut(&info.id) {
-            worker.emptied = emptied;
+            worker.emptied = is_drained;
             worker.unlisted = None;
             worker.unusable = false;
             return self.workers.update(info);
         }
         let mut worker = Worker::new(info);
-        worker.emptied = emptied;
+        worker.emptied = is_drained;
         worker.met = self.takeover_barrier.listed;
         let orphans = self.orphans.remove(&worker.info.id);
         for Orphan { task, run, charge } in orphans.unwrap_or_default() {
@@ -59,19 +59,19 @@
     /// A worker's entry is gone from the list: none of its lives gets new runs, and their own answers tell what becomes
     /// of the others. Returns the lives that the cell has.
     pub fn unlist_worker(&mut self, name: &str, now: Instant) -> Vec<WorkerId> {
-        let lives = self.incarnations_of(name);
+        let incarnations = self.incarnations_of(name);
         self.incarnations.unlist(name);
-        for life in &lives {
-            if let Some(worker) = self.workers.get_mut(life)
+        for incarnation in &incarnations {
+            if let Some(worker) = self.workers.get_mut(incarnation)
                 && !worker.info.draining
             {
                 worker.unlisted = Some(now);
                 Arc::make_mut(&mut worker.info).draining = true;
             }
         }
-        let listed = lives.into_iter();
+        let listed = incarnations.into_iter();
         listed
-            .filter(|life| self.workers.get(life).is_some())
+            .filter(|incarnation| self.workers.get(incarnation).is_some())
             .collect()
     }
 
@@ -85,8 +85,8 @@
     pub fn mark_unusable(&mut self, name: &str) -> bool {
         let mut changed = false;
         let mut known = false;
-        for life in self.incarnations_of(name) {
-            if let Some(worker) = self.workers.get_mut(&life) {
+        for incarnation in self.incarnations_of(name) {
+            if let Some(worker) = self.workers.get_mut(&incarnation) {
                 known = true;
                 changed |= !mem::replace(&mut worker.unusable, true);
             }
@@ -117,7 +117,7 @@
 
     /// Gives a worker up: its life has ended, or its lease has run out for certain. None if nothing is known of it.
     pub fn abandon_worker(&mut self, id: &str, loss: Loss, now: Instant) -> Option<LostWorker> {
-        self.takeover_barrier.expected.remove(name_of(id));
+        self.takeover_barrier.expected_workers.remove(name_of(id));
         let orphans = self.orphans.remove(id);
         let worker = self.workers.remove(id);
         self.incarnations.forget(id);
@@ -130,12 +130,12 @@
         let runs = lost_runs(orphans.unwrap_or_default(), worker, now);
         for LostRun { task, run, .. } in &runs {
             if self.is_current(id, *task, *run) {
-                self.lost.insert(*task);
+                self.lost_tasks.insert(*task);
                 self.requeue(*task);
             }
         }
         let given_up = match ending {
-            Ending::Crashed if is_real => self.blame_end(id, &runs, now),
+            Ending::Crashed if is_real => self.attribute_crash(id, &runs, now),
             Ending::Crashed | Ending::Ordered | Ending::Announced | Ending::Unclear => Vec::new(),
         };
         Some(LostWorker {
@@ -151,9 +151,9 @@
     /// A run that no report of this life has named is kept for as long as the longest lease that a worker grants: its
     /// start may have come to another life, on whose clock the end of the lease lies far ahead.
     pub fn expire_lease(&mut self, id: &str, now: Instant) -> Option<LostWorker> {
-        let hold = self.limits.max_lease;
+        let max_lease = self.limits.max_lease;
         let worker = self.workers.get_mut(id)?;
-        let kept = worker.unnamed(now, hold);
+        let kept = worker.unnamed(now, max_lease);
         if kept.len() == worker.runs.len() {
             return None;
         }
--- a/crates/jobs/src/duty.rs
+++ b/crates/jobs/src/duty.rs
@@ -66,42 +66,42 @@
 impl Cell {
     /// The earlier owner that may have given orders about a VM shortly before it ended.
     pub fn earlier_holder(&self, vm: &str) -> Option<&Holder> {
-        self.duty.inherited.get(vm)
+        self.vm_orders.inherited.get(vm)
     }
 
     /// All earlier owners that may have given orders about VMs shortly before they ended.
     pub fn earlier_holders(&self) -> BTreeSet<Holder> {
-        self.duty.inherited.values().cloned().collect()
+        self.vm_orders.inherited.values().cloned().collect()
     }
 
     /// An earlier owner may have given orders about any VM without a record of them.
     pub fn doubt_all_vms(&mut self) {
-        self.duty.unrecorded = true;
+        self.vm_orders.unrecorded = true;
     }
 
     /// Whether an earlier owner may have given orders about VMs without a record of them.
     pub fn doubts_all_vms(&self) -> bool {
-        self.duty.unrecorded
+        self.vm_orders.unrecorded
     }
 
     /// Whether an earlier owner may have just given an order about a VM.
     pub fn may_be_ordered(&self, vm: &str) -> bool {
-        self.duty.unrecorded || self.duty.inherited.contains_key(vm)
+        self.vm_orders.unrecorded || self.vm_orders.inherited.contains_key(vm)
     }
 
     /// Whether the owner leaves a VM alone, since an earlier one that may still run may have just given an order
     /// about it; `ended` are those that do not run any more. Who gave orders without a record is not known.
     pub fn must_spare(&self, vm: &str, ended: &HashSet<u64>) -> bool {
-        let holder = self.duty.inherited.get(vm);
-        self.duty.unrecorded || holder.is_some_and(|holder| !ended.contains(&holder.life))
+        let holder = self.vm_orders.inherited.get(vm);
+        self.vm_orders.unrecorded || holder.is_some_and(|holder| !ended.contains(&holder.life))
     }
 
     /// The orders of earlier owners do not matter any more.
     pub fn forget_holders(&mut self) {
-        self.duty.unrecorded = false;
-        if !self.duty.inherited.is_empty() {
-            self.duty.inherited.clear();
-            self.duty.version += 1;
+        self.vm_orders.unrecorded = false;
+        if !self.vm_orders.inherited.is_empty() {
+            self.vm_orders.inherited.clear();
+            self.vm_orders.version += 1;
         }
     }
 
@@ -113,18 +113,18 @@
         now: Instant,
         matters: Duration,
     ) -> u64 {
-        self.duty.forget_old(now);
+        self.vm_orders.forget_old(now);
         let until = now + matters;
         let noted = vms
             .into_iter()
             .map(|vm| (vm.to_owned(), (holder.clone(), until)));
-        self.duty.recent.extend(noted);
-        self.duty.version += 1;
-        self.duty.version
+        self.vm_orders.recent.extend(noted);
+        self.vm_orders.version += 1;
+        self.vm_orders.version
     }
 
     /// Whether what was noted up to a version is durable.
     pub fn orders_durable(&self, version: u64) -> bool {
-        self.duty.durable >= version
+        self.vm_orders.durable >= version
     }
 }
--- a/crates/jobs/src/explain.rs
+++ b/crates/jobs/src/explain.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Cell, TaskId, Worker,
-    cell::room_of,
+    cell::need_of,
     place::{allows, may_join},
 };
 use clock::Instant;
@@ -69,7 +69,7 @@
             Obstacle::Label
         } else if !may_join(step, || worker.siblings(task)) {
             Obstacle::Apart
-        } else if !room_of(job, task).fits(worker.used, worker.info.capacity) {
+        } else if !need_of(job, task).fits(worker.used, worker.info.capacity) {
             Obstacle::Room
         } else {
             Obstacle::Nothing
--- a/crates/jobs/src/gang.rs
+++ b/crates/jobs/src/gang.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Cell, Need, Step, Task, TaskId, Worker, WorkerId,
-    cell::room_of,
+    cell::need_of,
     place::{Placing, may_join},
 };
 use clock::Instant;
@@ -99,7 +99,7 @@
     ) -> Option<Vec<WorkerId>> {
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task.step);
-        let room = room_of(job, task);
+        let room = need_of(job, task);
         let may = |w: &&Worker| {
             let here = rack.is_none_or(|rack| w.info.rack() == rack);
             here && self.takes(w, job, task, now)
@@ -131,11 +131,11 @@
     /// Whether a member of a gang is to be the only one that begins on its worker, so that the end of the worker names
     /// it. Where the gang has more such members than there are workers, none is: it would never start.
     fn needs_own_worker(&self, member: TaskId, workers: usize, now: Instant) -> bool {
-        if self.quarantine_bar(member, now).is_none() {
+        if self.quarantine_threshold(member, now).is_none() {
             return false;
         }
         let members = self.members(member);
-        let in_quarantine = |member: &&TaskId| self.quarantine_bar(**member, now).is_some();
+        let in_quarantine = |member: &&TaskId| self.quarantine_threshold(**member, now).is_some();
         let suspects = members.iter().filter(in_quarantine).count();
         let others = usize::from(suspects < members.len());
         suspects + others <= workers
--- a/crates/jobs/src/hall.rs
+++ b/crates/jobs/src/hall.rs
@@ -3,7 +3,7 @@
 //! Runs that end by themselves and save no progress are left to end. Lasting tasks leave one by one, so that a step has
 //! no more of them away than its budget allows.
 
-use crate::{Cell, RunId, RunPhase, TaskId, Worker, WorkerId, cell::room_of, place::may_join};
+use crate::{Cell, RunId, RunPhase, TaskId, Worker, WorkerId, cell::need_of, place::may_join};
 use clock::Instant;
 use std::collections::BTreeSet;
 
@@ -16,15 +16,15 @@
 impl Cell {
     /// Sets which data centres are to be emptied.
     pub fn set_emptied(&mut self, halls: BTreeSet<HallId>) {
-        self.emptied = halls;
+        self.drained_halls = halls;
         for worker in self.workers.values_mut() {
-            worker.emptied = self.emptied.contains(&worker.info.hall);
+            worker.emptied = self.drained_halls.contains(&worker.info.hall);
         }
     }
 
     /// Whether a data centre is to be emptied.
     pub fn is_emptied(&self, hall: &str) -> bool {
-        self.emptied.contains(hall)
+        self.drained_halls.contains(hall)
     }
 
     /// How many runs are left in the data centres that are to be emptied.
@@ -35,7 +35,7 @@
 
     /// Stops what can go on elsewhere on the workers of data centres that are to be emptied. Returns how many runs.
     pub fn empty_halls(&mut self, now: Instant) -> usize {
-        if self.emptied.is_empty() {
+        if self.drained_halls.is_empty() {
             return 0;
         }
         let leaving = self.workers.values();
@@ -73,7 +73,7 @@
         else {
             return false;
         };
-        let room = room_of(job, task);
+        let room = need_of(job, task);
         let fits = |host: &Worker| {
             self.takes(host, job, task, now)
                 && room.fits(host.used, host.info.capacity)
--- a/crates/jobs/src/near.rs
+++ b/crates/jobs/src/near.rs
@@ -59,7 +59,7 @@
             return None;
         }
         let rack = step.near.clone()?;
-        let expected = step.estimate as f64 * self.pace_of(&job.given.queue);
+        let expected = step.estimate as f64 * self.estimate_factor(&job.given.queue);
         let work = expected * step.need.cpu as f64;
         Some((rack, work, expected * (self.limits.remote_slowdown - 1.0)))
     }
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -49,9 +49,11 @@
         host.refused = None;
         host.lapsed.clear();
         host.heard = host.heard.max(Some(asked));
-        self.takeover_barrier.expected.remove(name_of(worker));
+        self.takeover_barrier
+            .expected_workers
+            .remove(name_of(worker));
         let noted = host.noted;
-        self.carry_over(worker, report, now);
+        self.adopt_runs(worker, report, now);
         for end in report.ended.iter().filter(|end| end.number > noted) {
             self.take_end(worker, end, now);
         }
@@ -59,7 +61,7 @@
             self.take_row(worker, row, asked, now);
         }
         let vanished = self.drop_missing(worker, report, asked);
-        self.clear_proven(worker, now);
+        self.clear_outlived_suspects(worker, now);
         self.pace(worker, report, now);
         vanished
     }
@@ -109,9 +111,9 @@
         if end.how == How::Failed {
             self.blame(worker, now);
         }
-        self.note(worker, end.number);
+        self.acknowledge_ends(worker, end.number);
         if end.how == How::Done {
-            self.clear(end.task, took.unwrap_or_default(), now);
+            self.clear_suspicion(end.task, took.unwrap_or_default(), now);
         }
         self.end_run(worker, end.task, end.run, end.how, &end.saved);
     }
@@ -129,7 +131,10 @@
         }
         let near = took.as_millis() as f64 / self.far_factor(worker, step);
         let seen = near / step.estimate as f64;
-        let pace = self.pace.entry(job.given.queue.clone()).or_insert(1.0);
+        let pace = self
+            .estimate_factors
+            .entry(job.given.queue.clone())
+            .or_insert(1.0);
         *pace += (seen.min(10.0) - *pace) * LEARNING;
     }
 
@@ -160,7 +165,7 @@
 
     /// Takes in what a worker said of a run that it has, to a question that was sent at `asked`.
     fn take_row(&mut self, worker: &str, row: &RunRow, asked: Instant, now: Instant) {
-        self.note_begun(row.task.job);
+        self.mark_begun(row.task.job);
         if self.run_mut(worker, row.task, row.run).is_none() {
             self.adopt(worker, row, now);
         } else if !self.is_current(worker, row.task, row.run) {
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -40,21 +40,21 @@
 
     /// Gives room to the waiting tasks of all services.
     fn schedule_all(&mut self, now: Instant, log: Log) {
-        self.duty.forget_old(now);
-        self.settle_unrecorded(now);
+        self.vm_orders.forget_old(now);
+        self.release_unrecorded_charges(now);
         self.unblock_tasks();
         let services: Vec<_> = self.waiting.keys().cloned().collect();
         for service in services {
             self.schedule_service(&service, now, log);
         }
-        self.reserved.clear();
+        self.reserved_workers.clear();
     }
 
     /// Gives room to the waiting tasks of a service, in order.
     fn schedule_service(&mut self, service: &str, now: Instant, log: Log) {
         self.demote_late(service);
         self.near.begin_pass();
-        self.misfits.clear();
+        self.unplaced_needs.clear();
         self.place_suspects(service, now, log);
         if let Some(roomless) = self.unschedulable.get_mut(service) {
             roomless.clear();
@@ -112,7 +112,7 @@
     /// Whether a waiting task may run somewhere, or must not start yet for what an earlier owner may have done.
     pub(crate) fn is_held(&self, service: &str, rank: &Rank, now: Instant, log: Log) -> bool {
         let task = rank.task();
-        let lost = log == Log::Away && self.lost.contains(&task);
+        let lost = log == Log::Away && self.lost_tasks.contains(&task);
         lost || self.is_blocked_by_barrier(rank.order(), service, now) || self.has_run(task)
     }
 
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Cell, Job, Need, Order, Phase, RunId, Step, Task, TaskId, TaskPhase, Worker, WorkerId,
-    cell::{charge_of, load_of, room_of},
+    cell::{charge_of, load_of, need_of},
     worker::{Quarantine, RunKind, RunState},
 };
 use clock::Instant;
@@ -50,7 +50,7 @@
             return;
         };
         let step = job.step(task.step);
-        let room = room_of(job, task);
+        let room = need_of(job, task);
         let may = |w: &&Worker| {
             room.fits(Need::default(), w.info.capacity)
                 && self.takes(w, job, task, now)
@@ -63,7 +63,7 @@
             .filter(may)
             .max_by_key(free);
         if let Some(id) = freest.map(|w| w.info.id.clone()) {
-            self.reserved.insert(id);
+            self.reserved_workers.insert(id);
         }
     }
 
@@ -71,7 +71,7 @@
     pub(crate) fn takes(&self, worker: &Worker, job: &Job, task: TaskId, now: Instant) -> bool {
         worker.is_open(now)
             && allows(worker, job.step(task.step))
-            && !self.reserved.contains(&worker.info.id)
+            && !self.reserved_workers.contains(&worker.info.id)
             && (!job.given.permits || self.has_permit(task, &worker.info.id, now))
     }
 
@@ -105,8 +105,8 @@
 
     /// Notes that a run of a task starts on a worker.
     pub(crate) fn order(&mut self, worker: WorkerId, task: TaskId, run: RunId, now: Instant) {
-        self.note_in_hand(task.job);
-        self.pass_time(task.job);
+        self.record_slack(task.job);
+        self.advance_virtual_time(task.job);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -119,7 +119,7 @@
             state.phase = TaskPhase::Placed(worker.clone());
             state.run = run;
         }
-        let bar = self.quarantine_bar(task, now);
+        let bar = self.quarantine_threshold(task, now);
         if let Some(host) = self.workers.get_mut(&worker) {
             host.add(task, run, RunState::ordered(load, charge, now));
             host.quarantine = bar.map(|bar| Quarantine {
@@ -127,7 +127,7 @@
                 bar,
             });
         }
-        self.lost.remove(&task);
+        self.lost_tasks.remove(&task);
         self.mark_dirty(task.job);
         self.starts.push(Order::Start { worker, task, run });
     }
@@ -135,7 +135,9 @@
     /// Whether a task finds no room for certain: a plain one that needs no more found none in this pass, in
     /// which room only becomes less.
     fn is_misfit(&self, room: Need) -> bool {
-        self.misfits.iter().any(|found| found.is_within(room))
+        self.unplaced_needs
+            .iter()
+            .any(|found| found.is_within(room))
     }
 
     /// Notes what a plain task needs that found no room; a label, or tasks that must be apart, may be why
@@ -147,9 +149,9 @@
         let step = job.step(task.step);
         let bound = step.label.is_some() || step.apart.is_some() || job.given.permits;
         if !bound {
-            let room = room_of(job, task);
-            self.misfits.retain(|found| !room.is_within(*found));
-            self.misfits.push(room);
+            let room = need_of(job, task);
+            self.unplaced_needs.retain(|found| !room.is_within(*found));
+            self.unplaced_needs.push(room);
         }
     }
 
@@ -157,7 +159,7 @@
     fn best_worker(&self, task: TaskId, now: Instant) -> Option<WorkerId> {
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task.step);
-        let room = room_of(job, task);
+        let room = need_of(job, task);
         if self.is_misfit(room) {
             return None;
         }
--- a/crates/jobs/src/quarantine.rs
+++ b/crates/jobs/src/quarantine.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Cell, Job, Need, TaskId, Worker, WorkerId,
-    cell::room_of,
+    cell::need_of,
     pass::Log,
     place::{Placing, may_join},
     rank::Rank,
@@ -23,7 +23,7 @@
         let members = self.members(task);
         members
             .into_iter()
-            .any(|member| self.quarantine_bar(member, now).is_some())
+            .any(|member| self.quarantine_threshold(member, now).is_some())
     }
 
     /// The tasks that start together with one: itself, or all of its gang.
@@ -102,7 +102,7 @@
 
     /// The worker on which least is lost if a task ends it, of those that have room, and no run that has just begun.
     fn quarantine_worker(&self, job: &Job, task: TaskId, now: Instant) -> Option<WorkerId> {
-        let room = room_of(job, task);
+        let room = need_of(job, task);
         let may = |worker: &&Worker| {
             room.fits(worker.used, worker.info.capacity)
                 && worker.is_settled()
@@ -127,7 +127,7 @@
         let workers = || self.workers.of(service);
         let is_kept = |worker: &&Worker| {
             let in_quarantine = worker.quarantine.is_some() && worker.runs.len() > 1;
-            in_quarantine || self.reserved.contains(&worker.info.id)
+            in_quarantine || self.reserved_workers.contains(&worker.info.id)
         };
         let most = (workers().count() / QUARANTINE_PART).max(1);
         workers().filter(is_kept).count() < most
@@ -143,14 +143,14 @@
         if !self.may_keep(service) {
             return;
         }
-        let room = room_of(job, task);
+        let room = need_of(job, task);
         let may = |worker: &&Worker| {
             room.fits(Need::default(), worker.info.capacity) && self.takes(worker, job, task, now)
         };
         let fitting = self.workers.of(service).filter(may);
         let fewest = fitting.min_by_key(|worker| (worker.runs.len(), worker.used.cpu));
         if let Some(id) = fewest.map(|worker| worker.info.id.clone()) {
-            self.reserved.insert(id);
+            self.reserved_workers.insert(id);
         }
     }
 }
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -375,7 +375,7 @@
         decode_entry("s0000000000000008", &state).unwrap(),
     ];
     let mut cell = havenladder_jobs::Cell::new(Limits::default());
-    let odd = cell.load(records);
+    let odd = cell.load_records(records);
     assert_eq!(odd, [7], "its state is missing, the record itself is read");
     assert_eq!(cell.jobs[&8].given.workspace, None);
 }
--- a/crates/jobs/tests/crash/mod.rs
+++ b/crates/jobs/tests/crash/mod.rs
@@ -326,7 +326,7 @@
             .map(|(key, value)| decode_entry(key, value).unwrap())
             .collect();
         self.cell = Cell::new(Limits::default());
-        self.cell.load(decoded);
+        self.cell.load_records(decoded);
         let now = self.instant();
         let gone: Vec<WorkerId> = self.ended.iter().map(|(id, _)| id.clone()).collect();
         for id in &gone {
--- a/crates/jobs/tests/decoders.rs
+++ b/crates/jobs/tests/decoders.rs
@@ -17,7 +17,7 @@
 /// A cell with a worker that takes these records over, and goes on for some rounds.
 fn take_over(records: Vec<Decoded>) -> Cell {
     let mut cell = Cell::new(Limits::default());
-    cell.load(records);
+    cell.load_records(records);
     let mut now = Instant::now();
     cell.mark_listed();
     for _ in 0..3 {
--- a/crates/jobs/tests/history/mod.rs
+++ b/crates/jobs/tests/history/mod.rs
@@ -200,7 +200,7 @@
             .collect();
         let limits = self.cell.limits.clone();
         self.cell = Cell::new(limits);
-        self.cell.load(decoded);
+        self.cell.load_records(decoded);
         let expires = self.instant() + Duration::from_millis(GRACE + self.lease());
         self.cell.raise_takeover_barrier(expires, false);
         self.tell_bounds();
--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/world/mod.rs
@@ -144,6 +144,6 @@
             .map(|(key, value)| decode_entry(key, value).unwrap())
             .collect();
         self.cell = Cell::new(Limits::default());
-        self.cell.load(decoded);
+        self.cell.load_records(decoded);
     }
 }
