--- a/crates/jobs/src/cell/limits.rs
+++ b/crates/jobs/src/cell/limits.rs
@@ -1,21 +1,22 @@
-//! The figures that the decisions depend on.
+//! Thresholds and durations that scheduling decisions depend on.
 
 use std::time::Duration;
 
-/// The figures that the decisions depend on.
+/// Thresholds and durations that scheduling decisions depend on.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// How long a worker may take to end a run that it was told to stop.
+    /// The time that a worker may take to end a run after a stop order.
     pub stop_timeout: Duration,
-    /// How long a run may show no progress before it is tried elsewhere.
+    /// The time that a run may go without progress before its task is tried elsewhere.
     pub stall_timeout: Duration,
-    /// The longest lease that a worker grants, whatever it is asked for, on a clock as slow as they may be.
+    /// The longest lease that a worker grants, whatever it is asked for, measured on a clock that is as slow
+    /// as allowed.
     pub max_lease: Duration,
-    /// How many bad ends in a row set a worker aside.
+    /// The number of consecutive bad ends after which a worker is suspended.
     pub max_failures: u32,
-    /// For how long a worker is set aside.
+    /// The time for which a worker is suspended.
     pub suspension: Duration,
-    /// How many times as long a task takes on a worker that is not near its data.
+    /// The factor by which a task takes longer on a worker that is not near its data.
     pub remote_slowdown: f64,
 }
 
@@ -23,16 +24,16 @@
     fn default() -> Self {
         Limits {
             stop_timeout: Duration::from_millis(400),
-            // A run of the longest usual kind, 4 s, on a worker 6 times slower than others, still
-            // moves by one hundredth in 250 ms; eight times that leaves room for late reports.
+            // Runs of the longest usual kind take 4 s. Such a run on a worker 6 times slower than others
+            // still progresses by one percent in 250 ms; eight times that leaves slack for late reports.
             stall_timeout: Duration::from_millis(2_000),
-            // The platform tells its own figure; without one, leases are as long as they are asked for.
+            // The platform supplies this value. Without it, leases last as long as they are requested for.
             max_lease: Duration::ZERO,
-            // One run in 500 fails by its own fault: three in a row do so once in 10^8.
+            // One run in 500 fails by its own fault, so that three in a row do so once in 10^8.
             max_failures: 3,
-            // Twice the mean time of a run, so that a worker that is well again is soon back.
+            // Twice the mean duration of a run, so that a worker that has recovered is soon used again.
             suspension: Duration::from_millis(3_000),
-            // The platform tells its own figure; this is the lower of the two that it has told.
+            // The platform supplies this value; 2 is the lower of the two that it has supplied so far.
             remote_slowdown: 2.0,
         }
     }
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -1,4 +1,4 @@
-//! The jobs and workers that one owner decides about, and what each event changes.
+//! State of the jobs and workers that one owner manages, and the transitions that events cause.
 
 mod adopted_runs;
 mod backlog;
@@ -44,114 +44,114 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use takeover_barrier::TakeoverBarrier;
 
-/// What became of a job that was handed in.
+/// The outcome of submitting a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepted {
-    /// It is new, and accepted once its record is durable.
+    /// The job is new. It counts as accepted once its record is durable.
     New,
-    /// It had been handed in before.
+    /// The job had already been submitted.
     Known,
 }
 
-/// What became of a wish to cancel.
+/// The outcome of a request to cancel a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancelled {
-    /// The job is cancelled once that is durable, or was over already.
+    /// The job was over already, or is cancelled once the record of that is durable.
     Done,
-    /// There is no such job.
+    /// No such job exists.
     Unknown,
 }
 
-/// A run that an earlier owner placed on a worker that no list has named since.
+/// A run that an earlier owner placed on a worker that no worker list has named since.
 #[derive(Clone, Debug)]
 struct Orphan {
-    /// The task.
+    /// The task that the run belongs to.
     task: TaskId,
-    /// The run.
+    /// The number of the run.
     run: RunId,
-    /// What it takes of its workspace's account.
+    /// The part of the workspace's account that the run uses.
     charge: Option<Charge>,
 }
 
 /// The jobs and workers of one owner.
 #[derive(Debug, Default)]
 pub struct Cell {
-    /// The figures that the decisions depend on.
+    /// Thresholds and durations that scheduling decisions depend on.
     pub limits: Limits,
     /// The workers that the platform lists.
     pub workers: Workers,
-    /// The data centres that are to be emptied.
+    /// The data centres that are to be drained.
     pub(crate) drained_halls: BTreeSet<HallId>,
-    /// The jobs, also those that are over.
+    /// All jobs, including those that are over.
     pub jobs: HashMap<JobId, Job>,
-    /// The tasks that wait for room, in the order in which they get it.
+    /// The tasks that wait for capacity, by service, in the order in which they are placed.
     pub(crate) waiting: BTreeMap<ServiceId, BTreeSet<Rank>>,
-    /// The rounds that are not due: when, in ms since 1970, of which job, and which round.
+    /// The rounds that are not due yet: due time in ms since 1970, job, and index of the round.
     round_timers: BTreeSet<(u64, JobId, u32)>,
-    /// Which lives of each worker are known.
+    /// The known incarnations of each worker.
     incarnations: LifeTable,
-    /// The runs that an earlier owner placed on workers that no list has named since.
+    /// The runs that an earlier owner placed on workers that no worker list has named since.
     orphans: HashMap<WorkerId, Vec<Orphan>>,
-    /// What workspaces have running, and the tasks that wait for it to be less.
+    /// The usage of workspaces, and the tasks that wait for their workspace's bound.
     ledger: Ledger,
-    /// What workspaces have handed in at each service.
+    /// The work that workspaces have submitted to each service.
     shares: Shares,
     /// The work that waits for each service.
     backlogs: HashMap<ServiceId, Backlog>,
-    /// The jobs of which nothing has been recorded.
+    /// The jobs that have no record yet.
     new_jobs: HashSet<JobId>,
-    /// The jobs whose state has changed since the last batch.
+    /// The jobs whose state has changed since the last batch of records.
     dirty: HashSet<JobId>,
-    /// Up to which number the ends of a worker have been taken in since the last batch.
+    /// The highest end of each worker that has been processed since the last batch of records.
     acknowledged: BTreeMap<WorkerId, u64>,
-    /// The starts that wait for the records of their tasks to be durable.
+    /// The starts that wait until the records of their tasks are durable.
     pub(crate) starts: Vec<Order>,
     /// The orders that need no record.
     pub(crate) urgent: Vec<Order>,
-    /// The place of the next job in the order of arrival.
+    /// The position of the next job in the order of arrival.
     next_order: u64,
-    /// Tasks whose last run was given up without an end that a worker listed.
+    /// The tasks whose last run was lost: no worker has listed its end.
     pub(crate) lost_tasks: HashSet<TaskId>,
-    /// Which tasks may have ended workers.
+    /// The tasks that are suspected of having crashed workers.
     pub(crate) suspicions: Suspicions,
-    /// What keeps the tasks of earlier owners from starting.
+    /// The condition that keeps tasks of earlier owners from starting.
     pub(crate) takeover_barrier: TakeoverBarrier,
     pub(crate) vm_orders: Duty,
-    /// Which workers may run the steps of queues that ask for it.
+    /// The workers that may run the steps of queues that require permits.
     pub(crate) permits: HashMap<StepId, Permits>,
-    /// The time of day of the last look at what is due, in ms since 1970.
+    /// The time of day of the last check for due rounds, in ms since 1970.
     wall_ms: u64,
-    /// The jobs that came of late: when, in ms since 1970, and their work: what they need, times seconds.
+    /// The arrivals of recent jobs at each service: their time in ms since 1970, and their work as needs
+    /// times seconds.
     arrivals: HashMap<ServiceId, Arrivals>,
     /// The jobs that are not over and of which a worker has run a task.
     begun_jobs: HashSet<JobId>,
-    /// How many workers the widest step of a live job needs whose tasks must be apart, for the jobs that have
-    /// such a step.
+    /// For each live job with anti-affinity, the number of workers that its widest such step needs.
     anti_affinity_jobs: HashMap<JobId, usize>,
-    /// The services that have had a job that ends by itself.
+    /// The services that have had a job whose steps all end by themselves.
     finite_services: HashSet<ServiceId>,
-    /// How long the runs of a queue take, as a multiple of what their callers estimate.
+    /// The ratio of actual to estimated run time, by queue.
     pub(crate) estimate_factors: HashMap<QueueId, f64>,
-    /// How much time in hand the jobs of a queue need at their start.
+    /// The slack that jobs of each queue must have when they start.
     slack_targets: SlackTargets,
-    /// The tasks that wait for room near their data.
+    /// The tasks that wait for capacity near their data.
     pub(crate) near: Near,
-    /// When runs are to be looked at next that may stand still.
+    /// The time of the next check for stalled runs.
     pub(crate) stall_check_due: Option<Instant>,
-    /// The lasting tasks of each service that found no room in its last pass.
+    /// The long-running tasks of each service that could not be placed in its last pass.
     pub(crate) unschedulable: HashMap<ServiceId, Vec<TaskId>>,
-    /// What tasks need that found no room in this pass of a service.
+    /// The needs of tasks that could not be placed in the current pass of a service.
     pub(crate) unplaced_needs: Vec<Need>,
-    /// The workers that are kept free, in this pass, for tasks that fit nowhere.
+    /// The workers that are kept free in the current pass for tasks that fit on no worker.
     pub(crate) reserved_workers: HashSet<WorkerId>,
-    /// The VMs that have had their upkeep, by wave.
+    /// The VMs that have been maintained, by wave.
     maintained_vms: BTreeMap<u64, BTreeSet<String>>,
-    /// The waves in which VMs have had their upkeep since the last batch.
+    /// The waves with VMs that have been maintained since the last batch of records.
     unrecorded_waves: BTreeSet<u64>,
 }
 
 impl Cell {
-    /// A cell with no jobs.
+    /// Creates a cell without jobs.
     pub fn new(limits: Limits) -> Self {
         Cell {
             limits,
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Takes a job in, unless it is there.
+    /// Accepts a job unless it is known already.
     pub fn accept(&mut self, submission: Submission) -> Accepted {
         let id = submission.id;
         if self.jobs.contains_key(&id) {
@@ -168,7 +168,7 @@
         self.add_to_backlog(&submission);
         if !submission.spec.lasts() {
             self.finite_services.insert(submission.service.clone());
-            // What waits for its workspace's bound needs no more VMs, however much of it comes.
+            // Work that waits for its workspace's bound needs no more VMs, however much of it arrives.
             if !self.is_at_bound(&submission) {
                 self.record_inflow(&submission);
             }
@@ -186,7 +186,7 @@
         Accepted::New
     }
 
-    /// Ends a job at its caller's wish.
+    /// Cancels a job at its caller's request.
     pub fn cancel(&mut self, id: JobId) -> Cancelled {
         match self.jobs.get(&id).map(|job| job.phase) {
             None => Cancelled::Unknown,
@@ -198,8 +198,8 @@
         }
     }
 
-    /// How many jobs of a queue have not begun: of none of their tasks a worker has said that it runs. A
-    /// start that was ordered may be lost on its way.
+    /// Returns how many jobs of a queue have not begun. A job has begun once a worker has reported a run of
+    /// one of its tasks; an ordered start alone does not count, since it may be lost on its way.
     pub fn pending(&self, queue: &str) -> usize {
         let waits = |job: &&Job| {
             job.given.queue == queue
@@ -209,14 +209,14 @@
         self.jobs.values().filter(waits).count()
     }
 
-    /// A worker has said that it runs, or has run, a task of this job.
+    /// Records that a worker has reported a current or past run of a task of this job.
     pub(crate) fn mark_begun(&mut self, id: JobId) {
         if self.jobs.get(&id).is_some_and(|job| !job.phase.is_over()) {
             self.begun_jobs.insert(id);
         }
     }
 
-    /// Whether this run is the one that the task's state names.
+    /// Returns whether a run is the one that the task's state refers to.
     pub fn is_current(&self, worker: &str, task: TaskId, run: RunId) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
@@ -228,14 +228,13 @@
         here && state.run == run && !job.phase.is_over()
     }
 
-    /// How long the runs of a queue take, as a multiple of what their callers estimate: 1 until some
-    /// have ended.
+    /// Returns the ratio of actual to estimated run time in a queue: 1 until some runs have ended.
     pub(crate) fn estimate_factor(&self, queue: &str) -> f64 {
         self.estimate_factors.get(queue).copied().unwrap_or(1.0)
     }
 }
 
-/// What a run of a task takes of a worker's room, and what it is like.
+/// Returns the capacity that a run of a task takes on its worker, and the kind of the run.
 pub(crate) fn load_of(job: &Job, task: TaskId) -> Load {
     let Some(step) = job.find_step(task) else {
         return Load {
@@ -250,7 +249,7 @@
     }
 }
 
-/// What a run of a task takes of a worker's room.
+/// Returns the capacity that a run of a task takes on its worker.
 pub(crate) fn need_of(job: &Job, task: TaskId) -> Need {
     load_of(job, task).need
 }
