--- a/crates/jobs/src/cell/backlog.rs
+++ b/crates/jobs/src/cell/backlog.rs
@@ -1,8 +1,9 @@
-//! Foresees when a job that is handed in would be done, so that one that would come far too late is refused at once.
+//! Forecasts when a submitted job would be done, so that one that would end far too late is rejected at once.
 //!
-//! What waits for a service and what its pool can have of VMs tell how long a new job waits at the least. It is an
-//! estimate from callers' guesses of run times and learned paces, so that it errs for the job: VMs that other pools or
-//! the reserve could give count as if they were there, and where nothing is known a job is taken in.
+//! The backlog of a service and the number of VMs that its pool can have give a lower bound for the wait of a
+//! new job. Both rest on callers' estimates of run times and on learned correction factors, so that the
+//! forecast errs in favour of the job: VMs that other pools or the reserve could release count as available,
+//! and a job is accepted where nothing is known.
 
 use crate::{
     Cell, Need, Step, Submission, WorkspaceId,
@@ -11,32 +12,34 @@
 };
 use std::collections::HashMap;
 
-/// Up to how many times its objective a job of a workspace is taken in. What is foreseen to be later goes behind what can be
-/// in time as long as more comes than there is room for: of 426 jobs of a workspace that sent eight times its usual, 67 were
-/// taken in for nothing at 2 and 28 at 1.2, where 23 more were in time (tests/overload.rs).
+/// The highest forecast, as a multiple of the objective, at which a job of a workspace is accepted. Under
+/// sustained overload, jobs with a later forecast are queued behind those that can end in time. At a factor
+/// of 2, 67 of 426 jobs of a workspace that sent eight times its usual load were accepted in vain; at 1.2 it
+/// was 28, and 23 more ended in time (tests/overload.rs).
 const MAX_OBJECTIVE_FACTOR: f64 = 1.2;
 
-/// The same where there are no workspaces to be kept from each other: until then, what is late is worth something to its
-/// caller. With 1.2, 0.08 of what 1,100 VMs were asked for on a calm day was refused while the owner was short of processor
-/// time, and none with as much as it wants.
+/// The highest forecast, as a multiple of the objective, at which a job without a workspace is accepted. No
+/// workspaces have to be isolated from each other then, and a late result is still worth something to its
+/// caller. With 1.2, a share of 0.08 of the requests to 1,100 VMs on a calm day was rejected while the owner
+/// was short of processor time, and none when it had enough.
 const MAX_OBJECTIVE_FACTOR_WITHOUT_WORKSPACES: f64 = 3.0;
 
-/// The part of a pool's room that its jobs fill while others wait: sizes of tasks leave gaps.
+/// The share of a pool's capacity that its jobs use while others wait: the sizes of tasks leave gaps.
 const FILL_RATIO: f64 = 0.9;
 
-/// What is known of the work that waits for a service: cores times ms, with what was taken in since the last look.
+/// The work that waits for a service, in cores times ms, including jobs accepted since the last update.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Backlog {
-    /// All of it.
+    /// The work of all waiting jobs.
     work: f64,
-    /// That of each workspace.
+    /// The waiting work of each workspace.
     workspace_work: HashMap<WorkspaceId, f64>,
-    /// How many cores its pool can have.
+    /// The number of cores that the pool of the service can have.
     cores: f64,
 }
 
 impl Backlog {
-    /// Counts the work of a job.
+    /// Adds the work of a job.
     fn add(&mut self, workspace: Option<&WorkspaceId>, work: f64) {
         self.work += work;
         let Some(workspace) = workspace else { return };
@@ -46,8 +49,8 @@
         }
     }
 
-    /// How many ms of the pool's work go before a job: all that waits, or, where that is less, what its workspace has
-    /// waiting, by the part of the pool that it has beside the others that are at work.
+    /// Returns the wait before a job starts, in ms: the time for all waiting work, or, where that is less,
+    /// the time for the waiting work of its workspace at the workspace's share of the pool.
     fn queue_wait_ms(&self, workspace: Option<&WorkspaceId>, share: f64) -> f64 {
         let cores = self.cores * FILL_RATIO;
         let all = self.work / cores;
@@ -56,17 +59,18 @@
     }
 }
 
-/// What is foreseen of a job.
+/// The forecast for a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Forecast {
-    /// It may be done in time, or late, but while somebody waits for it.
+    /// The job may be done in time, or late but while its caller still waits for it.
     Worthwhile,
-    /// It would be done too late, and in so many ms there may be room for it.
+    /// The job would be done too late; there may be capacity for it in this many ms.
     TooLate(u64),
 }
 
 impl Cell {
-    /// Takes in how many thousandths of a core a service's pool can have, and sums up the work that waits for it.
+    /// Sets the processor time that a service's pool can have, in thousandths of a core, and sums up the work
+    /// that waits for the service.
     pub fn update_backlog(&mut self, service: &str, cpu: u64) {
         let mut backlog = Backlog {
             cores: cpu as f64 / 1_000.0,
@@ -80,7 +84,7 @@
         self.backlogs.insert(service.to_owned(), backlog);
     }
 
-    /// Whether a job that is handed in now would be done while somebody waits for it.
+    /// Forecasts whether a job that is submitted now would be done while its caller still waits for it.
     pub fn forecast(&self, submission: &Submission) -> Forecast {
         let backlog = self.backlogs.get(&submission.service);
         let known = backlog.filter(|backlog| backlog.cores > 0.0);
@@ -103,7 +107,8 @@
         Forecast::TooLate((wait_ms - allowed_ms) as u64)
     }
 
-    /// How many thousandths of a core of a service's pool its jobs can fill; none if that is not known.
+    /// Returns the processor time of a service's pool that its jobs can use, in thousandths of a core; none
+    /// if it is not known.
     pub(super) fn usable_cpu(&self, service: &str) -> Option<f64> {
         let backlog = self.backlogs.get(service);
         let cores = backlog
@@ -112,7 +117,7 @@
         cores.map(|cores| cores * 1_000.0 * FILL_RATIO)
     }
 
-    /// Counts a job that is taken in to the work that waits.
+    /// Adds an accepted job to the backlog of its service.
     pub(super) fn add_to_backlog(&mut self, submission: &Submission) {
         let factor = self.estimate_factor(&submission.queue);
         if let Some(backlog) = self.backlogs.get_mut(&submission.service) {
@@ -121,7 +126,8 @@
         }
     }
 
-    /// The work of a waiting task, or of the gang that it stands for, and whose it is.
+    /// Returns the work of a waiting task, or of the gang that it represents, and the workspace that it
+    /// belongs to.
     fn work_of(&self, rank: &Rank) -> Option<(Option<&WorkspaceId>, f64)> {
         let task = rank.task();
         let job = self
@@ -139,14 +145,15 @@
     }
 }
 
-/// The work of so many tasks of a step: cores times ms.
+/// Returns the work of a number of tasks of a step, in cores times ms.
 fn work(step: &Step, tasks: f64, factor: f64) -> f64 {
     let Need { cpu, .. } = step.need;
     let cpu = if step.fills { 0 } else { cpu };
     cpu as f64 / 1_000.0 * step.estimate as f64 * factor * tasks
 }
 
-/// Whether somebody waits for a job's end: it runs at once and ends by itself, and its queue says what is in time.
+/// Returns whether a job has an objective for its end: it starts at once, ends by itself, has estimates for
+/// all steps, and its queue defines when it is in time.
 fn has_objective(submission: &Submission) -> bool {
     let guessed = submission.spec.steps.iter().all(|step| step.estimate > 0);
     let ends = !submission.spec.lasts() && submission.spec.schedule.is_none();
--- a/crates/jobs/src/cell/demand.rs
+++ b/crates/jobs/src/cell/demand.rs
@@ -1,4 +1,5 @@
-//! How much room the jobs of a service ask for: what runs, what waits, and what comes.
+//! The capacity that the jobs of a service demand: for current runs, for waiting tasks, and for expected
+//! arrivals.
 
 use crate::{
     Cell, Job, JobId, Need, Step, StepId, Submission, arrivals::Inflow, cell::need_of,
@@ -6,40 +7,41 @@
 };
 use std::collections::BTreeMap;
 
-/// What the jobs of a service ask for.
+/// The demand of the jobs of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// What runs take.
+    /// The needs of current runs.
     pub busy: Need,
-    /// What waits for room.
+    /// The needs of tasks that wait for capacity.
     pub waiting: Need,
-    /// The part of it that cannot be in time any more.
+    /// The part of `waiting` whose tasks can no longer end in time.
     pub late: Need,
-    /// What the jobs that came of late will take, as long as as many come.
+    /// The needs of arriving jobs, assuming that they keep arriving at the recent rate.
     pub inflow: Need,
-    /// The same once a VM that is ordered now is there, if what comes goes on growing as it does.
+    /// The inflow at the time when a VM that is ordered now becomes available, assuming that the rate keeps
+    /// growing as it does now.
     pub forecast_inflow: Need,
-    /// Whether the service has had a job that ends by itself.
+    /// Whether the service has had a job whose steps all end by themselves.
     pub has_finite_jobs: bool,
-    /// How many workers the widest step needs whose tasks must be apart, and one more, so that a
-    /// task whose worker is lost or taken out finds another.
+    /// The number of workers for the widest step with anti-affinity, plus one, so that a task whose worker is
+    /// lost or disrupted finds another; 0 without such a step.
     pub anti_affinity_workers: usize,
-    /// The lasting tasks that found no room.
+    /// The long-running tasks that could not be placed.
     pub unschedulable: Unschedulable,
 }
 
-/// Lasting tasks that found no room at the last look, however much room the workers have in sum: what is free
-/// may be too small on each of them, or on workers that have such a task.
+/// Long-running tasks that could not be placed in the last pass. Free capacity may suffice in sum and yet be
+/// too small on each worker, or be on workers that anti-affinity excludes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Unschedulable {
-    /// What they need.
+    /// The sum of their needs.
     pub need: Need,
-    /// How many workers the most of one step need that must be apart.
+    /// The largest number of workers that the tasks of one step need because of anti-affinity.
     pub anti_affinity_workers: usize,
 }
 
 impl Unschedulable {
-    /// How many more workers with this room they need.
+    /// Returns how many more workers of this capacity the tasks need.
     pub fn workers(&self, capacity: Need) -> usize {
         let filled = self.need.workers_of(self.need.scarcest(capacity), capacity);
         self.anti_affinity_workers.max(filled.ceil() as usize)
@@ -47,7 +49,7 @@
 }
 
 impl Cell {
-    /// What the jobs of a service take, and what more they wait for.
+    /// Returns the demand of the jobs of a service.
     pub fn demand(&self, service: &str) -> Demand {
         let busy = Need::sum(self.workers.of(service).map(|worker| worker.used));
         let needs = |rank: &Rank| {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// The lasting tasks of a service that found no room at the last look.
+    /// Returns the long-running tasks of a service that could not be placed in its last pass.
     fn unschedulable_demand(&self, service: &str) -> Unschedulable {
         let mut unschedulable = Unschedulable::default();
         let mut steps: BTreeMap<StepId, u32> = BTreeMap::new();
@@ -99,13 +101,13 @@
         unschedulable
     }
 
-    /// What the jobs that come take, as long as as many come.
+    /// Returns the needs of arriving jobs, now and forecast.
     fn inflow(&self, service: &str) -> Inflow {
         let arrivals = self.arrivals.get(service);
         arrivals.map_or(Inflow::default(), |arrivals| arrivals.inflow(self.wall_ms))
     }
 
-    /// Notes the work of a job: what it needs, times seconds.
+    /// Records the work of an arriving job, as needs times seconds.
     pub(super) fn record_inflow(&mut self, submission: &Submission) {
         let factor = self.estimate_factor(&submission.queue);
         let finite = submission.spec.steps.iter().filter(|step| !step.lasting);
@@ -119,8 +121,8 @@
         arrivals.note(self.wall_ms, work);
     }
 
-    /// How many workers the widest step of a service's live jobs needs whose tasks must be apart, and one
-    /// more; 0 if there is no such step.
+    /// Returns the number of workers that the widest step with anti-affinity among a service's live jobs
+    /// needs, plus one; 0 if there is no such step.
     fn anti_affinity_workers(&self, service: &str) -> usize {
         let of_service = |id: &JobId| {
             self.jobs
@@ -135,7 +137,7 @@
         widest.map_or(0, |widest| widest + 1)
     }
 
-    /// Notes what a job asks for whose tasks must be apart.
+    /// Records how many workers a job needs because of anti-affinity.
     pub(super) fn record_anti_affinity(&mut self, id: JobId) {
         let workers = self.jobs.get(&id).and_then(widest_anti_affinity);
         self.anti_affinity_jobs
@@ -143,7 +145,8 @@
     }
 }
 
-/// How many workers the widest step of a job needs whose tasks must be apart; none if it has no such step.
+/// Returns the number of workers that the widest step of a job with anti-affinity needs; none without such a
+/// step.
 fn widest_anti_affinity(job: &Job) -> Option<usize> {
     let steps = job.given.spec.steps.iter();
     let apart = steps.filter_map(|step| Some(step.count.div_ceil(step.apart?)));
