--- a/crates/jobs/src/cell/ledger.rs
+++ b/crates/jobs/src/cell/ledger.rs
@@ -1,8 +1,8 @@
-//! Keeps what workspaces have running within their bounds.
+//! Keeps the usage of workspaces within their bounds.
 //!
-//! Tasks that wait for their workspace's bound are blocked apart from those that wait for room: they hold nobody else up,
-//! and no VM is ordered for them. They go back in their order as soon as the first of them may start, so that a large
-//! task is not passed by smaller ones of its workspace for ever.
+//! Tasks that wait for their workspace's bound are kept apart from those that wait for capacity: they delay
+//! no other task, and no VM is ordered for them. They are released in their order as soon as the first of
+//! them may start, so that smaller tasks of the same workspace cannot starve a large one.
 
 use crate::{
     Account, Bound, Cell, Charge, Job, JobId, Need, RunId, ServiceId, Step, Submission, TaskId,
@@ -13,18 +13,20 @@
     rc::Rc,
 };
 
-/// The accounts of workspaces, and the tasks that wait for them.
+/// The accounts of workspaces, and the tasks that are blocked by them.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
-    /// The accounts of the workspaces that have had a job.
+    /// The accounts of workspaces that have had a job.
     accounts: HashMap<WorkspaceId, Rc<Account>>,
     /// The bounds in force; none before a configuration is known.
     bounds: Option<HashMap<WorkspaceId, Bound>>,
-    /// The tasks that wait for their workspace's bound, in the order in which they go on.
+    /// The tasks that wait for their workspace's bound, in the order in which they are released.
     blocked: HashMap<WorkspaceId, BTreeSet<Rank>>,
-    /// What an earlier owner may have started without a record, by the service where it would run.
+    /// The charges for runs that an earlier owner may have started without a record, by the service in which
+    /// they would run.
     unrecorded: HashMap<ServiceId, Vec<Charge>>,
-    /// The workspaces that have begun or ceased to wait for their bounds since this was last asked.
+    /// The workspaces that have begun or ceased to wait for their bounds since the last call of
+    /// [`Cell::take_bound_waits`].
     changes: Vec<BoundWait>,
 }
 
@@ -33,17 +35,17 @@
 pub struct BoundWait {
     /// The workspace.
     pub workspace: WorkspaceId,
-    /// Whether it waits now.
+    /// Whether tasks of the workspace wait now.
     pub waits: bool,
-    /// What it has running, or may have.
+    /// The usage of the workspace, including runs that may exist.
     pub used: Need,
-    /// How much it may have running.
+    /// The upper bound of the usage.
     pub bound: Bound,
 }
 
 impl Ledger {
-    /// The account of a workspace. One that no configuration known here names may start nothing: the entry that took its
-    /// job knows a newer one, which comes here as well.
+    /// Returns the account of a workspace. A workspace that no known configuration names may start nothing:
+    /// the entry that accepted its job knows a newer configuration, which will arrive here as well.
     fn open(&mut self, id: &WorkspaceId) -> Rc<Account> {
         if let Some(account) = self.accounts.get(id) {
             return Rc::clone(account);
@@ -55,13 +57,13 @@
         account
     }
 
-    /// Whether anything of a workspace is blocked that goes before this.
+    /// Returns whether a blocked task of a workspace precedes this one.
     fn has_earlier_blocked(&self, id: &WorkspaceId, rank: &Rank) -> bool {
         let blocked = self.blocked.get(id);
         blocked.is_some_and(|ranks| ranks.first().is_some_and(|first| first < rank))
     }
 
-    /// Notes that a workspace begins or ceases to wait.
+    /// Records that a workspace begins or ceases to wait.
     fn record_change(&mut self, account: &Account, waits: bool) {
         self.changes.push(BoundWait {
             workspace: account.id.clone(),
@@ -73,8 +75,8 @@
 }
 
 impl Cell {
-    /// Puts the bounds of a configuration in force. A workspace that the configuration does not name any more keeps the
-    /// bound that it had; one that never had one here has none.
+    /// Puts the bounds of a configuration in force. A workspace that the configuration no longer names keeps
+    /// its previous bound; one that never had a bound here is unbounded.
     pub fn set_bounds(&mut self, bounds: impl IntoIterator<Item = (WorkspaceId, Bound)>) {
         let bounds: HashMap<WorkspaceId, Bound> = bounds.into_iter().collect();
         for (id, account) in &self.ledger.accounts {
@@ -86,22 +88,23 @@
         self.ledger.bounds = Some(bounds);
     }
 
-    /// What a workspace has running or may have, and how much it may; none if it has had no job.
+    /// Returns the usage and the bound of a workspace; none if it has had no job.
     pub fn account(&self, workspace: &str) -> Option<&Account> {
         self.ledger.accounts.get(workspace).map(Rc::as_ref)
     }
 
-    /// How many tasks of a workspace wait for its bound.
+    /// Returns how many tasks of a workspace wait for its bound.
     pub fn blocked_tasks(&self, workspace: &str) -> usize {
         self.ledger.blocked.get(workspace).map_or(0, BTreeSet::len)
     }
 
-    /// The workspaces that have begun or ceased to wait for their bounds since the last call.
+    /// Returns the workspaces that have begun or ceased to wait for their bounds since the last call.
     pub fn take_bound_waits(&mut self) -> Vec<BoundWait> {
         std::mem::take(&mut self.ledger.changes)
     }
 
-    /// Whether no task of a job, or gang of one, could ever start under the bound of its workspace as it is.
+    /// Returns whether a job has a task or gang that could never start under the current bound of its
+    /// workspace.
     pub fn exceeds_bound(&self, workspace: &str, steps: &[Step]) -> bool {
         let bounds = self.ledger.bounds.as_ref();
         let Some(bound) = bounds.and_then(|bounds| bounds.get(workspace)) else {
@@ -111,13 +114,13 @@
         steps.iter().any(never)
     }
 
-    /// Whether tasks of a job's workspace wait for its bound.
+    /// Returns whether tasks of a job's workspace wait for its bound.
     pub(super) fn is_at_bound(&self, submission: &Submission) -> bool {
         let workspace = submission.workspace.as_ref();
         workspace.is_some_and(|workspace| self.blocked_tasks(workspace) > 0)
     }
 
-    /// Gives a job the account of its workspace.
+    /// Assigns a job the account of its workspace.
     pub(super) fn open_account(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -127,12 +130,13 @@
         }
     }
 
-    /// What a run of a task takes of its workspace's account; none if the job belongs to no workspace.
+    /// Returns the charge that a run of a task adds to its workspace's account; none if the job belongs to no
+    /// workspace.
     pub(crate) fn charge(&self, task: TaskId) -> Option<Charge> {
         charge_of(self.jobs.get(&task.job)?, task)
     }
 
-    /// Whether a waiting task, or the gang that it stands for, must wait for its workspace's bound.
+    /// Returns whether a waiting task, or the gang that it represents, must wait for its workspace's bound.
     pub(crate) fn waits_for_bound(&self, rank: &Rank) -> bool {
         let task = rank.task();
         let Some((job, account)) = self.account_of(task) else {
@@ -144,8 +148,8 @@
         !account.allows(start_need(step)) || self.ledger.has_earlier_blocked(&account.id, rank)
     }
 
-    /// Whether a start that has been decided goes over its workspace's bound by now: it may have waited for its record while
-    /// the bound was lowered.
+    /// Returns whether a start that has been decided now exceeds its workspace's bound: the bound may have
+    /// been lowered while the start waited for its record.
     pub(super) fn is_over_bound(&self, task: TaskId) -> bool {
         let Some((job, account)) = self.account_of(task) else {
             return false;
@@ -154,7 +158,7 @@
         step.is_some_and(|step| account.is_over(start_need(step)))
     }
 
-    /// Takes the starts of a task, or of its whole gang, back that have not been sent.
+    /// Withdraws the starts of a task, or of its whole gang, that have not been sent.
     pub(super) fn withdraw_starts(&mut self, task: TaskId) {
         for member in self.members(task) {
             let Some((worker, run)) = self.unsent_run(member) else {
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Where a task's current run is to start, if its start has not been sent.
+    /// Returns the worker and the number of a task's current run if its start has not been sent.
     fn unsent_run(&self, task: TaskId) -> Option<(WorkerId, RunId)> {
         let job = self.jobs.get(&task.job)?;
         let state = job.task(task.round, task.step, task.index)?;
@@ -178,13 +182,13 @@
         run.sent.is_none().then(|| (worker.clone(), state.run))
     }
 
-    /// A task's job and the account of its workspace.
+    /// Returns a task's job and the account of its workspace.
     fn account_of(&self, task: TaskId) -> Option<(&Job, &Rc<Account>)> {
         let job = self.jobs.get(&task.job)?;
         Some((job, job.account.as_ref()?))
     }
 
-    /// Takes a task out of those that wait for room, until its workspace's bound allows it.
+    /// Moves a task from those that wait for capacity to those that wait for their workspace's bound.
     pub(crate) fn block_on_bound(&mut self, service: &str, rank: &Rank) {
         let Some((_, account)) = self.account_of(rank.task()) else {
             return;
@@ -200,7 +204,7 @@
         }
     }
 
-    /// Lets the blocked tasks wait for room again that their workspaces' bounds allow now.
+    /// Moves the blocked tasks that their workspaces' bounds now allow back to those that wait for capacity.
     pub(crate) fn unblock_tasks(&mut self) {
         let ids: Vec<WorkspaceId> = self.ledger.blocked.keys().cloned().collect();
         for id in ids {
@@ -208,7 +212,7 @@
         }
     }
 
-    /// The same for one workspace: as many of its first tasks as may start together.
+    /// Unblocks as many of a workspace's first tasks as may start together.
     fn unblock_workspace(&mut self, id: &WorkspaceId) {
         let Some(account) = self.ledger.accounts.get(id).cloned() else {
             return;
@@ -219,13 +223,13 @@
                 .jobs
                 .get(&rank.task().job)
                 .filter(|_| !self.is_stale(rank.task()));
-            let place = open.and_then(|job| {
+            let queued_start = open.and_then(|job| {
                 Some((
                     job.given.service.clone(),
                     start_need(job.find_step(rank.task())?),
                 ))
             });
-            if let Some((service, need)) = place {
+            if let Some((service, need)) = queued_start {
                 if !account.bound().allows(promised, need) {
                     return;
                 }
@@ -242,12 +246,12 @@
         self.ledger.record_change(&account, false);
     }
 
-    /// The first of a workspace's blocked tasks.
+    /// Returns the first of a workspace's blocked tasks.
     fn first_blocked(&self, id: &WorkspaceId) -> Option<Rank> {
         self.ledger.blocked.get(id)?.first().copied()
     }
 
-    /// Forgets the blocked tasks of a job.
+    /// Removes the blocked tasks of a job.
     pub(super) fn forget_blocked_tasks(&mut self, id: JobId) {
         let Some(account) = self.jobs.get(&id).and_then(|job| job.account.clone()) else {
             return;
@@ -257,8 +261,8 @@
         }
     }
 
-    /// Charges what an earlier owner may have started without a record: of the jobs that the log holds, every task that
-    /// has not ended and is not recorded as placed.
+    /// Charges the runs that an earlier owner may have started without a record: one for every task of a
+    /// durable job that has not ended and is not recorded as placed.
     pub(super) fn charge_unrecorded(&mut self) {
         let mut charges: HashMap<ServiceId, Vec<Charge>> = HashMap::new();
         for job in self.jobs.values().filter(|job| !job.phase.is_over()) {
@@ -275,25 +279,26 @@
         self.ledger.unrecorded = charges;
     }
 
-    /// The services for which unrecorded runs of an earlier owner are charged.
+    /// Returns the services for which unrecorded runs of an earlier owner are charged.
     pub(crate) fn unrecorded_services(&self) -> Vec<ServiceId> {
         self.ledger.unrecorded.keys().cloned().collect()
     }
 
-    /// All workers of a service have been met, or their leases have run out: nothing of it runs unknown.
+    /// Removes the charges for unrecorded runs of a service. The caller has made sure that all its workers
+    /// have been contacted or that their leases have expired, so that no unknown run is left.
     pub(crate) fn release_unrecorded(&mut self, service: &str) {
         self.ledger.unrecorded.remove(service);
     }
 }
 
-/// What a run of a task takes of its workspace's account.
+/// Returns the charge that a run of a task adds to its workspace's account.
 pub(crate) fn charge_of(job: &Job, task: TaskId) -> Option<Charge> {
     let account = job.account.as_ref()?;
     let step = job.find_step(task)?;
     Some(Charge::new(account, step.need))
 }
 
-/// What starts at once of a step: one task, or all of a gang.
+/// Returns the need of what starts together: one task, or all tasks of a gang.
 fn start_need(step: &Step) -> Need {
     match step.gang {
         true => step.need.times(f64::from(step.count)),
