--- a/crates/jobs/src/cell/shares.rs
+++ b/crates/jobs/src/cell/shares.rs
@@ -1,12 +1,14 @@
-//! Which jobs a workspace hands in beyond its part of a service that is full.
+//! Determines which jobs exceed their workspace's share of a service under overload.
 //!
-//! Each workspace has a part of a service by its weight; what one does not use goes to the others. Virtual time tells how
-//! much each has handed in: a job begins behind the work that its workspace has handed in before, which passes the slower
-//! the more weight the workspace has (start-time fair queueing). A job that would be far too late by its workspace's own part
-//! goes behind the others: a workspace that sends eight times its usual waits for itself.
+//! Each workspace has a share of a service by its weight, and unused shares go to the others. Virtual time
+//! measures how much each workspace has submitted: a job starts, in virtual time, after all earlier work of
+//! its workspace, which elapses more slowly the higher the weight of the workspace (start-time fair
+//! queueing). A job that would be far too late if its workspace had only its own share is queued behind the
+//! others, so that a workspace that sends eight times its usual load delays only itself.
 //!
-//! All others go as they came. With virtual time as the order of all jobs, those that are in a hurry wait for smaller
-//! workspaces also where there is room enough for all in time, which costs more on a usual day than it gains.
+//! All other jobs stay in order of arrival. With virtual time as the order of all jobs, urgent jobs would
+//! wait for smaller workspaces even where capacity suffices for all in time, which costs more on a usual day
+//! than it gains.
 
 use crate::{
     Cell, Job, JobId, ServiceId, WorkspaceId,
@@ -14,20 +16,21 @@
 };
 use std::collections::HashMap;
 
-/// From how many times its objective on a job counts as beyond its workspace's part, if it had that part alone. Nearer,
-/// workspaces that send a little more than usual at a peak go behind where there is room for all in time.
+/// The forecast, as a multiple of the objective, above which a job exceeds its workspace's share, if the
+/// workspace had only that share. With a lower factor, workspaces slightly above their usual load at a peak
+/// are queued behind the others although capacity suffices for all in time.
 const OVER_SHARE_FACTOR: f64 = 3.0;
 
-/// The virtual time of a service: thousandths of a core times ms, by a weight of 1.
+/// The virtual time of a service, in thousandths of a core times ms for a workspace of weight 1.
 #[derive(Debug, Default)]
 struct VirtualClock {
-    /// The latest moment at which a job that has begun was to begin.
+    /// The latest virtual start time of a job that has begun.
     now: f64,
-    /// Up to where each workspace has handed in work.
+    /// The virtual time at which the submitted work of each workspace ends.
     finish_times: HashMap<WorkspaceId, f64>,
 }
 
-/// The weights of workspaces, and how far each has come at each service.
+/// The weights of workspaces, and the virtual time of each service.
 #[derive(Debug, Default)]
 pub(super) struct Shares {
     weights: HashMap<WorkspaceId, f64>,
@@ -35,7 +38,8 @@
 }
 
 impl Shares {
-    /// Takes in a job of so much work. Returns when it begins in virtual time, and how long after the jobs that begin now.
+    /// Adds a job with this work. Returns its virtual start time, and how far that is ahead of the service's
+    /// virtual time.
     fn submit(&mut self, service: &str, workspace: &WorkspaceId, work: f64) -> (f64, f64) {
         let weight = self.weight(workspace);
         let clock = self.clocks.entry(service.to_owned()).or_default();
@@ -45,8 +49,8 @@
         (begin, begin - clock.now)
     }
 
-    /// The weights of the workspaces that are at work at a service, and that of this one: those whose last job is still to
-    /// begin, or has just begun.
+    /// Returns the sum of the weights of the workspaces that are active at a service, always including the
+    /// given one. A workspace is active until virtual time has passed the end of its submitted work.
     fn active_weight(&self, service: &str, workspace: &str) -> f64 {
         let own = self.weight(workspace);
         let Some(clock) = self.clocks.get(service) else {
@@ -57,12 +61,12 @@
         own + active.map(|(id, _)| self.weight(id)).sum::<f64>()
     }
 
-    /// The part of a service that a workspace has beside the others that are at work there.
+    /// Returns the share of a service that a workspace has among the active ones.
     pub(super) fn share(&self, service: &str, workspace: &str) -> f64 {
         self.weight(workspace) / self.active_weight(service, workspace)
     }
 
-    /// The weight of a workspace; 1 of one that has none.
+    /// Returns the weight of a workspace; 1 if none is set.
     fn weight(&self, workspace: &str) -> f64 {
         let weight = self.weights.get(workspace).copied();
         let known = weight.filter(|weight| weight.is_finite() && *weight > 0.0);
@@ -71,12 +75,12 @@
 }
 
 impl Cell {
-    /// Sets the weights of workspaces: their parts of a service that is full.
+    /// Sets the weights of workspaces, which determine their shares of a service under overload.
     pub fn set_weights(&mut self, weights: impl IntoIterator<Item = (WorkspaceId, f64)>) {
         self.shares.weights = weights.into_iter().collect();
     }
 
-    /// Finds out whether a job is beyond its workspace's part.
+    /// Sets the virtual start time of a job and whether the job exceeds its workspace's share.
     pub(super) fn assign_virtual_start(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -100,7 +104,7 @@
         }
     }
 
-    /// The same for the jobs that an earlier owner left, in the order in which they came.
+    /// Sets the virtual start times of the jobs that an earlier owner left, in their order of arrival.
     pub(super) fn assign_virtual_starts(&mut self) {
         let open = self.jobs.values().filter(|job| !job.phase.is_over());
         let mut jobs: Vec<(u64, JobId)> = open.map(|job| (job.order, job.given.id)).collect();
@@ -109,7 +113,7 @@
             .for_each(|(_, id)| self.assign_virtual_start(id));
     }
 
-    /// A run of a job is ordered: virtual time goes on to where the job begins.
+    /// Advances the virtual time of a service to the virtual start time of a job of which a run is ordered.
     pub(crate) fn advance_virtual_time(&mut self, id: JobId) {
         let Some(Job { given, begins, .. }) = self.jobs.get(&id) else {
             return;
--- a/crates/jobs/src/cell/slack.rs
+++ b/crates/jobs/src/cell/slack.rs
@@ -1,21 +1,23 @@
-//! How much time in hand a job needs at its start to end in time.
+//! Learns how much slack a job needs at its start to end in time.
 //!
-//! Callers' guesses are far off, a step ends with the last of its tasks, and ends are heard of some ms later. Where more
-//! comes than there is room for, the first in the queue would always be the job that can just be in time by the guesses:
-//! most of those that start so end late, and keep the room from jobs that would not. How much in hand does is learned for
-//! each queue from what became of jobs: a job that ended late though it began with more raises it, one that ended in time
-//! though it began with less lowers it, so that as many are misjudged one way as the other.
+//! Callers' estimates are inaccurate, a step ends with the last of its tasks, and ends are reported some ms
+//! late. Under overload, the first job in the queue would always be one that the estimates show to end just
+//! in time: most of these end late, and take capacity from jobs that would not. The required slack is
+//! therefore learned for each queue from the outcomes of jobs: a late job that started with at least the
+//! required slack raises it, and a job that ended in time with less lowers it, so that errors in both
+//! directions balance.
 
 use crate::{Cell, Job, JobId, QueueId};
 use std::collections::HashMap;
 
-/// By how much one job changes what is learned: a peak of 20 late jobs makes it two fifths.
+/// The change of the required slack by one job: a peak of 20 late jobs raises it to two fifths.
 const LEARNING_STEP: f64 = 0.02;
 
-/// The most that is asked for, as a part of the work that is left. More would give up what can still be in time.
+/// The upper limit of the required slack, as a fraction of the remaining work. A higher one would write off jobs
+/// that can still end in time.
 const MAX_SLACK_RATIO: f64 = 0.6;
 
-/// What is learned, by queue: the time in hand as a part of the work that is left.
+/// The required slack of each queue, as a fraction of the remaining work.
 #[derive(Debug, Default)]
 pub(super) struct SlackTargets(HashMap<QueueId, f64>);
 
@@ -24,7 +26,7 @@
         self.0.get(queue).copied().unwrap_or(0.0)
     }
 
-    /// Learns from a job that began with so much in hand.
+    /// Updates the required slack of a queue with the outcome of a job that started with this slack.
     fn learn(&mut self, queue: &str, slack: f64, in_time: bool) {
         let target = self.of(queue);
         let change = match in_time {
@@ -40,7 +42,8 @@
 }
 
 impl Cell {
-    /// The part of its work that a job must have in hand to be begun: none once it has begun.
+    /// Returns the slack that a job needs to start, as a fraction of its remaining work: 0 once the job has
+    /// begun.
     pub(super) fn required_slack(&self, job: &Job) -> f64 {
         match job.in_hand {
             None => self.slack_targets.of(&job.given.queue),
@@ -48,7 +51,7 @@
         }
     }
 
-    /// Notes how much a job has in hand as its first run is ordered.
+    /// Records the slack of a job when its first run is ordered.
     pub(crate) fn record_slack(&mut self, id: JobId) {
         let wall_ms = self.wall_ms as f64;
         let Some(job) = self.jobs.get(&id) else {
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Learns from a job that is done.
+    /// Updates the required slack of the queue with the outcome of a job that is done.
     pub(super) fn learn_slack(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
