--- a/crates/jobs/src/cell/durable.rs
+++ b/crates/jobs/src/cell/durable.rs
@@ -1,4 +1,4 @@
-//! What has to be recorded, what waits for that, and what need not wait.
+//! Collects what has to be recorded, the orders that wait for records, and the orders that need none.
 
 use crate::{
     Batch, Cell, JobId, Order,
@@ -7,23 +7,23 @@
 use std::collections::BTreeSet;
 
 impl Cell {
-    /// The state of a job has changed and is to be recorded.
+    /// Marks a job whose state has changed and is to be recorded.
     pub(crate) fn mark_dirty(&mut self, id: JobId) {
         self.dirty.insert(id);
     }
 
-    /// The ends of a worker up to this number have been taken in: once the next batch is durable, the
-    /// worker may forget them.
+    /// Records that the ends of a worker up to this number have been processed. The worker may forget them
+    /// once the next batch is durable.
     pub(crate) fn acknowledge_ends(&mut self, worker: &str, number: u64) {
         self.acknowledged.insert(worker.into(), number);
     }
 
-    /// The VMs that have had their upkeep in a wave.
+    /// Returns the VMs that have been maintained in a wave.
     pub fn maintained_vms(&self, wave: u64) -> BTreeSet<String> {
         self.maintained_vms.get(&wave).cloned().unwrap_or_default()
     }
 
-    /// A VM has had its upkeep in a wave.
+    /// Records that a VM has been maintained in a wave.
     pub fn record_maintenance(&mut self, wave: u64, vm: &str) {
         if self
             .maintained_vms
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Takes the orders that need no record: stops and changes of pace.
+    /// Takes the orders that need no record: stops, changes of pace, and requests for permits.
     pub fn take_urgent(&mut self) -> Vec<Order> {
         std::mem::take(&mut self.urgent)
     }
 
-    /// Takes the starts of jobs that are durable themselves, from those that wait for their records:
-    /// while the log is away, work goes on with what it holds.
+    /// Extracts the starts of jobs that are durable themselves from those that wait for their records. During
+    /// a store outage, work continues with the jobs that the log holds.
     pub fn extract_durable_starts(&self, starts: &mut Vec<Order>) -> Vec<Order> {
         let is_durable = |order: &mut Order| match order {
             Order::Start { task, .. } => self
@@ -53,7 +53,7 @@
         starts.extract_if(.., is_durable).collect()
     }
 
-    /// Takes the starts that wait for a batch, where their jobs are durable.
+    /// Takes the starts of durable jobs from those that wait for the next batch.
     pub fn take_durable_starts(&mut self) -> Vec<Order> {
         let mut starts = std::mem::take(&mut self.starts);
         let durable = self.extract_durable_starts(&mut starts);
@@ -61,7 +61,7 @@
         durable
     }
 
-    /// Takes the records and starts that have come up since the last batch.
+    /// Takes the records and starts that have accumulated since the last batch.
     pub fn take_batch(&mut self) -> Batch {
         let mut batch = Batch::default();
         let dirty: Vec<JobId> = self.dirty.drain().collect();
@@ -92,7 +92,7 @@
         batch
     }
 
-    /// The records of a batch are durable: what they say may be shown.
+    /// Publishes the states in a batch whose records are durable.
     pub fn confirm(&mut self, batch: &Batch) {
         self.vm_orders.durable = self.vm_orders.durable.max(batch.ordered);
         for (id, phase) in &batch.shown {
--- a/crates/jobs/src/cell/takeover.rs
+++ b/crates/jobs/src/cell/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new owner makes of the records that the owners before it left.
+//! Restores the state of a cell from the records that earlier owners left.
 
 use crate::{
     Cell, Job, JobId, JobSpec, QueueId, RunId, ServiceId, Submission, Task, TaskId, TaskPhase,
@@ -7,9 +7,10 @@
 use std::collections::HashMap;
 
 impl Cell {
-    /// Restores the jobs from what the log holds, in any order of records. What an earlier owner
-    /// had placed stays placed until its worker has reported or has been given up. Returns the jobs that are left out,
-    /// since their records do not fit each other: an owner that ended on one would take each next one with it.
+    /// Restores the jobs from the records of the log, which may come in any order. Tasks that an earlier
+    /// owner had placed stay placed until their worker has reported or has been abandoned. Returns the jobs
+    /// that are left out because their records are inconsistent: if an owner failed on one of these, each
+    /// following owner would fail on it as well.
     pub fn load_records(&mut self, records: Vec<Decoded>) -> Vec<JobId> {
         let mut states = HashMap::new();
         for record in records {
@@ -47,8 +48,8 @@
                 job.shown = None;
             }
         }
-        // What was handed in is written in one call with its state: one without the other is a record
-        // that was lost or never complete, and must not stop the takeover.
+        // The submission and the state of a job are written in one call. One without the other is a record
+        // that was lost or never completed, and must not stop the takeover.
         let is_whole = |job: &Job| {
             let known = job.phase.is_over() || !job.given.spec.steps.is_empty();
             job.shown.is_some() && known
@@ -61,7 +62,7 @@
         invalid
     }
 
-    /// Takes in what an earlier owner placed of a job, and lets what waits of it wait on.
+    /// Restores the runs that an earlier owner placed for a job, and queues the job's waiting tasks.
     fn restore_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -84,7 +85,7 @@
     }
 }
 
-/// What stands for a job that is over and of which only the outcome is kept.
+/// Returns an empty submission for a job that is over and of which only the outcome is kept.
 fn finished_submission(id: JobId) -> Submission {
     let spec = JobSpec {
         text: String::new(),
@@ -106,7 +107,7 @@
     }
 }
 
-/// The runs that the records of a job name, each with its worker.
+/// Returns the runs that the records of a job name, each with its worker.
 fn placed_runs(job: &Job) -> Vec<(WorkerId, TaskId, RunId)> {
     let run = |(id, task): (TaskId, &Task)| match &task.phase {
         TaskPhase::Placed(worker) => Some((worker.clone(), id, task.run)),
--- a/crates/jobs/src/cell/takeover_barrier.rs
+++ b/crates/jobs/src/cell/takeover_barrier.rs
@@ -1,29 +1,30 @@
-//! What a new owner has to know before the tasks that waited under the one before it may start.
+//! Holds back tasks that waited under an earlier owner until their workers have been contacted.
 
 use crate::{Cell, ServiceId, WorkerName};
 use clock::Instant;
 use std::collections::HashMap;
 
-/// What has to be known before the tasks that waited under an earlier owner start.
+/// The conditions that must hold before tasks that waited under an earlier owner may start.
 #[derive(Debug, Default)]
 pub(crate) struct TakeoverBarrier {
-    /// The jobs before this place in the order of arrival are held.
+    /// The position of the first job that this owner accepted in the order of arrival. Earlier jobs are held
+    /// back.
     first_own_order: u64,
-    /// When nothing of the earlier owner can run any more.
+    /// The time after which no run of the earlier owner can exist any more.
     expires: Option<Instant>,
     /// Whether the list of workers has been read.
     pub(crate) listed: bool,
-    /// Whether the list of VMs is to be read, too.
+    /// Whether the list of VMs still has to be read as well.
     awaits_vm_list: bool,
-    /// Workers of VMs that have not been met.
+    /// The workers on listed VMs that have not been contacted yet.
     pub(crate) expected_workers: HashMap<WorkerName, ServiceId>,
 }
 
 impl Cell {
-    /// Keeps what waited under an earlier owner from starting until its workers have been met: while
-    /// the log was away, that owner may have started runs that it could not record. Its leases have
-    /// run out at `expires`. If the log was away of late, the list of workers may lack some that live,
-    /// and the list of VMs is asked, too.
+    /// Keeps tasks that waited under an earlier owner from starting until its workers have been contacted:
+    /// during a store outage, that owner may have started runs that it could not record. Its leases have
+    /// expired at `expires`. After a recent store outage the list of workers may lack some that are alive, so
+    /// that the list of VMs is read as well.
     pub fn raise_takeover_barrier(&mut self, expires: Instant, store_outage: bool) {
         self.takeover_barrier = TakeoverBarrier {
             first_own_order: self.next_order,
@@ -34,8 +35,8 @@
         self.charge_unrecorded();
     }
 
-    /// Frees the accounts of what an earlier owner may have started without a record, by service, once nothing of it can
-    /// run unknown.
+    /// Removes the charges for runs that an earlier owner may have started without a record, for each service
+    /// in which no unknown run can exist any more.
     pub(crate) fn release_unrecorded_charges(&mut self, now: Instant) {
         for service in self.unrecorded_services() {
             if !self.is_blocked_by_barrier(0, &service, now) {
@@ -44,12 +45,12 @@
         }
     }
 
-    /// The list of workers has been read for the first time.
+    /// Records that the list of workers has been read for the first time.
     pub fn mark_listed(&mut self) {
         self.takeover_barrier.listed = true;
     }
 
-    /// The list of VMs has been read for the first time: these workers run on them.
+    /// Records that the list of VMs has been read for the first time; these are the workers that run on them.
     pub fn expect_workers(&mut self, workers: impl IntoIterator<Item = (WorkerName, ServiceId)>) {
         let current = |name: &WorkerName| self.workers.get(self.incarnations.current(name)?);
         let was_contacted = |name: &WorkerName| current(name).is_some_and(|worker| worker.met);
@@ -59,7 +60,7 @@
         self.takeover_barrier.awaits_vm_list = false;
     }
 
-    /// Whether a task waits for workers to be met.
+    /// Returns whether a task is held back until workers have been contacted.
     pub(crate) fn is_blocked_by_barrier(&self, order: u64, service: &str, now: Instant) -> bool {
         let barrier = &self.takeover_barrier;
         if order >= barrier.first_own_order || barrier.expires.is_some_and(|at| now >= at) {
--- a/crates/jobs/src/cell/withdraw.rs
+++ b/crates/jobs/src/cell/withdraw.rs
@@ -1,14 +1,14 @@
-//! Gives a job back of which nothing has left the owner.
+//! Withdraws a job of which nothing has left the owner.
 //!
-//! While the log is away, jobs that were taken in wait for their records, longer than their callers do. A
-//! caller who was told nothing cannot know whether the job runs later; one whose job is given back is told
-//! that it never does, and may hand it in again. Besides, the room is not taken by work that nobody waits for.
+//! During a store outage, accepted jobs wait for their records longer than their callers do. A caller without
+//! a response cannot know whether its job will still run. If the job is withdrawn, the caller is told that it
+//! never will, and may submit it again; besides, no capacity is spent on work that nobody waits for.
 
 use crate::{Cell, JobId, Order, RunId, TaskId, WorkerId};
 
 impl Cell {
-    /// Takes a job out that has been taken in and of which neither a record nor a start has been handed on;
-    /// false if something has been, or the job is over, or is not known.
+    /// Removes a job of which neither a record nor a start has been passed on. Returns false if one has been,
+    /// or if the job is over or unknown.
     pub fn withdraw(&mut self, id: JobId) -> bool {
         let open = self.jobs.get(&id).filter(|job| !job.phase.is_over());
         let Some(service) = open.map(|job| job.given.service.clone()) else {
@@ -33,7 +33,7 @@
         true
     }
 
-    /// Takes the starts of a job from those that wait for their records.
+    /// Removes the starts of a job from those that wait for their records, and returns them.
     fn take_starts(&mut self, id: JobId) -> Vec<(WorkerId, TaskId, RunId)> {
         let of_job =
             |order: &mut Order| matches!(order, Order::Start { task, .. } if task.job == id);
