--- a/crates/jobs/src/cell/ends.rs
+++ b/crates/jobs/src/cell/ends.rs
@@ -1,10 +1,10 @@
-//! What the end of a run means for its task, and the end of a job for its runs.
+//! Processes the ends of runs and of jobs.
 
 use crate::{Cell, How, Job, JobId, Phase, Round, RunId, Step, TaskId, TaskPhase, WorkerId};
 use std::{mem, ops::Range};
 
 impl Cell {
-    /// Deals with the end of a run, once: `worker` has listed it.
+    /// Processes the end of a run that `worker` has listed. Callers pass each end once.
     pub(crate) fn end_run(
         &mut self,
         worker: &str,
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Notes the number and the saved progress of a run that has ended. The step that it belongs to,
-    /// unless its job is over or has no such task.
+    /// Records the number and the saved progress of a run that has ended. Returns the step that it belongs
+    /// to, unless its job is over or has no such task.
     fn record_end(&mut self, task: TaskId, run: RunId, saved: &str) -> Option<&Step> {
         let job = self.jobs.get_mut(&task.job)?;
         if job.phase.is_over() {
@@ -45,12 +45,12 @@
         if !saved.is_empty() {
             state.saved = saved.to_owned();
         }
-        // An earlier owner may have started it without a record; numbers must go on rising.
+        // An earlier owner may have started the run without a record; run numbers must keep rising.
         state.top = state.top.max(run);
         job.find_step(task)
     }
 
-    /// Counts a failed run, once; true if it was the last that the task, or its gang, may have.
+    /// Counts a failed run once. Returns whether the task, or its gang, has used up its attempts.
     fn count_failure(&mut self, task: TaskId, run: RunId, gang: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
@@ -66,7 +66,7 @@
         state.failed.len() >= attempts
     }
 
-    /// Marks a task, or its whole gang, as done and lets what waited for it begin.
+    /// Marks a task, or its whole gang, as done, and queues the steps that depended on it.
     fn complete(&mut self, task: TaskId, gang: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -87,7 +87,7 @@
         let ended = *open == 0;
         let over = job.rounds.iter().all(Round::is_done);
         if !gang {
-            // A late end of an earlier run counts; the later run has nothing left to do.
+            // The late end of an earlier run completes the task as well, so that later runs are stopped.
             placed
                 .iter()
                 .for_each(|(on, task, run)| self.stop_run(on, *task, *run));
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Ends a job and stops what runs of it.
+    /// Ends a job and stops its runs.
     pub(super) fn finish(&mut self, id: JobId, phase: Phase) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Forgets what a job asked for that is over or gone: room apart, permits, and times that have not come.
+    /// Removes the requests of a job that is over or withdrawn: anti-affinity, suspicions, permits and
+    /// timers.
     pub(super) fn clear_job_requests(&mut self, id: JobId) {
         self.anti_affinity_jobs.remove(&id);
         self.suspicions.drop_job(id);
@@ -125,7 +126,7 @@
         self.round_timers.retain(|(_, job, _)| *job != id);
     }
 
-    /// All runs of a job that workers of its service have, or may have.
+    /// Returns all runs of a job that workers of its service have or may have.
     fn runs_of(&self, id: JobId, service: &str) -> Vec<(WorkerId, TaskId, RunId)> {
         let first = TaskId {
             job: id,
@@ -151,9 +152,9 @@
 
 /// The tasks of a step that have just been marked as done.
 struct CompletedTasks {
-    /// How many were not done before.
+    /// The number of tasks that were not done before.
     count: u32,
-    /// The runs that they were placed with.
+    /// The runs that the tasks were placed with.
     placed: Vec<(WorkerId, TaskId, RunId)>,
 }
 
--- a/crates/jobs/src/cell/queue.rs
+++ b/crates/jobs/src/cell/queue.rs
@@ -1,9 +1,9 @@
-//! Which tasks wait for room, and when their turn comes.
+//! Queues tasks that are ready to run until capacity is available.
 
 use crate::{Cell, JobId, TaskId, TaskPhase, rank::Rank};
 
 impl Cell {
-    /// Marks the rounds whose time has come; `wall` is the time of day in ms since 1970.
+    /// Marks the rounds that are due; `wall_ms` is the time of day in ms since 1970.
     pub fn mark_due(&mut self, wall_ms: u64) {
         self.wall_ms = wall_ms;
         while let Some((at, id, round)) = self.round_timers.first().copied() {
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Whether a task can no longer be in time, even if it starts now: its room does more good where
-    /// another one is.
+    /// Returns whether a task would miss its objective even if it started now. Capacity is better spent on
+    /// tasks that can still end in time.
     pub(crate) fn is_late(&self, task: TaskId) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
@@ -33,7 +33,7 @@
         self.wall_ms as f64 + left * (1.0 + self.required_slack(job)) > job.goal(task.round, factor)
     }
 
-    /// Puts a task back among those that wait.
+    /// Returns a task to the waiting state and queues it again.
     pub(crate) fn requeue(&mut self, task: TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -49,7 +49,7 @@
         self.enqueue_step(task.job, task.round, task.step);
     }
 
-    /// Notes when the rounds of a job fall due; those that need not wait are due at once.
+    /// Sets timers for the rounds of a job that are due later, and marks the others as due.
     pub(super) fn set_timers(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Lets the tasks of a job wait for room where their turn has come.
+    /// Queues all tasks of a job that are ready to run.
     pub(super) fn enqueue_all(&mut self, id: JobId) {
         let rounds = self.jobs.get(&id).map_or(0, |job| job.rounds.len() as u32);
         (0..rounds).for_each(|round| self.enqueue_round(id, round));
     }
 
-    /// The same for the tasks of one round.
+    /// Queues the tasks of one round that are ready to run.
     pub(super) fn enqueue_round(&mut self, id: JobId, round: u32) {
         let steps = self
             .jobs
@@ -79,8 +79,8 @@
         (0..steps).for_each(|step| self.enqueue_step(id, round, step));
     }
 
-    /// Lets the tasks of a step wait for room, if the step's turn has come. A gang waits as one, and
-    /// only once none of its members may still run.
+    /// Queues the tasks of a step if the step is ready. A gang is queued as one, and only once none of its
+    /// members may still run.
     fn enqueue_step(&mut self, id: JobId, round: u32, step: u32) {
         let Some(job) = self.jobs.get(&id) else {
             return;
--- a/crates/jobs/src/cell/runs.rs
+++ b/crates/jobs/src/cell/runs.rs
@@ -1,19 +1,20 @@
-//! What becomes of the orders to start and to stop runs.
+//! Processes the responses to orders that start or stop runs.
 
 use crate::{Cell, Order, Refusal, RunId, RunPhase, TaskId, worker::RunState};
 use clock::Instant;
 use std::time::Duration;
 
-/// For how long a worker gets no new runs after it refused one for want of room: its own count of its
-/// room is ahead of ours by one report at the most.
+/// The time for which a worker gets no new runs after it refused one for lack of capacity. Its own view of
+/// its capacity is at most one report ahead of the owner's.
 const FULL_SUSPENSION: Duration = Duration::from_millis(200);
 
-/// For how long a worker gets no new runs after it was not well, took no connection, or has not told
-/// its clock.
+/// The time for which a worker gets no new runs after it was unhealthy, refused a connection, or has not
+/// reported its clock.
 const UNHEALTHY_SUSPENSION: Duration = Duration::from_millis(1_000);
 
 impl Cell {
-    /// Whether a start whose record is durable is still to be sent. One that is not is taken back.
+    /// Returns whether a start whose record is durable is still to be sent, and marks it as sent. Withdraws
+    /// it otherwise.
     pub fn prepare_start(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) -> bool {
         if self.is_over_bound(task) {
             self.withdraw_starts(task);
@@ -22,7 +23,7 @@
         let Some(host) = self.workers.get_mut(worker) else {
             return false;
         };
-        // Its room may have shrunk since the start was decided.
+        // The worker's capacity may have shrunk since the start was decided.
         let fits = host.used.is_within(host.info.capacity);
         let open = host.may_start() && fits;
         if let Some(state) = host.runs.get_mut(&(task, run))
@@ -40,7 +41,7 @@
         false
     }
 
-    /// The worker has taken a start.
+    /// Records that the worker has accepted a start.
     pub fn start_accepted(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
         let Some(state) = self.run_mut(worker, task, run) else {
             return;
@@ -54,7 +55,7 @@
         self.mark_begun(task.job);
     }
 
-    /// The worker has refused a start; nothing runs there because of it.
+    /// Records that the worker has refused a start, so that the run does not exist.
     pub fn start_refused(
         &mut self,
         worker: &str,
@@ -80,13 +81,13 @@
         }
     }
 
-    /// A start has had no answer: the run may be there, or may come later. It is told to stop,
-    /// after which the worker refuses it for good.
+    /// Records that a start got no response: the run may exist, or begin later. Orders it to stop, after
+    /// which the worker refuses the start for good.
     pub fn unacked(&mut self, worker: &str, task: TaskId, run: RunId) {
         self.stop_run(worker, task, run);
     }
 
-    /// Has a run stopped, unless that is under way.
+    /// Orders a run to stop, unless it has been ordered to already.
     pub(crate) fn stop_run(&mut self, worker: &str, task: TaskId, run: RunId) {
         let Some(state) = self.run_mut(worker, task, run) else {
             return;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Has a run told to stop, also where it was told before.
+    /// Orders a run to stop, even if it has been ordered to before.
     pub(crate) fn order_stop(&mut self, worker: &str, task: TaskId, run: RunId) {
         let Some(state) = self.run_mut(worker, task, run) else {
             return;
@@ -110,7 +111,8 @@
         });
     }
 
-    /// The worker has taken a stop: once it had its time, a report tells whether the run is gone.
+    /// Records that the worker has accepted a stop. A report requested after the stop timeout shows whether
+    /// the run is gone.
     pub fn stop_accepted(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
         let stop = self.limits.stop_timeout;
         if let Some(state) = self.run_mut(worker, task, run) {
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Whether a stop is still to be sent.
+    /// Returns whether a stop is still to be sent.
     pub fn is_stopping(&self, worker: &str, task: TaskId, run: RunId) -> bool {
         let state = self
             .workers
@@ -127,7 +129,7 @@
         state.is_some_and(|s| s.phase == RunPhase::Stopping)
     }
 
-    /// What is known of a run on a worker.
+    /// Returns the state of a run on a worker.
     pub(crate) fn run_mut(
         &mut self,
         worker: &str,
