--- a/crates/jobs/src/cell/crashes.rs
+++ b/crates/jobs/src/cell/crashes.rs
@@ -1,4 +1,4 @@
-//! Counts ends of workers without notice against the tasks that may be the cause, and clears those that are not.
+//! Attributes crashes of workers to the tasks that may have caused them, and clears the tasks that have not.
 
 use crate::{
     Bearing, Cell, CrashHistory, JobId, LostRun, Phase, TaskId, TaskPhase,
@@ -7,16 +7,17 @@
 use clock::Instant;
 use std::{collections::BTreeSet, time::Duration};
 
-/// The same task in all repeats of a job: these run the same work, so that what one has done speaks for all.
+/// A task in all repeats of its job: job, step and index. All repeats run the same work, so that evidence
+/// from one applies to all.
 type RepeatedTask = (JobId, u32, u32);
 
 impl Cell {
-    /// Counts the end of a worker without notice against the runs that may be the cause. Returns the tasks that are
-    /// given up for it.
+    /// Attributes the crash of a worker to the runs that may have caused it. Returns the tasks that fail for
+    /// it.
     ///
-    /// A worker that has ended lists no ends: without this, four such tasks on 20 workers at half their load were
-    /// started up to 38 times in a minute and ended 1,679 runs of others; with it, twice each and 50
-    /// (tests/crashes.rs, means of ten plays).
+    /// A crashed worker lists no ends: without this, four crashing tasks on 20 workers at half load were
+    /// started up to 38 times in a minute and ended 1,679 other runs; with it, they were started twice each
+    /// and ended 50 (tests/crashes.rs, means of ten plays).
     pub(super) fn attribute_crash(
         &mut self,
         worker: &str,
@@ -33,8 +34,8 @@
             let TaskId {
                 job, step, index, ..
             } = run.task;
-            let first = seen.insert((job, step, index));
-            if first && self.attribute_crash_to_run(run, fresh == 1) {
+            let is_first = seen.insert((job, step, index));
+            if is_first && self.attribute_crash_to_run(run, fresh == 1) {
                 attributed.insert(run.task);
             }
         }
@@ -55,13 +56,14 @@
         failed
     }
 
-    /// Counts the end of a worker against a task, in all repeats of its job; false if it does not count.
-    fn attribute_crash_to_run(&mut self, run: &LostRun, one_fresh: bool) -> bool {
+    /// Attributes the crash of a worker to a task in all repeats of its job. Returns false if it does not
+    /// count.
+    fn attribute_crash_to_run(&mut self, run: &LostRun, only_fresh: bool) -> bool {
         let fresh = run.bearing.is_fresh();
         let crash = Crash {
             age: run.age.map(|age| age.as_millis() as u64),
             fresh,
-            alone: fresh && one_fresh && run.age.is_some(),
+            alone: fresh && only_fresh && run.age.is_some(),
         };
         let TaskId {
             job, step, index, ..
@@ -82,7 +84,7 @@
         counts
     }
 
-    /// The same task in all repeats of its job.
+    /// Returns the same task in all repeats of its job.
     fn repeats(&self, task: TaskId) -> Vec<TaskId> {
         let rounds = self.jobs.get(&task.job).map_or(0, |job| job.rounds.len());
         (0..rounds as u32)
@@ -90,14 +92,14 @@
             .collect()
     }
 
-    /// How a task stands, by the ends of workers under it.
+    /// Returns the standing of a task after the crashes that are attributed to it.
     pub(crate) fn standing(&self, task: TaskId, now: Instant) -> Standing {
         let accidents = self.suspicions.accidents(now);
         let history = self.crash_history(task);
         history.map_or(Standing::Clear, |history| history.standing(accidents))
     }
 
-    /// What speaks for and against a task of a job that is not over.
+    /// Returns the crash history of a task whose job is not over.
     fn crash_history(&self, task: TaskId) -> Option<&CrashHistory> {
         let job = self
             .jobs
@@ -107,20 +109,22 @@
         Some(&state.history)
     }
 
-    /// The age that a run of a task must outlive to end its quarantine; none if the task is not in quarantine.
+    /// Returns the age that a run of a task must reach to end its quarantine; none if the task is not in
+    /// quarantine.
     pub(crate) fn quarantine_threshold(&self, task: TaskId, now: Instant) -> Option<Duration> {
         if !self.suspicions.tasks.contains(&task) {
             return None;
         }
         match self.standing(task, now) {
             Standing::Quarantined(threshold) => Some(threshold),
-            // An earlier owner, who knew of accidents that this one does not know of, has not given it up.
+            // An earlier owner has not failed the task: it knew of accidental crashes that this owner does
+            // not know of.
             Standing::GivenUp => Some(self.crash_history(task)?.bar()),
             Standing::Clear => None,
         }
     }
 
-    /// Clears the tasks whose runs on a worker have outlived what they were under suspicion for.
+    /// Clears the tasks whose runs on a worker have outlived the threshold of their suspicion.
     pub(crate) fn clear_outlived_suspects(&mut self, worker: &str, now: Instant) {
         let Some(host) = self.workers.get_mut(worker) else {
             return;
@@ -136,15 +140,15 @@
             .runs
             .iter()
             .map(|((task, _), state)| (*task, host.lived(state)));
-        let proven: Vec<(TaskId, Duration)> = lived
+        let outlived: Vec<(TaskId, Duration)> = lived
             .filter(|(task, lived)| self.outlives_suspicion(*task, *lived))
             .collect();
-        for (task, lived) in proven {
+        for (task, lived) in outlived {
             self.clear_suspicion(task, lived, now);
         }
     }
 
-    /// Whether a task is under suspicion and a run that has been at work for so long speaks for it.
+    /// Returns whether a task is suspected and a run of this age shows that it is not the cause.
     fn outlives_suspicion(&self, task: TaskId, lived: Duration) -> bool {
         if !self.suspicions.tasks.contains(&task) {
             return false;
@@ -153,7 +157,7 @@
             .is_some_and(|history| lived >= history.bar())
     }
 
-    /// Clears a task that has been at work for so long, in all repeats of its job.
+    /// Clears a task of suspicion in all repeats of its job, since a run of it has reached this age.
     pub(crate) fn clear_suspicion(&mut self, task: TaskId, lived: Duration, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Takes up the suspicions that an earlier owner has recorded of a job.
+    /// Restores the suspicions that an earlier owner has recorded for a job.
     pub(super) fn restore_suspicions(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -182,17 +186,17 @@
     }
 }
 
-/// The runs of a worker that may have ended it: the one in quarantine there, or else all whose starts were sent. Those
-/// that had gone on for a while count as well, since a task may end its worker some time after its start.
+/// Returns the runs of a worker that may have crashed it: the one in quarantine there, or else all whose
+/// starts were sent. Older runs are included, since a task may crash its worker some time after its start.
 fn suspects(runs: &[LostRun]) -> Vec<&LostRun> {
-    let named: Vec<&LostRun> = runs
+    let quarantined: Vec<&LostRun> = runs
         .iter()
         .filter(|run| run.bearing == Bearing::Quarantined)
         .collect();
-    if !named.is_empty() {
-        return named;
+    if !quarantined.is_empty() {
+        return quarantined;
     }
-    // What an earlier owner started and this one has seen at work has outlived more than is known.
+    // A run that an earlier owner started and that this one has seen running is older than is known.
     let is_old = |run: &LostRun| run.age.is_none() && run.lived >= PROVEN;
     runs.iter()
         .filter(|run| run.bearing != Bearing::Unsent && !is_old(run))
