--- a/crates/jobs/src/cell/incarnations.rs
+++ b/crates/jobs/src/cell/incarnations.rs
@@ -22,31 +22,33 @@
         listing
     }
 
-    /// Records which incarnation of a worker responded at `now` to a request sent to `meant` at `asked`. If
-    /// `meant` has ended, it gets no new runs; it is abandoned once its successor has been asked which runs
+    /// Records which incarnation of a worker responded at `now` to a request sent to `recipient` at `requested_at`. If
+    /// `recipient` has ended, it gets no new runs; it is abandoned once its successor has been asked which runs
     /// it has ([`Cell::outlived_incarnations`]).
     pub fn record_response(
         &mut self,
-        meant: &WorkerId,
-        born: Option<BornMs>,
-        asked: Instant,
+        recipient: &WorkerId,
+        started_at: Option<BornMs>,
+        requested_at: Instant,
         now: Instant,
     ) -> Hearing {
-        if self.workers.get(meant).is_none() {
+        if self.workers.get(recipient).is_none() {
             // The worker was abandoned in the meantime.
             return Hearing::Overtaken;
         }
-        let hearing = self.incarnations.hear(meant, born, asked, now);
-        if let Hearing::Over { next, .. } = &hearing {
-            self.mark_silent(meant, now);
-            self.succeed(meant, next, now);
+        let response = self
+            .incarnations
+            .hear(recipient, started_at, requested_at, now);
+        if let Hearing::Over { next, .. } = &response {
+            self.mark_silent(recipient, now);
+            self.add_successor(recipient, next, now);
         }
-        hearing
+        response
     }
 
     /// Adds an incarnation that responds in place of a former one. It gets no runs until its own entry has
     /// been read, since its labels and capacity may differ.
-    fn succeed(&mut self, former: &str, next: &WorkerId, now: Instant) {
+    fn add_successor(&mut self, former: &str, next: &WorkerId, now: Instant) {
         let Some(worker) = self.workers.get(former) else {
             return;
         };
@@ -67,10 +69,10 @@
     }
 
     /// Returns the incarnations of a worker that have certainly ended, now that this one has responded to a
-    /// request sent at `asked`: their runs ended with them, and starts on their way to them are either listed
+    /// request sent at `requested_at`: their runs ended with them, and starts on their way to them are either listed
     /// by this one or will never be carried out.
-    pub fn outlived_incarnations(&self, incarnation: &str, asked: Instant) -> Vec<WorkerId> {
-        self.incarnations.outlived(incarnation, asked)
+    pub fn outlived_incarnations(&self, incarnation: &str, requested_at: Instant) -> Vec<WorkerId> {
+        self.incarnations.outlived(incarnation, requested_at)
     }
 
     /// Returns the incarnations of a worker that have ended because this one has responded since, even though
