--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -41,7 +41,7 @@
     fn from_listed(listed: cloud::Vm, owner: &Owner) -> Self {
         let cell = owner.cell.borrow();
         let incarnation = |name: WorkerName| {
-            let current = cell.current_life(&name).cloned();
+            let current = cell.current_incarnation(&name).cloned();
             current.unwrap_or_else(|| WorkerId::new(&name, None))
         };
         Vm {
@@ -173,7 +173,7 @@
         let now = Instant::now();
         for id in absent {
             let since = *self.since.entry(id.clone()).or_insert(now);
-            let refused = owner.cell.borrow().has_refused(&id, asked);
+            let refused = owner.cell.borrow().has_refused_connection(&id, asked);
             if refused || now >= since + ABSENCE_TIMEOUT {
                 info!(worker = %id, "no VM has the silent worker any more");
                 abandon_worker(owner, &id, Loss::Ended);
--- a/crates/havenladder/src/entry/losses.rs
+++ b/crates/havenladder/src/entry/losses.rs
@@ -14,7 +14,7 @@
 /// Abandons a worker, which frees its runs to be started elsewhere.
 pub fn abandon_worker(owner: &Rc<Owner>, id: &str, loss: Loss) {
     let now = Instant::now();
-    let lost = owner.cell.borrow_mut().lose_worker(id, loss, now);
+    let lost = owner.cell.borrow_mut().abandon_worker(id, loss, now);
     if let Some(lost) = lost {
         log_loss(owner, id, &lost);
     }
@@ -23,7 +23,7 @@
 
 /// Abandons the runs of a worker whose lease has expired. The worker itself may only be unreachable.
 pub fn abandon_runs(owner: &Rc<Owner>, id: &str) {
-    let lost = owner.cell.borrow_mut().lapse_worker(id, Instant::now());
+    let lost = owner.cell.borrow_mut().expire_lease(id, Instant::now());
     if let Some(lost) = lost {
         log_loss(owner, id, &lost);
     }
--- a/crates/havenladder/src/entry/maintenance.rs
+++ b/crates/havenladder/src/entry/maintenance.rs
@@ -113,7 +113,7 @@
 async fn advance(owner: &Rc<Owner>, wave: &Wave, progress: &mut Progress, vms: &VmList) -> bool {
     if progress.started_at.is_none() {
         progress.started_at = Some(Instant::now());
-        progress.done = owner.cell.borrow().upkept(wave.number);
+        progress.done = owner.cell.borrow().maintained_vms(wave.number);
         publish_state(owner, wave, progress, WaveState::Running).await;
     }
     confirm_orders(owner, progress, vms);
@@ -381,7 +381,10 @@
     match outcome {
         Some(Ordered::Done) => {
             progress.done.insert(vm.name.clone());
-            owner.cell.borrow_mut().note_upkeep(wave.number, &vm.name);
+            owner
+                .cell
+                .borrow_mut()
+                .record_maintenance(wave.number, &vm.name);
             owner.wake();
             if let Some(down) = progress.down.get_mut(&vm.name) {
                 down.answered = Some(Instant::now());
--- a/crates/havenladder/src/entry/moves/demands.rs
+++ b/crates/havenladder/src/entry/moves/demands.rs
@@ -26,7 +26,7 @@
             let mut pool = PoolDemand {
                 pool: service.name.clone(),
                 reserve: service.reserve,
-                demand_unknown: !demand.begun,
+                demand_unknown: !demand.has_finite_jobs,
                 ..PoolDemand::default()
             };
             let mut present = PoolVms::default();
@@ -147,7 +147,7 @@
     let mut cell = owner.cell.borrow_mut();
     for pool in pools.iter().filter(|pool| !pool.reserve) {
         let vms = pool.vms + idle - pool.idle.len();
-        cell.look_ahead(&pool.pool, vms as u64 * pool.vm_capacity);
+        cell.update_backlog(&pool.pool, vms as u64 * pool.vm_capacity);
     }
 }
 
@@ -184,9 +184,9 @@
     pool.waiting = cores(demand.waiting);
     pool.late = cores(demand.late);
     pool.inflow = cores(demand.inflow);
-    pool.forecast_inflow = cores(demand.ahead);
-    pool.min_vms = match demand.roomless.workers(present.largest) {
-        0 => demand.spread,
-        more => demand.spread.max(present.up + more),
+    pool.forecast_inflow = cores(demand.forecast_inflow);
+    pool.min_vms = match demand.unschedulable.workers(present.largest) {
+        0 => demand.anti_affinity_workers,
+        more => demand.anti_affinity_workers.max(present.up + more),
     };
 }
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -71,7 +71,7 @@
         owner
             .cell
             .borrow_mut()
-            .close_gate(owner.inherited_leases_until, had_outage);
+            .raise_takeover_barrier(owner.inherited_leases_until, had_outage);
     }
 }
 
--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -124,8 +124,8 @@
     cell.mark_due(wall_ms());
     cell.stop_still(now);
     cell.schedule_unrecorded(now);
-    let mut due_starts = cell.take_known(starts);
-    due_starts.extend(cell.take_unrecorded());
+    let mut due_starts = cell.extract_durable_starts(starts);
+    due_starts.extend(cell.take_durable_starts());
     drop(cell);
     owner.send_urgent();
     owner.send(due_starts);
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -253,7 +253,7 @@
     /// owner, and than that of each call to an earlier incarnation of the worker. Such a call may
     /// still be in progress, and would restart what has been done or is started elsewhere.
     pub fn fencing_token(&self, worker: &str) -> FencingToken {
-        let changes = self.cell.borrow().changes_of(worker);
+        let changes = self.cell.borrow().incarnation_changes(worker);
         (self.epoch << INCARNATION_BITS) + changes.min((1 << INCARNATION_BITS) - 1)
     }
 
@@ -362,9 +362,9 @@
 /// for the others.
 fn limits(settings: &Settings) -> Limits {
     Limits {
-        stop: settings.stop,
-        hold: max_lease_duration(settings.hold),
-        far: settings.far,
+        stop_timeout: settings.stop,
+        max_lease: max_lease_duration(settings.hold),
+        remote_slowdown: settings.far,
         ..Limits::default()
     }
 }
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -32,7 +32,7 @@
     let confirmed = owner
         .cell
         .borrow_mut()
-        .confirm_start(worker, task, run, Instant::now());
+        .prepare_start(worker, task, run, Instant::now());
     if !confirmed {
         owner.wake();
         return;
@@ -57,7 +57,7 @@
         owner
             .cell
             .borrow_mut()
-            .refused(worker, task, run, Refusal::Unwell, Instant::now());
+            .start_refused(worker, task, run, Refusal::Unwell, Instant::now());
         return owner.wake();
     };
     let fence = owner.fencing_token(worker);
@@ -107,7 +107,7 @@
 fn withdraw(owner: &Owner, worker: &str, task: TaskId, run: RunId) {
     let now = Instant::now();
     let mut cell = owner.cell.borrow_mut();
-    cell.refused(worker, task, run, Refusal::Late, now);
+    cell.start_refused(worker, task, run, Refusal::Late, now);
 }
 
 /// Waits until a start may be sent to a worker. Returns `None` if the worker is no longer known.
@@ -152,7 +152,7 @@
     owner
         .cell
         .borrow_mut()
-        .mute_worker(&info.id, Instant::now());
+        .mark_silent(&info.id, Instant::now());
     watch::poll_once(owner, &info.id);
     both.await
 }
@@ -239,23 +239,23 @@
     match outcome {
         Ok(response) => {
             watch::set_clock(owner, worker, response.clock, now);
-            cell.started(worker, task, run, now);
+            cell.start_accepted(worker, task, run, now);
         }
         // A new incarnation refused the call, but the earlier one may have accepted the first of the two calls.
-        Err(WorkerError::Refused(Refusal::Fenced)) if raised => cell.unsure(worker, task, run),
+        Err(WorkerError::Refused(Refusal::Fenced)) if raised => cell.unacked(worker, task, run),
         Err(WorkerError::Refused(Refusal::Fenced)) => owner.end("a worker has seen a newer owner"),
-        Err(WorkerError::Refused(why)) => cell.refused(worker, task, run, why, now),
+        Err(WorkerError::Refused(why)) => cell.start_refused(worker, task, run, why, now),
         Err(WorkerError::Replaced) => {
             drop(cell);
             abandon_worker(owner, worker, Loss::Ended);
         }
         Err(WorkerError::Call(CallError::Refused | CallError::Unreachable)) => {
             // The worker gets no further starts until it has responded to a poll.
-            cell.mute_worker(worker, now);
-            cell.refused(worker, task, run, Refusal::Unwell, now);
+            cell.mark_silent(worker, now);
+            cell.start_refused(worker, task, run, Refusal::Unwell, now);
         }
         Err(WorkerError::Call(CallError::Unanswered) | WorkerError::Odd(_)) => {
-            cell.unsure(worker, task, run);
+            cell.unacked(worker, task, run);
         }
     }
 }
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -105,7 +105,7 @@
 
 /// Abandons an incarnation of a worker, and those before it that were waiting for its report on their runs.
 fn abandon_with_former(owner: &Rc<Owner>, id: &WorkerId, loss: Loss) {
-    let former = owner.cell.borrow().former(id);
+    let former = owner.cell.borrow().former_incarnations(id);
     abandon_worker(owner, id, loss);
     for incarnation in former {
         abandon_worker(owner, &incarnation, Loss::Ended);
@@ -137,7 +137,7 @@
     let attribution = owner
         .cell
         .borrow_mut()
-        .hear(id, response.born, *sent_at, now);
+        .record_response(id, response.born, *sent_at, now);
     match attribution {
         Hearing::Same { began } => {
             if began {
@@ -182,7 +182,7 @@
     ends::log_listed(owner, id, &response.value);
     let mut cell = owner.cell.borrow_mut();
     let missing = cell.report(id, &response.value, *sent_at, now);
-    let outlived = cell.outlived(id, *sent_at);
+    let outlived = cell.outlived_incarnations(id, *sent_at);
     drop(cell);
     ends::log_missing(owner, id, &missing);
     for incarnation in outlived {
@@ -213,13 +213,16 @@
             return PollOutcome::Abandon(Loss::Lapsed);
         }
         WorkerError::Call(CallError::Refused) => {
-            owner.cell.borrow_mut().note_refusal(id, Instant::now());
+            owner
+                .cell
+                .borrow_mut()
+                .record_refused_connection(id, Instant::now());
         }
         WorkerError::Refused(_) | WorkerError::Call(_) | WorkerError::Odd(_) => {}
     }
     if last == LastPoll::Answered {
         info!(worker = %id, %error, "worker does not answer");
-        owner.cell.borrow_mut().mute_worker(id, Instant::now());
+        owner.cell.borrow_mut().mark_silent(id, Instant::now());
     }
     if has_lapsed(owner, id) && release_lapsed(owner, id) {
         return PollOutcome::Abandon(Loss::Lapsed);
@@ -273,7 +276,7 @@
         abandon_runs(owner, id);
     }
     // Runs sent to the earlier incarnations may have reached this one, where their leases have expired as well.
-    let former = owner.cell.borrow().former(id);
+    let former = owner.cell.borrow().former_incarnations(id);
     for incarnation in former {
         abandon_worker(owner, &incarnation, Loss::Ended);
     }
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -113,7 +113,7 @@
 /// runs. Logs each change once, for the first [`MAX_FOREIGN`] names.
 fn mark_unusable(owner: &Owner, name: WorkerName, error: &EntryError) {
     owner.node.metrics.foreign_entry(error.reason());
-    let changed = owner.cell.borrow_mut().distrust_worker(&name);
+    let changed = owner.cell.borrow_mut().mark_unusable(&name);
     let mut foreign = owner.foreign.borrow_mut();
     if !changed || foreign.contains(&name) || foreign.len() >= MAX_FOREIGN {
         return;
@@ -149,7 +149,7 @@
 
 /// Removes the known workers that a complete list does not name.
 fn drop_unlisted(owner: &Rc<Owner>, listed: &HashSet<WorkerName>) {
-    let names = owner.cell.borrow().listed_names();
+    let names = owner.cell.borrow().known_worker_names();
     names
         .iter()
         .filter(|name| !listed.contains(*name))
@@ -160,7 +160,7 @@
 /// expired.
 async fn expire_orphans(owner: Rc<Owner>) {
     timer::sleep_until(owner.inherited_leases_until).await;
-    let orphans = owner.cell.borrow().orphaned();
+    let orphans = owner.cell.borrow().orphaned_workers();
     for id in orphans {
         abandon_worker(&owner, &id, Loss::Ended);
     }
--- a/crates/jobs/src/cell/carry_over.rs
+++ b/crates/jobs/src/cell/adopted_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that began with another life of a worker than the one that they were ordered from.
+//! Reassigns runs that started on another incarnation of a worker than the one that they were ordered from.
 
 use crate::{
     Cell, Report, RunId, RunPhase, TaskId, TaskPhase, WorkerId,
@@ -9,24 +9,27 @@
 use clock::Instant;
 
 impl Cell {
-    /// Takes the runs that a life of a worker lists, and that were ordered from another life of it, for its own: a start
-    /// names the worker, not the life, so that one that was on its way when the worker started again may have come to
-    /// the next life. Without this such a run would count as lost with the former life and be started elsewhere, while
-    /// it goes on or after it was done.
-    pub(crate) fn carry_over(&mut self, worker: &str, report: &Report, now: Instant) {
-        let lives = self.lives.of(name_of(worker));
-        let others: Vec<WorkerId> = lives.filter(|life| **life != *worker).cloned().collect();
+    /// Reassigns the runs that an incarnation of a worker lists, but that were ordered from another one. A
+    /// start names the worker, not the incarnation, so that a start in transit during a restart may reach the
+    /// next incarnation. Without this, such a run would count as lost with the former incarnation and be
+    /// started elsewhere while it still runs or after it has ended.
+    pub(crate) fn adopt_runs(&mut self, worker: &str, report: &Report, now: Instant) {
+        let incarnations = self.incarnations.of(name_of(worker));
+        let others: Vec<WorkerId> = incarnations
+            .filter(|incarnation| **incarnation != *worker)
+            .cloned()
+            .collect();
         for other in &others {
             let running = report.running.iter().map(|row| (row.task, row.run));
             let ended = report.ended.iter().map(|end| (end.task, end.run));
             for (task, run) in running.chain(ended) {
-                self.carry_run(other, worker, task, run, now);
+                self.adopt_run(other, worker, task, run, now);
             }
         }
     }
 
-    /// Moves what is known of a run from one life of a worker to another, if the former has it.
-    fn carry_run(&mut self, from: &str, to: &str, task: TaskId, run: RunId, now: Instant) {
+    /// Moves a run from one incarnation of a worker to another, if the former has it.
+    fn adopt_run(&mut self, from: &str, to: &str, task: TaskId, run: RunId, now: Instant) {
         let Some(state) = self.take_run(from, task, run, now) else {
             return;
         };
@@ -35,13 +38,13 @@
         let Some(worker) = self.workers.get_mut(to) else {
             return;
         };
-        let life = worker.info.id.clone();
+        let incarnation = worker.info.id.clone();
         worker.add(task, run, state);
         if was_current {
             let job = self.jobs.get_mut(&task.job);
             let placed = job.and_then(|job| job.task_mut(task.round, task.step, task.index));
             if let Some(placed) = placed {
-                placed.phase = TaskPhase::Placed(life);
+                placed.phase = TaskPhase::Placed(incarnation);
                 self.mark_dirty(task.job);
             }
         }
@@ -50,15 +53,16 @@
         }
     }
 
-    /// Takes a run off a life of a worker, which a list or only records have named.
+    /// Removes a run from an incarnation that the worker list or only records have named, and returns its
+    /// state.
     fn take_run(&mut self, from: &str, task: TaskId, run: RunId, now: Instant) -> Option<RunState> {
         if let Some(worker) = self.workers.get_mut(from) {
             return worker.remove(task, run);
         }
         let placed = self.orphans.get_mut(from)?;
-        let is_it = |orphan: &Orphan| orphan.task == task && orphan.run == run;
-        let place = placed.iter().position(is_it)?;
-        let Orphan { charge, .. } = placed.swap_remove(place);
+        let is_run = |orphan: &Orphan| orphan.task == task && orphan.run == run;
+        let position = placed.iter().position(is_run)?;
+        let Orphan { charge, .. } = placed.swap_remove(position);
         let load = load_of(self.jobs.get(&task.job)?, task);
         Some(RunState::inherited(load, charge, now))
     }
--- a/crates/jobs/src/cell/demand.rs
+++ b/crates/jobs/src/cell/demand.rs
@@ -1,53 +1,55 @@
-//! How much room the jobs of a service ask for: what runs, what waits, and what comes.
+//! The capacity that the jobs of a service demand: for current runs, for waiting tasks, and for expected
+//! arrivals.
 
 use crate::{
-    Cell, Job, JobId, Need, Step, StepId, Submission, arrivals::Inflow, cell::room_of,
+    Cell, Job, JobId, Need, Step, StepId, Submission, arrivals::Inflow, cell::need_of,
     permit::step_of, rank::Rank,
 };
 use std::collections::BTreeMap;
 
-/// What the jobs of a service ask for.
+/// The demand of the jobs of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// What runs take.
+    /// The needs of current runs.
     pub busy: Need,
-    /// What waits for room.
+    /// The needs of tasks that wait for capacity.
     pub waiting: Need,
-    /// The part of it that cannot be in time any more.
+    /// The part of `waiting` whose tasks can no longer end in time.
     pub late: Need,
-    /// What the jobs that came of late will take, as long as as many come.
+    /// The needs of arriving jobs, assuming that they keep arriving at the recent rate.
     pub inflow: Need,
-    /// The same once a VM that is ordered now is there, if what comes goes on growing as it does.
-    pub ahead: Need,
-    /// Whether the service has had a job that ends by itself.
-    pub begun: bool,
-    /// How many workers the widest step needs whose tasks must be apart, and one more, so that a
-    /// task whose worker is lost or taken out finds another.
-    pub spread: usize,
-    /// The lasting tasks that found no room.
-    pub roomless: Roomless,
+    /// The inflow at the time when a VM that is ordered now becomes available, assuming that the rate keeps
+    /// growing as it does now.
+    pub forecast_inflow: Need,
+    /// Whether the service has had a job whose steps all end by themselves.
+    pub has_finite_jobs: bool,
+    /// The number of workers for the widest step with anti-affinity, plus one, so that a task whose worker is
+    /// lost or disrupted finds another; 0 without such a step.
+    pub anti_affinity_workers: usize,
+    /// The long-running tasks that could not be placed.
+    pub unschedulable: Unschedulable,
 }
 
-/// Lasting tasks that found no room at the last look, however much room the workers have in sum: what is free
-/// may be too small on each of them, or on workers that have such a task.
+/// Long-running tasks that could not be placed in the last pass. Free capacity may suffice in sum and yet be
+/// too small on each worker, or be on workers that anti-affinity excludes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Roomless {
-    /// What they need.
+pub struct Unschedulable {
+    /// The sum of their needs.
     pub need: Need,
-    /// How many workers the most of one step need that must be apart.
-    pub apart: usize,
+    /// The largest number of workers that the tasks of one step need because of anti-affinity.
+    pub anti_affinity_workers: usize,
 }
 
-impl Roomless {
-    /// How many more workers with this room they need.
-    pub fn workers(&self, room: Need) -> usize {
-        let filled = self.need.workers_of(self.need.scarcest(room), room);
-        self.apart.max(filled.ceil() as usize)
+impl Unschedulable {
+    /// Returns how many more workers of this capacity the tasks need.
+    pub fn workers(&self, capacity: Need) -> usize {
+        let filled = self.need.workers_of(self.need.scarcest(capacity), capacity);
+        self.anti_affinity_workers.max(filled.ceil() as usize)
     }
 }
 
 impl Cell {
-    /// What the jobs of a service take, and what more they wait for.
+    /// Returns the demand of the jobs of a service.
     pub fn demand(&self, service: &str) -> Demand {
         let busy = Need::sum(self.workers.of(service).map(|worker| worker.used));
         let needs = |rank: &Rank| {
@@ -62,7 +64,7 @@
             } else {
                 1.0
             };
-            Some(room_of(job, task).times(members))
+            Some(need_of(job, task).times(members))
         };
         let queue = || self.waiting.get(service).into_iter().flatten();
         let late = queue().filter(|rank| rank.is_late()).filter_map(needs);
@@ -72,74 +74,80 @@
             waiting: Need::sum(queue().filter_map(needs)),
             late: Need::sum(late),
             inflow: inflow.now,
-            ahead: inflow.ahead,
-            begun: self.begun.contains(service),
-            spread: self.spread(service),
-            roomless: self.roomless(service),
+            forecast_inflow: inflow.ahead,
+            has_finite_jobs: self.finite_services.contains(service),
+            anti_affinity_workers: self.anti_affinity_workers(service),
+            unschedulable: self.unschedulable_demand(service),
         }
     }
 
-    /// The lasting tasks of a service that found no room at the last look.
-    fn roomless(&self, service: &str) -> Roomless {
-        let mut roomless = Roomless::default();
+    /// Returns the long-running tasks of a service that could not be placed in its last pass.
+    fn unschedulable_demand(&self, service: &str) -> Unschedulable {
+        let mut unschedulable = Unschedulable::default();
         let mut steps: BTreeMap<StepId, u32> = BTreeMap::new();
-        for task in self.roomless.get(service).into_iter().flatten() {
+        for task in self.unschedulable.get(service).into_iter().flatten() {
             let Some(job) = self.jobs.get(&task.job).filter(|job| !job.phase.is_over()) else {
                 continue;
             };
-            roomless.need.add(room_of(job, *task));
-            if let Some(most) = job.step(task.step).apart {
+            unschedulable.need.add(need_of(job, *task));
+            if let Some(max_per_worker) = job.step(task.step).apart {
                 let tasks = steps.entry(step_of(*task)).or_default();
                 *tasks += 1;
-                let workers = tasks.div_ceil(most.max(1)) as usize;
-                roomless.apart = roomless.apart.max(workers);
+                let workers = tasks.div_ceil(max_per_worker.max(1)) as usize;
+                unschedulable.anti_affinity_workers =
+                    unschedulable.anti_affinity_workers.max(workers);
             }
         }
-        roomless
+        unschedulable
     }
 
-    /// What the jobs that come take, as long as as many come.
+    /// Returns the needs of arriving jobs, now and forecast.
     fn inflow(&self, service: &str) -> Inflow {
-        let came = self.came.get(service);
-        came.map_or(Inflow::default(), |came| came.inflow(self.wall))
+        let arrivals = self.arrivals.get(service);
+        arrivals.map_or(Inflow::default(), |arrivals| arrivals.inflow(self.wall_ms))
     }
 
-    /// Notes the work of a job: what it needs, times seconds.
-    pub(super) fn note_inflow(&mut self, given: &Submission) {
-        let pace = self.pace_of(&given.queue);
-        let finite = given.spec.steps.iter().filter(|step| !step.lasting);
+    /// Records the work of an arriving job, as needs times seconds.
+    pub(super) fn record_inflow(&mut self, submission: &Submission) {
+        let factor = self.estimate_factor(&submission.queue);
+        let finite = submission.spec.steps.iter().filter(|step| !step.lasting);
         let work = |step: &Step| {
             let cpu = if step.fills { 0 } else { step.need.cpu };
-            let seconds = step.estimate as f64 * pace / 1_000.0;
+            let seconds = step.estimate as f64 * factor / 1_000.0;
             Need { cpu, ..step.need }.times(f64::from(step.count) * seconds)
         };
         let work = Need::sum(finite.map(work));
-        let came = self.came.entry(given.service.clone()).or_default();
-        came.note(self.wall, work);
+        let arrivals = self.arrivals.entry(submission.service.clone()).or_default();
+        arrivals.note(self.wall_ms, work);
     }
 
-    /// How many workers the widest step of a service's live jobs needs whose tasks must be apart, and one
-    /// more; 0 if there is no such step.
-    fn spread(&self, service: &str) -> usize {
+    /// Returns the number of workers that the widest step with anti-affinity among a service's live jobs
+    /// needs, plus one; 0 if there is no such step.
+    fn anti_affinity_workers(&self, service: &str) -> usize {
         let of_service = |id: &JobId| {
             self.jobs
                 .get(id)
                 .is_some_and(|job| job.given.service == service)
         };
-        let spreads = self.spreads.iter().filter(|(id, _)| of_service(id));
-        let widest = spreads.map(|(_, spread)| *spread).max();
+        let of_jobs = self
+            .anti_affinity_jobs
+            .iter()
+            .filter(|(id, _)| of_service(id));
+        let widest = of_jobs.map(|(_, workers)| *workers).max();
         widest.map_or(0, |widest| widest + 1)
     }
 
-    /// Notes what a job asks for whose tasks must be apart.
-    pub(super) fn note_spread(&mut self, id: JobId) {
-        let spread = self.jobs.get(&id).and_then(widest_spread);
-        self.spreads.extend(spread.map(|spread| (id, spread)));
+    /// Records how many workers a job needs because of anti-affinity.
+    pub(super) fn record_anti_affinity(&mut self, id: JobId) {
+        let workers = self.jobs.get(&id).and_then(widest_anti_affinity);
+        self.anti_affinity_jobs
+            .extend(workers.map(|workers| (id, workers)));
     }
 }
 
-/// How many workers the widest step of a job needs whose tasks must be apart; none if it has no such step.
-fn widest_spread(job: &Job) -> Option<usize> {
+/// Returns the number of workers that the widest step of a job with anti-affinity needs; none without such a
+/// step.
+fn widest_anti_affinity(job: &Job) -> Option<usize> {
     let steps = job.given.spec.steps.iter();
     let apart = steps.filter_map(|step| Some(step.count.div_ceil(step.apart?)));
     apart.max().map(|widest| widest as usize)
--- a/crates/jobs/src/cell/durable.rs
+++ b/crates/jobs/src/cell/durable.rs
@@ -1,4 +1,4 @@
-//! What has to be recorded, what waits for that, and what need not wait.
+//! Collects what has to be recorded, the orders that wait for records, and the orders that need none.
 
 use crate::{
     Batch, Cell, JobId, Order,
@@ -7,56 +7,61 @@
 use std::collections::BTreeSet;
 
 impl Cell {
-    /// The state of a job has changed and is to be recorded.
+    /// Marks a job whose state has changed and is to be recorded.
     pub(crate) fn mark_dirty(&mut self, id: JobId) {
         self.dirty.insert(id);
     }
 
-    /// The ends of a worker up to this number have been taken in: once the next batch is durable, the
-    /// worker may forget them.
-    pub(crate) fn note(&mut self, worker: &str, number: u64) {
-        self.noted.insert(worker.into(), number);
+    /// Records that the ends of a worker up to this number have been processed. The worker may forget them
+    /// once the next batch is durable.
+    pub(crate) fn acknowledge_ends(&mut self, worker: &str, number: u64) {
+        self.acknowledged.insert(worker.into(), number);
     }
 
-    /// The VMs that have had their upkeep in a wave.
-    pub fn upkept(&self, wave: u64) -> BTreeSet<String> {
-        self.upkept.get(&wave).cloned().unwrap_or_default()
+    /// Returns the VMs that have been maintained in a wave.
+    pub fn maintained_vms(&self, wave: u64) -> BTreeSet<String> {
+        self.maintained_vms.get(&wave).cloned().unwrap_or_default()
     }
 
-    /// A VM has had its upkeep in a wave.
-    pub fn note_upkeep(&mut self, wave: u64, vm: &str) {
-        if self.upkept.entry(wave).or_default().insert(vm.to_owned()) {
-            self.upkept_dirty.insert(wave);
+    /// Records that a VM has been maintained in a wave.
+    pub fn record_maintenance(&mut self, wave: u64, vm: &str) {
+        if self
+            .maintained_vms
+            .entry(wave)
+            .or_default()
+            .insert(vm.to_owned())
+        {
+            self.unrecorded_waves.insert(wave);
         }
     }
 
-    /// Takes the orders that need no record: stops and changes of pace.
+    /// Takes the orders that need no record: stops, changes of pace, and requests for permits.
     pub fn take_urgent(&mut self) -> Vec<Order> {
         std::mem::take(&mut self.urgent)
     }
 
-    /// Takes the starts of jobs that are durable themselves, from those that wait for their records:
-    /// while the log is away, work goes on with what it holds.
-    pub fn take_known(&self, starts: &mut Vec<Order>) -> Vec<Order> {
-        let known = |order: &mut Order| match order {
+    /// Extracts the starts of jobs that are durable themselves from those that wait for their records. During
+    /// a store outage, work continues with the jobs that the log holds.
+    pub fn extract_durable_starts(&self, starts: &mut Vec<Order>) -> Vec<Order> {
+        let is_durable = |order: &mut Order| match order {
             Order::Start { task, .. } => self
                 .jobs
                 .get(&task.job)
                 .is_some_and(|job| job.shown.is_some()),
             Order::Stop { .. } | Order::Pace { .. } | Order::Ask { .. } => true,
         };
-        starts.extract_if(.., known).collect()
+        starts.extract_if(.., is_durable).collect()
     }
 
-    /// Takes the starts that wait for a batch, where their jobs are durable.
-    pub fn take_unrecorded(&mut self) -> Vec<Order> {
+    /// Takes the starts of durable jobs from those that wait for the next batch.
+    pub fn take_durable_starts(&mut self) -> Vec<Order> {
         let mut starts = std::mem::take(&mut self.starts);
-        let known = self.take_known(&mut starts);
+        let durable = self.extract_durable_starts(&mut starts);
         self.starts = starts;
-        known
+        durable
     }
 
-    /// Takes the records and starts that have come up since the last batch.
+    /// Takes the records and starts that have accumulated since the last batch.
     pub fn take_batch(&mut self) -> Batch {
         let mut batch = Batch::default();
         let dirty: Vec<JobId> = self.dirty.drain().collect();
@@ -64,30 +69,32 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            let fresh = self.fresh.remove(&id);
-            if fresh && !job.phase.is_over() {
+            let is_new = self.new_jobs.remove(&id);
+            if is_new && !job.phase.is_over() {
                 batch.entries.push(encode_given(job));
-            } else if !fresh && job.phase.is_over() {
+            } else if !is_new && job.phase.is_over() {
                 batch.entries.push(forget_given(id));
             }
             batch.entries.push(encode_state(job));
             batch.shown.push((id, job.phase));
         }
-        for wave in std::mem::take(&mut self.upkept_dirty) {
-            batch.entries.push(encode_upkept(wave, &self.upkept[&wave]));
+        for wave in std::mem::take(&mut self.unrecorded_waves) {
+            batch
+                .entries
+                .push(encode_upkept(wave, &self.maintained_vms[&wave]));
         }
-        if let Some(vms) = self.duty.take_change() {
+        if let Some(vms) = self.vm_orders.take_change() {
             batch.entries.push(encode_ordered(&vms));
         }
-        batch.ordered = self.duty.taken;
+        batch.ordered = self.vm_orders.taken;
         batch.starts = std::mem::take(&mut self.starts);
-        batch.noted = std::mem::take(&mut self.noted).into_iter().collect();
+        batch.noted = std::mem::take(&mut self.acknowledged).into_iter().collect();
         batch
     }
 
-    /// The records of a batch are durable: what they say may be shown.
+    /// Publishes the states in a batch whose records are durable.
     pub fn confirm(&mut self, batch: &Batch) {
-        self.duty.durable = self.duty.durable.max(batch.ordered);
+        self.vm_orders.durable = self.vm_orders.durable.max(batch.ordered);
         for (id, phase) in &batch.shown {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.shown = Some(*phase);
--- a/crates/jobs/src/cell/ends.rs
+++ b/crates/jobs/src/cell/ends.rs
@@ -1,10 +1,10 @@
-//! What the end of a run means for its task, and the end of a job for its runs.
+//! Processes the ends of runs and of jobs.
 
 use crate::{Cell, How, Job, JobId, Phase, Round, RunId, Step, TaskId, TaskPhase, WorkerId};
 use std::{mem, ops::Range};
 
 impl Cell {
-    /// Deals with the end of a run, once: `worker` has listed it.
+    /// Processes the end of a run that `worker` has listed. Callers pass each end once.
     pub(crate) fn end_run(
         &mut self,
         worker: &str,
@@ -13,10 +13,10 @@
         how: How,
         saved: &str,
     ) {
-        self.note_begun(task.job);
+        self.mark_begun(task.job);
         let current = self.is_current(worker, task, run);
         let progress = if current { saved } else { "" };
-        let Some(step) = self.note_end(task, run, progress) else {
+        let Some(step) = self.record_end(task, run, progress) else {
             return;
         };
         let (gang, lasting) = (step.gang, step.lasting);
@@ -33,9 +33,9 @@
         }
     }
 
-    /// Notes the number and the saved progress of a run that has ended. The step that it belongs to,
-    /// unless its job is over or has no such task.
-    fn note_end(&mut self, task: TaskId, run: RunId, saved: &str) -> Option<&Step> {
+    /// Records the number and the saved progress of a run that has ended. Returns the step that it belongs
+    /// to, unless its job is over or has no such task.
+    fn record_end(&mut self, task: TaskId, run: RunId, saved: &str) -> Option<&Step> {
         let job = self.jobs.get_mut(&task.job)?;
         if job.phase.is_over() {
             return None;
@@ -45,12 +45,12 @@
         if !saved.is_empty() {
             state.saved = saved.to_owned();
         }
-        // An earlier owner may have started it without a record; numbers must go on rising.
+        // An earlier owner may have started the run without a record; run numbers must keep rising.
         state.top = state.top.max(run);
         job.find_step(task)
     }
 
-    /// Counts a failed run, once; true if it was the last that the task, or its gang, may have.
+    /// Counts a failed run once. Returns whether the task, or its gang, has used up its attempts.
     fn count_failure(&mut self, task: TaskId, run: RunId, gang: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
@@ -66,7 +66,7 @@
         state.failed.len() >= attempts
     }
 
-    /// Marks a task, or its whole gang, as done and lets what waited for it begin.
+    /// Marks a task, or its whole gang, as done, and queues the steps that depended on it.
     fn complete(&mut self, task: TaskId, gang: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -77,30 +77,30 @@
         } else {
             task.index..task.index + 1
         };
-        let Closed {
-            count: closed,
+        let CompletedTasks {
+            count: completed,
             placed,
-        } = close_tasks(job, task, members);
+        } = complete_tasks(job, task, members);
         let round = &mut job.rounds[task.round as usize];
         let open = &mut round.open[task.step as usize];
-        *open = open.saturating_sub(closed);
+        *open = open.saturating_sub(completed);
         let ended = *open == 0;
         let over = job.rounds.iter().all(Round::is_done);
         if !gang {
-            // A late end of an earlier run counts; the later run has nothing left to do.
+            // The late end of an earlier run completes the task as well, so that later runs are stopped.
             placed
                 .iter()
                 .for_each(|(on, task, run)| self.stop_run(on, *task, *run));
         }
         if over {
-            self.learn_margin(task.job);
+            self.learn_slack(task.job);
             self.finish(task.job, Phase::Succeeded);
         } else if ended {
             self.enqueue_round(task.job, task.round);
         }
     }
 
-    /// Ends a job and stops what runs of it.
+    /// Ends a job and stops its runs.
     pub(super) fn finish(&mut self, id: JobId, phase: Phase) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -108,24 +108,25 @@
         job.phase = phase;
         job.rounds = Vec::new();
         let service = job.given.service.clone();
-        self.running.remove(&id);
+        self.begun_jobs.remove(&id);
         self.dirty.insert(id);
-        self.forget_wishes(id);
+        self.clear_job_requests(id);
         let runs: Vec<(WorkerId, TaskId, RunId)> = self.runs_of(id, &service);
         for (worker, task, run) in runs {
             self.stop_run(&worker, task, run);
         }
     }
 
-    /// Forgets what a job asked for that is over or gone: room apart, permits, and times that have not come.
-    pub(super) fn forget_wishes(&mut self, id: JobId) {
-        self.spreads.remove(&id);
+    /// Removes the requests of a job that is over or withdrawn: anti-affinity, suspicions, permits and
+    /// timers.
+    pub(super) fn clear_job_requests(&mut self, id: JobId) {
+        self.anti_affinity_jobs.remove(&id);
         self.suspicions.drop_job(id);
         self.permits.retain(|(job, ..), _| *job != id);
-        self.timed.retain(|(_, job, _)| *job != id);
+        self.round_timers.retain(|(_, job, _)| *job != id);
     }
 
-    /// All runs of a job that workers of its service have, or may have.
+    /// Returns all runs of a job that workers of its service have or may have.
     fn runs_of(&self, id: JobId, service: &str) -> Vec<(WorkerId, TaskId, RunId)> {
         let first = TaskId {
             job: id,
@@ -150,16 +151,16 @@
 }
 
 /// The tasks of a step that have just been marked as done.
-struct Closed {
-    /// How many were not done before.
+struct CompletedTasks {
+    /// The number of tasks that were not done before.
     count: u32,
-    /// The runs that they were placed with.
+    /// The runs that the tasks were placed with.
     placed: Vec<(WorkerId, TaskId, RunId)>,
 }
 
 /// Marks tasks of the step of `task` as done.
-fn close_tasks(job: &mut Job, task: TaskId, members: Range<u32>) -> Closed {
-    let mut closed = Closed {
+fn complete_tasks(job: &mut Job, task: TaskId, members: Range<u32>) -> CompletedTasks {
+    let mut completed = CompletedTasks {
         count: 0,
         placed: Vec::new(),
     };
@@ -171,11 +172,11 @@
             TaskPhase::Done => continue,
             TaskPhase::Placed(on) => {
                 let task = TaskId { index, ..task };
-                closed.placed.push((on, task, state.run));
+                completed.placed.push((on, task, state.run));
             }
             TaskPhase::Waiting => {}
         }
-        closed.count += 1;
+        completed.count += 1;
     }
-    closed
+    completed
 }
--- /dev/null
+++ b/crates/jobs/src/cell/incarnations.rs
@@ -0,0 +1,100 @@
+//! Tracks the incarnations of workers that list entries name and that respond.
+
+use crate::{BornMs, Cell, Hearing, Listing, Loss, WorkerId, WorkerInfo};
+use clock::Instant;
+
+impl Cell {
+    /// Processes an entry of the worker list, which may name any incarnation of its worker. Drops the oldest
+    /// incarnations that only entries have named once there are too many of them.
+    pub fn list_worker(&mut self, mut info: WorkerInfo, now: Instant) -> Listing {
+        let listing = self.incarnations.list(info.id.name(), info.id.born());
+        let Listing::Of(incarnation) = &listing else {
+            return listing;
+        };
+        info.id = incarnation.clone();
+        self.upsert_worker(info, now);
+        for surplus in self.incarnations.surplus(incarnation.name()) {
+            let worker = self.workers.get(&surplus);
+            if surplus != *incarnation && worker.is_some_and(|worker| !worker.is_real()) {
+                self.abandon_worker(&surplus, Loss::Lapsed, now);
+            }
+        }
+        listing
+    }
+
+    /// Records which incarnation of a worker responded at `now` to a request sent to `recipient` at `requested_at`. If
+    /// `recipient` has ended, it gets no new runs; it is abandoned once its successor has been asked which runs
+    /// it has ([`Cell::outlived_incarnations`]).
+    pub fn record_response(
+        &mut self,
+        recipient: &WorkerId,
+        started_at: Option<BornMs>,
+        requested_at: Instant,
+        now: Instant,
+    ) -> Hearing {
+        if self.workers.get(recipient).is_none() {
+            // The worker was abandoned in the meantime.
+            return Hearing::Overtaken;
+        }
+        let response = self
+            .incarnations
+            .hear(recipient, started_at, requested_at, now);
+        if let Hearing::Over { next, .. } = &response {
+            self.mark_silent(recipient, now);
+            self.add_successor(recipient, next, now);
+        }
+        response
+    }
+
+    /// Adds an incarnation that responds in place of a former one. It gets no runs until its own entry has
+    /// been read, since its labels and capacity may differ.
+    fn add_successor(&mut self, former: &str, next: &WorkerId, now: Instant) {
+        let Some(worker) = self.workers.get(former) else {
+            return;
+        };
+        if self.workers.get(next).is_some() {
+            return;
+        }
+        let info = WorkerInfo {
+            id: next.clone(),
+            draining: false,
+            ..WorkerInfo::clone(&worker.info)
+        };
+        self.upsert_worker(info, now);
+        if let Some(worker) = self.workers.get_mut(next) {
+            // Requests to the former incarnation may have reached this one.
+            worker.met = false;
+            worker.unusable = true;
+        }
+    }
+
+    /// Returns the incarnations of a worker that have certainly ended, now that this one has responded to a
+    /// request sent at `requested_at`: their runs ended with them, and starts on their way to them are either listed
+    /// by this one or will never be carried out.
+    pub fn outlived_incarnations(&self, incarnation: &str, requested_at: Instant) -> Vec<WorkerId> {
+        self.incarnations.outlived(incarnation, requested_at)
+    }
+
+    /// Returns the incarnations of a worker that have ended because this one has responded since, even though
+    /// it may still list runs that were ordered from them.
+    pub fn former_incarnations(&self, incarnation: &str) -> Vec<WorkerId> {
+        self.incarnations.former(incarnation)
+    }
+
+    /// Returns the current incarnation of a worker, by the worker's name; none if the worker is unknown.
+    pub fn current_incarnation(&self, name: &str) -> Option<&WorkerId> {
+        self.incarnations.current(name)
+    }
+
+    /// Returns all incarnations of a worker that may have runs, by the worker's name.
+    pub fn incarnations_of(&self, name: &str) -> Vec<WorkerId> {
+        self.incarnations.of(name).cloned().collect()
+    }
+
+    /// Returns how often this owner has found a new incarnation of a worker in place of an earlier one. A
+    /// worker rejects every fencing token lower than the highest that it has seen, so that a token that rises
+    /// with this count shuts out orders still on their way to earlier incarnations.
+    pub fn incarnation_changes(&self, incarnation: &str) -> u64 {
+        self.incarnations.changes(incarnation)
+    }
+}
--- a/crates/jobs/src/cell/runs.rs
+++ b/crates/jobs/src/cell/runs.rs
@@ -1,28 +1,29 @@
-//! What becomes of the orders to start and to stop runs.
+//! Processes the responses to orders that start or stop runs.
 
 use crate::{Cell, Order, Refusal, RunId, RunPhase, TaskId, worker::RunState};
 use clock::Instant;
 use std::time::Duration;
 
-/// For how long a worker gets no new runs after it refused one for want of room: its own count of its
-/// room is ahead of ours by one report at the most.
-const FULL: Duration = Duration::from_millis(200);
+/// The time for which a worker gets no new runs after it refused one for lack of capacity. Its own view of
+/// its capacity is at most one report ahead of the owner's.
+const FULL_SUSPENSION: Duration = Duration::from_millis(200);
 
-/// For how long a worker gets no new runs after it was not well, took no connection, or has not told
-/// its clock.
-const UNWELL: Duration = Duration::from_millis(1_000);
+/// The time for which a worker gets no new runs after it was unhealthy, refused a connection, or has not
+/// reported its clock.
+const UNHEALTHY_SUSPENSION: Duration = Duration::from_millis(1_000);
 
 impl Cell {
-    /// Whether a start whose record is durable is still to be sent. One that is not is taken back.
-    pub fn confirm_start(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) -> bool {
+    /// Returns whether a start whose record is durable is still to be sent, and marks it as sent. Withdraws
+    /// it otherwise.
+    pub fn prepare_start(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) -> bool {
         if self.is_over_bound(task) {
-            self.take_back(task);
+            self.withdraw_starts(task);
         }
         let current = self.is_current(worker, task, run);
         let Some(host) = self.workers.get_mut(worker) else {
             return false;
         };
-        // Its room may have shrunk since the start was decided.
+        // The worker's capacity may have shrunk since the start was decided.
         let fits = host.used.is_within(host.info.capacity);
         let open = host.may_start() && fits;
         if let Some(state) = host.runs.get_mut(&(task, run))
@@ -40,8 +41,8 @@
         false
     }
 
-    /// The worker has taken a start.
-    pub fn started(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
+    /// Records that the worker has accepted a start.
+    pub fn start_accepted(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
         let Some(state) = self.run_mut(worker, task, run) else {
             return;
         };
@@ -51,11 +52,18 @@
         if state.phase == RunPhase::Ordered {
             state.phase = RunPhase::Running;
         }
-        self.note_begun(task.job);
+        self.mark_begun(task.job);
     }
 
-    /// The worker has refused a start; nothing runs there because of it.
-    pub fn refused(&mut self, worker: &str, task: TaskId, run: RunId, why: Refusal, now: Instant) {
+    /// Records that the worker has refused a start, so that the run does not exist.
+    pub fn start_refused(
+        &mut self,
+        worker: &str,
+        task: TaskId,
+        run: RunId,
+        why: Refusal,
+        now: Instant,
+    ) {
         let Some(host) = self.workers.get_mut(worker) else {
             return;
         };
@@ -63,8 +71,8 @@
             return;
         }
         match why {
-            Refusal::Room => host.aside = Some(now + FULL),
-            Refusal::Unwell => host.aside = Some(now + UNWELL),
+            Refusal::Room => host.aside = Some(now + FULL_SUSPENSION),
+            Refusal::Unwell => host.aside = Some(now + UNHEALTHY_SUSPENSION),
             Refusal::Ticket => self.drop_permit(task, worker),
             Refusal::Fenced | Refusal::Old | Refusal::Late | Refusal::Invalid => {}
         }
@@ -73,13 +81,13 @@
         }
     }
 
-    /// A start has had no answer: the run may be there, or may come later. It is told to stop,
-    /// after which the worker refuses it for good.
-    pub fn unsure(&mut self, worker: &str, task: TaskId, run: RunId) {
+    /// Records that a start got no response: the run may exist, or begin later. Orders it to stop, after
+    /// which the worker refuses the start for good.
+    pub fn unacked(&mut self, worker: &str, task: TaskId, run: RunId) {
         self.stop_run(worker, task, run);
     }
 
-    /// Has a run stopped, unless that is under way.
+    /// Orders a run to stop, unless it has been ordered to already.
     pub(crate) fn stop_run(&mut self, worker: &str, task: TaskId, run: RunId) {
         let Some(state) = self.run_mut(worker, task, run) else {
             return;
@@ -89,7 +97,7 @@
         }
     }
 
-    /// Has a run told to stop, also where it was told before.
+    /// Orders a run to stop, even if it has been ordered to before.
     pub(crate) fn order_stop(&mut self, worker: &str, task: TaskId, run: RunId) {
         let Some(state) = self.run_mut(worker, task, run) else {
             return;
@@ -103,16 +111,17 @@
         });
     }
 
-    /// The worker has taken a stop: once it had its time, a report tells whether the run is gone.
-    pub fn stop_answered(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
-        let stop = self.limits.stop;
+    /// Records that the worker has accepted a stop. A report requested after the stop timeout shows whether
+    /// the run is gone.
+    pub fn stop_accepted(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
+        let stop = self.limits.stop_timeout;
         if let Some(state) = self.run_mut(worker, task, run) {
             state.settled = Some(now + stop);
         }
     }
 
-    /// Whether a stop is still to be sent.
-    pub fn wants_stop(&self, worker: &str, task: TaskId, run: RunId) -> bool {
+    /// Returns whether a stop is still to be sent.
+    pub fn is_stopping(&self, worker: &str, task: TaskId, run: RunId) -> bool {
         let state = self
             .workers
             .get(worker)
@@ -120,7 +129,7 @@
         state.is_some_and(|s| s.phase == RunPhase::Stopping)
     }
 
-    /// What is known of a run on a worker.
+    /// Returns the state of a run on a worker.
     pub(crate) fn run_mut(
         &mut self,
         worker: &str,
--- a/crates/jobs/src/cell/takeover.rs
+++ b/crates/jobs/src/cell/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new owner makes of the records that the owners before it left.
+//! Restores the state of a cell from the records that earlier owners left.
 
 use crate::{
     Cell, Job, JobId, JobSpec, QueueId, RunId, ServiceId, Submission, Task, TaskId, TaskPhase,
@@ -7,32 +7,36 @@
 use std::collections::HashMap;
 
 impl Cell {
-    /// Restores the jobs from what the log holds, in any order of records. What an earlier owner
-    /// had placed stays placed until its worker has reported or has been given up. Returns the jobs that are left out,
-    /// since their records do not fit each other: an owner that ended on one would take each next one with it.
-    pub fn load(&mut self, records: Vec<Decoded>) -> Vec<JobId> {
+    /// Restores the jobs from the records of the log, which may come in any order. Tasks that an earlier
+    /// owner had placed stay placed until their worker has reported or has been abandoned. Returns the jobs
+    /// that are left out because their records are inconsistent: if an owner failed on one of these, each
+    /// following owner would fail on it as well.
+    pub fn load_records(&mut self, records: Vec<Decoded>) -> Vec<JobId> {
         let mut states = HashMap::new();
         for record in records {
             match record {
-                Decoded::Given(_, given) if given.spec.check().is_err() => {}
-                Decoded::Given(order, given) => {
+                Decoded::Given(_, submission) if submission.spec.check().is_err() => {}
+                Decoded::Given(order, submission) => {
                     self.next_order = self.next_order.max(order + 1);
-                    if !given.spec.lasts() {
-                        self.begun.insert(given.service.clone());
+                    if !submission.spec.lasts() {
+                        self.finite_services.insert(submission.service.clone());
                     }
-                    self.jobs.insert(given.id, Job::new(given, order));
+                    self.jobs.insert(submission.id, Job::new(submission, order));
                 }
                 Decoded::State(id, state) => {
                     states.insert(id, state);
                 }
-                Decoded::Ordered(vms) => self.duty.inherited = vms,
+                Decoded::Ordered(vms) => self.vm_orders.inherited = vms,
                 Decoded::Upkept(wave, vms) => {
-                    self.upkept.insert(wave, vms);
+                    self.maintained_vms.insert(wave, vms);
                 }
             }
         }
         for (id, state) in states {
-            let job = self.jobs.entry(id).or_insert_with(|| Job::new(over(id), 0));
+            let job = self
+                .jobs
+                .entry(id)
+                .or_insert_with(|| Job::new(finished_submission(id), 0));
             job.phase = state.phase;
             job.shown = Some(state.phase);
             if state.phase.is_over() {
@@ -44,22 +48,22 @@
                 job.shown = None;
             }
         }
-        // What was handed in is written in one call with its state: one without the other is a record
-        // that was lost or never complete, and must not stop the takeover.
+        // The submission and the state of a job are written in one call. One without the other is a record
+        // that was lost or never completed, and must not stop the takeover.
         let is_whole = |job: &Job| {
             let known = job.phase.is_over() || !job.given.spec.steps.is_empty();
             job.shown.is_some() && known
         };
-        let odd = self.jobs.extract_if(|_, job| !is_whole(job));
-        let odd: Vec<JobId> = odd.map(|(id, _)| id).collect();
-        self.share_out_all();
+        let invalid = self.jobs.extract_if(|_, job| !is_whole(job));
+        let invalid: Vec<JobId> = invalid.map(|(id, _)| id).collect();
+        self.assign_virtual_starts();
         let ids: Vec<JobId> = self.jobs.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.restore(id));
-        odd
+        ids.into_iter().for_each(|id| self.restore_job(id));
+        invalid
     }
 
-    /// Takes in what an earlier owner placed of a job, and lets what waits of it wait on.
-    fn restore(&mut self, id: JobId) {
+    /// Restores the runs that an earlier owner placed for a job, and queues the job's waiting tasks.
+    fn restore_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -68,10 +72,10 @@
         }
         let placed = placed_runs(job);
         self.open_account(id);
-        self.note_spread(id);
+        self.record_anti_affinity(id);
         self.restore_suspicions(id);
         for (worker, task, run) in placed {
-            self.lives.know(&worker, None);
+            self.incarnations.know(&worker, None);
             let charge = self.charge(task);
             let orphan = Orphan { task, run, charge };
             self.orphans.entry(worker).or_default().push(orphan);
@@ -81,8 +85,8 @@
     }
 }
 
-/// What stands for a job that is over and of which only the outcome is kept.
-fn over(id: JobId) -> Submission {
+/// Returns an empty submission for a job that is over and of which only the outcome is kept.
+fn finished_submission(id: JobId) -> Submission {
     let spec = JobSpec {
         text: String::new(),
         steps: Vec::new(),
@@ -103,7 +107,7 @@
     }
 }
 
-/// The runs that the records of a job name, each with its worker.
+/// Returns the runs that the records of a job name, each with its worker.
 fn placed_runs(job: &Job) -> Vec<(WorkerId, TaskId, RunId)> {
     let run = |(id, task): (TaskId, &Task)| match &task.phase {
         TaskPhase::Placed(worker) => Some((worker.clone(), id, task.run)),
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -40,23 +40,23 @@
 
     /// Gives room to the waiting tasks of all services.
     fn schedule_all(&mut self, now: Instant, log: Log) {
-        self.duty.forget_old(now);
-        self.settle_unrecorded(now);
-        self.unpark();
+        self.vm_orders.forget_old(now);
+        self.release_unrecorded_charges(now);
+        self.unblock_tasks();
         let services: Vec<_> = self.waiting.keys().cloned().collect();
         for service in services {
             self.schedule_service(&service, now, log);
         }
-        self.reserved.clear();
+        self.reserved_workers.clear();
     }
 
     /// Gives room to the waiting tasks of a service, in order.
     fn schedule_service(&mut self, service: &str, now: Instant, log: Log) {
         self.demote_late(service);
         self.near.begin_pass();
-        self.misfits.clear();
+        self.unplaced_needs.clear();
         self.place_suspects(service, now, log);
-        if let Some(roomless) = self.roomless.get_mut(service) {
+        if let Some(roomless) = self.unschedulable.get_mut(service) {
             roomless.clear();
         }
         let mut misfits = 0;
@@ -70,7 +70,7 @@
             after = Some(rank);
             match self.try_rank(service, &rank, now, log) {
                 Placing::Held => {}
-                Placing::Bound => self.park(service, &rank),
+                Placing::Bound => self.block_on_bound(service, &rank),
                 Placing::Done => {
                     self.near.forget(rank.task());
                     self.drop_rank(service, &rank);
@@ -112,8 +112,8 @@
     /// Whether a waiting task may run somewhere, or must not start yet for what an earlier owner may have done.
     pub(crate) fn is_held(&self, service: &str, rank: &Rank, now: Instant, log: Log) -> bool {
         let task = rank.task();
-        let lost = log == Log::Away && self.lost.contains(&task);
-        lost || self.is_gated(rank.order(), service, now) || self.has_run(task)
+        let lost = log == Log::Away && self.lost_tasks.contains(&task);
+        lost || self.is_blocked_by_barrier(rank.order(), service, now) || self.has_run(task)
     }
 
     /// Does what brings a task that finds no room nearer to some.
@@ -122,7 +122,7 @@
         if rank.is_lasting() {
             self.reserve(rank.task(), now);
             if self.wants_room(rank.task()) {
-                let roomless = self.roomless.entry(service.to_owned()).or_default();
+                let roomless = self.unschedulable.entry(service.to_owned()).or_default();
                 roomless.push(rank.task());
             }
         }
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -57,7 +57,7 @@
     world.cell.accept(job_of(SCHOOL, 1, vec![step(5)]));
     let started = world.run();
     assert_eq!(started.len(), 3);
-    assert_eq!(world.cell.parked(SCHOOL), 2);
+    assert_eq!(world.cell.blocked_tasks(SCHOOL), 2);
     let (id, task, run) = started[0].clone();
     world.end(&id, 1, task, run, How::Done);
     assert_eq!(world.run().len(), 1, "one ended, one starts");
@@ -77,7 +77,7 @@
     assert_eq!(world.run().len(), 5);
     let demand = world.cell.demand("s");
     assert_eq!(demand.waiting, Need::default());
-    assert_eq!(demand.roomless.need, Need::default());
+    assert_eq!(demand.unschedulable.need, Need::default());
 }
 
 #[test]
@@ -89,7 +89,7 @@
     };
     world.cell.accept(job_of(SCHOOL, 1, vec![lasting]));
     assert_eq!(world.run().len(), 2);
-    assert_eq!(world.cell.demand("s").roomless.need, Need::default());
+    assert_eq!(world.cell.demand("s").unschedulable.need, Need::default());
     assert!(world.cell.waiting_lasting().is_empty());
 }
 
@@ -120,7 +120,7 @@
     world.cell.cancel(1);
     world.cell.accept(job_of(SCHOOL, 2, vec![step(1)]));
     assert!(world.run().is_empty(), "the first is being stopped");
-    world.cell.stop_answered(&id, first, run, world.now);
+    world.cell.stop_accepted(&id, first, run, world.now);
     assert!(world.run().is_empty(), "it has its time to end");
     world.pass(1_000);
     let gone = Report::default();
@@ -133,7 +133,7 @@
     let mut world = world(cores(1));
     world.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, task, run) = world.run().remove(0);
-    world.cell.unsure(&id, task, run);
+    world.cell.unacked(&id, task, run);
     world.cell.accept(job_of(SCHOOL, 2, vec![step(1)]));
     assert!(world.run().is_empty());
     assert_eq!(used(&world), 1);
@@ -144,7 +144,9 @@
     let mut world = world(cores(1));
     world.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, task, run) = world.run().remove(0);
-    world.cell.refused(&id, task, run, Refusal::Room, world.now);
+    world
+        .cell
+        .start_refused(&id, task, run, Refusal::Room, world.now);
     assert_eq!(used(&world), 0);
 }
 
@@ -154,9 +156,9 @@
     world.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, ..) = world.run().remove(0);
     world.cell.accept(job_of(SCHOOL, 2, vec![step(1)]));
-    world.cell.mute_worker(&id, world.now);
+    world.cell.mark_silent(&id, world.now);
     assert!(world.run().is_empty());
-    world.cell.lose_worker(&id, Loss::Lapsed, world.now);
+    world.cell.abandon_worker(&id, Loss::Lapsed, world.now);
     assert_eq!(world.run().len(), 1);
     assert_eq!(used(&world), 1);
 }
@@ -174,7 +176,7 @@
     world.join("d1");
     assert!(world.run().is_empty());
     for id in ["a1", "b1", "c1"] {
-        world.cell.see_worker(worker(id), world.now);
+        world.cell.upsert_worker(worker(id), world.now);
     }
     assert_eq!(used(&world), 2, "on workers that have not answered");
     assert!(world.run().is_empty());
@@ -223,10 +225,10 @@
     world.log.extend(batch.entries);
     world.take_over();
     let expires = world.now + Duration::from_secs(9);
-    world.cell.close_gate(expires, false);
+    world.cell.raise_takeover_barrier(expires, false);
     set(&mut world, cores(1));
     world.cell.accept(job_of(SCHOOL, 3, vec![step(1)]));
-    world.cell.see_worker(worker("a1"), world.now);
+    world.cell.upsert_worker(worker("a1"), world.now);
     world.join("b1");
     world.cell.mark_listed();
     assert!(world.run().is_empty(), "job 2 may run on a1");
@@ -291,8 +293,8 @@
     let mut world = world(cores(1));
     world.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, task, run) = world.run().remove(0);
-    world.cell.lose_worker(&id, Loss::Lapsed, world.now);
-    world.cell.see_worker(worker("a1"), world.now);
+    world.cell.abandon_worker(&id, Loss::Lapsed, world.now);
+    world.cell.upsert_worker(worker("a1"), world.now);
     assert_eq!(used(&world), 0);
     let report = Report {
         running: vec![row(task, run, 10)],
@@ -373,7 +375,7 @@
         decode_entry("s0000000000000008", &state).unwrap(),
     ];
     let mut cell = havenladder_jobs::Cell::new(Limits::default());
-    let odd = cell.load(records);
+    let odd = cell.load_records(records);
     assert_eq!(odd, [7], "its state is missing, the record itself is read");
     assert_eq!(cell.jobs[&8].given.workspace, None);
 }
@@ -404,7 +406,7 @@
     let mut sent = 0;
     for order in batch.starts {
         if let Order::Start { worker, task, run } = order
-            && world.cell.confirm_start(&worker, task, run, world.now)
+            && world.cell.prepare_start(&worker, task, run, world.now)
         {
             sent += 1;
         }
--- a/crates/jobs/tests/history/calls.rs
+++ b/crates/jobs/tests/history/calls.rs
@@ -17,10 +17,10 @@
     /// Asks each worker what it runs, which also extends its lease.
     pub(super) fn ask_hosts(&mut self) {
         if self.now > self.began + GRACE + self.lease() {
-            let orphans = self.cell.orphaned();
+            let orphans = self.cell.orphaned_workers();
             let now = self.instant();
             for id in orphans {
-                self.cell.lose_worker(&id, Loss::Ended, now);
+                self.cell.abandon_worker(&id, Loss::Ended, now);
             }
         }
         let ids: Vec<WorkerId> = self.cell.workers.keys().cloned().collect();
@@ -34,7 +34,7 @@
             let noted = self.noted.get(&id).copied().unwrap_or(0);
             let lost = self.chance(20);
             if self.fatal.is_some() && !self.hosts.contains_key(id.name()) {
-                self.cell.mute_worker(&id, asked);
+                self.cell.mark_silent(&id, asked);
             }
             let Some(host) = self.hosts.get_mut(id.name()) else {
                 if self.leased.get(&id).is_none_or(|until| *until < now) {
@@ -44,18 +44,18 @@
             };
             if host.cut > now {
                 if self.restarts.is_some() {
-                    self.cell.mute_worker(&id, asked);
+                    self.cell.mark_silent(&id, asked);
                 }
                 let lapsed = self.leased.get(&id).is_none_or(|until| *until < now);
                 if lapsed && (self.fatal.is_some() || self.restarts.is_some()) {
-                    self.cell.mute_worker(&id, asked);
-                    self.cell.lapse_worker(&id, asked);
-                    for former in self.cell.former(&id) {
-                        self.cell.lose_worker(&former, Loss::Ended, asked);
+                    self.cell.mark_silent(&id, asked);
+                    self.cell.expire_lease(&id, asked);
+                    for former in self.cell.former_incarnations(&id) {
+                        self.cell.abandon_worker(&former, Loss::Ended, asked);
                     }
                 } else if lapsed {
-                    self.cell.lose_worker(&id, Loss::Lapsed, asked);
-                    self.cell.see_worker(self.entry(&id), asked);
+                    self.cell.abandon_worker(&id, Loss::Lapsed, asked);
+                    self.cell.upsert_worker(self.entry(&id), asked);
                 }
                 continue;
             }
@@ -66,7 +66,7 @@
             let lease = if succeeded { HOLD } else { LEASE };
             host.leased = host.leased.max(now + lease);
             // The first of two questions tells which life answers; only the second tells which ends are durable.
-            match self.cell.hear(&id, born, asked, asked) {
+            match self.cell.record_response(&id, born, asked, asked) {
                 Hearing::Same { began: false } => host.heard = true,
                 Hearing::Same { began: true } => {
                     self.leased.insert(id.clone(), now + HOLD);
@@ -94,8 +94,8 @@
             if !lost {
                 let report = tell(host, now);
                 self.cell.report(&id, &report, asked, asked);
-                for over in self.cell.outlived(&id, asked) {
-                    self.cell.lose_worker(&over, Loss::Ended, asked);
+                for over in self.cell.outlived_incarnations(&id, asked) {
+                    self.cell.abandon_worker(&over, Loss::Ended, asked);
                 }
             }
         }
@@ -104,10 +104,10 @@
     /// Gives a life of a worker up, and those before it.
     fn lose(&mut self, id: &WorkerId, loss: Loss) {
         let now = self.instant();
-        let former = self.cell.former(id);
-        self.cell.lose_worker(id, loss, now);
+        let former = self.cell.former_incarnations(id);
+        self.cell.abandon_worker(id, loss, now);
         for life in former {
-            self.cell.lose_worker(&life, Loss::Ended, now);
+            self.cell.abandon_worker(&life, Loss::Ended, now);
         }
     }
 
@@ -115,7 +115,7 @@
         let now = self.instant();
         for order in orders {
             if let Order::Start { worker, task, run } = &order
-                && !self.cell.confirm_start(worker, *task, *run, now)
+                && !self.cell.prepare_start(worker, *task, *run, now)
             {
                 continue;
             }
@@ -149,24 +149,25 @@
         let now = self.instant();
         match (&order, cut, late) {
             (Order::Start { worker, task, run }, true, _) => {
-                self.cell.refused(worker, *task, *run, Refusal::Unwell, now);
+                self.cell
+                    .start_refused(worker, *task, *run, Refusal::Unwell, now);
             }
-            (Order::Start { worker, task, run }, _, true) => self.cell.unsure(worker, *task, *run),
+            (Order::Start { worker, task, run }, _, true) => self.cell.unacked(worker, *task, *run),
             (Order::Start { worker, task, run }, ..) => {
                 match self.carry_out(fence, &order, false) {
-                    Ok(()) => self.cell.started(worker, *task, *run, now),
-                    Err(why) => self.cell.refused(worker, *task, *run, why, now),
+                    Ok(()) => self.cell.start_accepted(worker, *task, *run, now),
+                    Err(why) => self.cell.start_refused(worker, *task, *run, why, now),
                 }
                 let leased = self.leased.entry(worker.clone()).or_default();
                 *leased = (*leased).max(self.now + LEASE);
             }
             (Order::Stop { worker, task, run }, false, false) => {
                 let _ = self.carry_out(fence, &order, false);
-                self.cell.stop_answered(worker, *task, *run, now);
+                self.cell.stop_accepted(worker, *task, *run, now);
             }
             // A stop without an answer is sent again at the next step.
             (Order::Stop { worker, task, run }, ..)
-                if self.cell.wants_stop(worker, *task, *run) =>
+                if self.cell.is_stopping(worker, *task, *run) =>
             {
                 self.late.push(Late {
                     at: self.now + 250,
@@ -198,14 +199,14 @@
             }
             if let Order::Stop { worker, task, run } = &late.order
                 && late.fence >> 20 == self.fence
-                && self.cell.wants_stop(worker, *task, *run)
+                && self.cell.is_stopping(worker, *task, *run)
             {
                 match cut {
                     true => self.late.push(Late {
                         at: self.now + 250,
                         ..late
                     }),
-                    false => self.cell.stop_answered(worker, *task, *run, self.instant()),
+                    false => self.cell.stop_accepted(worker, *task, *run, self.instant()),
                 }
             }
         }
--- a/crates/jobs/tests/history/mod.rs
+++ b/crates/jobs/tests/history/mod.rs
@@ -75,7 +75,7 @@
             start: Instant::now(),
             now: 0,
             cell: Cell::new(Limits {
-                stop: Duration::from_millis(100),
+                stop_timeout: Duration::from_millis(100),
                 ..Limits::default()
             }),
             fence: 1,
@@ -200,9 +200,9 @@
             .collect();
         let limits = self.cell.limits.clone();
         self.cell = Cell::new(limits);
-        self.cell.load(decoded);
+        self.cell.load_records(decoded);
         let expires = self.instant() + Duration::from_millis(GRACE + self.lease());
-        self.cell.close_gate(expires, false);
+        self.cell.raise_takeover_barrier(expires, false);
         self.tell_bounds();
         self.leased.clear();
         self.noted.clear();
@@ -227,7 +227,7 @@
 
     /// The fence of calls to a worker.
     fn fence_of(&self, life: &str) -> u64 {
-        (self.fence << 20) + self.cell.changes_of(life)
+        (self.fence << 20) + self.cell.incarnation_changes(life)
     }
 
     fn keep(&mut self, entries: &[Entry]) {
@@ -248,7 +248,7 @@
         }
         if self.now < self.away {
             // The log is away: only what it holds goes on.
-            let starts = self.cell.take_unrecorded();
+            let starts = self.cell.take_durable_starts();
             self.send(starts);
         } else if let Some(batch) = self.pending.take() {
             self.keep(&batch.entries);
--- a/crates/jobs/tests/takeover.rs
+++ b/crates/jobs/tests/takeover.rs
@@ -18,8 +18,8 @@
     world.take_over();
     world.join("b1");
     assert!(world.run().is_empty(), "it may run on a1");
-    assert_eq!(world.cell.orphaned(), ["a1"]);
-    world.cell.see_worker(worker("a1"), world.now);
+    assert_eq!(world.cell.orphaned_workers(), ["a1"]);
+    world.cell.upsert_worker(worker("a1"), world.now);
     assert!(world.run().is_empty(), "a1 has not answered");
     world.report(
         "a1",
@@ -40,7 +40,7 @@
     let (_, first, run) = world.run().remove(0);
     world.take_over();
     assert_eq!(world.cell.cancel(1), Cancelled::Done);
-    world.cell.see_worker(worker("a1"), world.now);
+    world.cell.upsert_worker(worker("a1"), world.now);
     world.report(
         "a1",
         Report {
@@ -54,10 +54,10 @@
 #[test]
 fn the_vms_of_a_wave_are_known_to_a_new_owner() {
     let mut world = World::new(&["a1"]);
-    world.cell.note_upkeep(7, "vm-1");
+    world.cell.record_maintenance(7, "vm-1");
     world.run();
     world.take_over();
-    assert!(world.cell.upkept(7).contains("vm-1"));
+    assert!(world.cell.maintained_vms(7).contains("vm-1"));
 }
 
 #[test]
@@ -71,7 +71,7 @@
         world.end(&id, number, task, run, How::Done);
     }
     world.cell.schedule(world.now);
-    let known = world.cell.take_unrecorded();
+    let known = world.cell.take_durable_starts();
     assert_eq!(known.len(), 1, "job 2 is not durable");
     assert_eq!(world.run().len(), 1, "it starts once it is");
 }
@@ -83,9 +83,9 @@
     assert_eq!(world.run().len(), 8);
     world.take_over();
     let expires = world.now + Duration::from_millis(10_000);
-    world.cell.close_gate(expires, false);
-    world.cell.see_worker(worker("a1"), world.now);
-    world.cell.see_worker(worker("b1"), world.now);
+    world.cell.raise_takeover_barrier(expires, false);
+    world.cell.upsert_worker(worker("a1"), world.now);
+    world.cell.upsert_worker(worker("b1"), world.now);
     world.report("a1", Report::default());
     assert!(world.run().is_empty(), "the list has not been read");
     world.cell.mark_listed();
@@ -122,10 +122,10 @@
     let mut world = World::new(&["a1", "b1"]);
     world.cell.accept(job(1, vec![step(1)]));
     let (lost, ..) = world.run().remove(0);
-    world.cell.lose_worker(&lost, Loss::Ended, world.now);
+    world.cell.abandon_worker(&lost, Loss::Ended, world.now);
     world.cell.schedule_unrecorded(world.now);
     assert!(
-        world.cell.take_unrecorded().is_empty(),
+        world.cell.take_durable_starts().is_empty(),
         "a newer owner may have met it"
     );
     assert_eq!(
@@ -154,8 +154,8 @@
     let (first, id, _) = world.run().remove(0);
     let second = if first == "a1" { "b1" } else { "a1" };
     world.take_over();
-    world.cell.see_worker(worker("a1"), world.now);
-    world.cell.see_worker(worker("b1"), world.now);
+    world.cell.upsert_worker(worker("a1"), world.now);
+    world.cell.upsert_worker(worker("b1"), world.now);
     world.cell.mark_listed();
     // The earlier owner had seen run 1 fail and had started run 2 without a record.
     world.report(
@@ -178,7 +178,7 @@
     assert_eq!(world.run().len(), 8);
     world.take_over();
     let expires = world.now + Duration::from_millis(10_000);
-    world.cell.close_gate(expires, true);
+    world.cell.raise_takeover_barrier(expires, true);
     world.join("a1");
     world.cell.mark_listed();
     assert!(world.run().is_empty(), "the list of VMs has not been read");
--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/world/mod.rs
@@ -55,7 +55,7 @@
 
     /// A worker is listed and answers.
     pub fn join(&mut self, id: &str) {
-        self.cell.see_worker(worker(id), self.now);
+        self.cell.upsert_worker(worker(id), self.now);
         self.report(id, Report::default());
     }
 
@@ -109,8 +109,8 @@
             let Order::Start { worker, task, run } = order else {
                 continue;
             };
-            if self.cell.confirm_start(&worker, task, run, self.now) {
-                self.cell.started(&worker, task, run, self.now);
+            if self.cell.prepare_start(&worker, task, run, self.now) {
+                self.cell.start_accepted(&worker, task, run, self.now);
                 started.push((worker, task, run));
             }
         }
@@ -144,6 +144,6 @@
             .map(|(key, value)| decode_entry(key, value).unwrap())
             .collect();
         self.cell = Cell::new(Limits::default());
-        self.cell.load(decoded);
+        self.cell.load_records(decoded);
     }
 }
