--- a/crates/jobs/src/cell/lives.rs
+++ b/crates/jobs/src/cell/lives.rs
@@ -1,13 +1,13 @@
 //! The lives of workers as entries name them and as they answer.
 
-use crate::{BornMs, Cell, Hearing, Listing, Loss, WorkerId, WorkerInfo};
+use crate::{Cell, Hearing, Listing, Loss, StartedAtMs, WorkerId, WorkerInfo};
 use clock::Instant;
 
 impl Cell {
     /// Takes in an entry of the list, which may be of any life of its worker. Lives that only entries have named are
     /// forgotten where too many are.
     pub fn list_worker(&mut self, mut info: WorkerInfo, now: Instant) -> Listing {
-        let listing = self.lives.list(info.id.name(), info.id.born());
+        let listing = self.lives.list(info.id.name(), info.id.started_at());
         let Listing::Of(life) = &listing else {
             return listing;
         };
@@ -27,7 +27,7 @@
     pub fn hear(
         &mut self,
         meant: &WorkerId,
-        born: Option<BornMs>,
+        born: Option<StartedAtMs>,
         asked: Instant,
         now: Instant,
     ) -> Hearing {
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -54,7 +54,7 @@
 pub use suspicion::{Crash, CrashHistory};
 pub use takeout::Takeout;
 pub use worker::{RunPhase, Worker, WorkerInfo};
-pub use worker_id::{BornMs, WorkerId, WorkerName, name_of};
+pub use worker_id::{StartedAtMs, WorkerId, WorkerName, name_of};
 pub use workers::Workers;
 pub use workspace::{Bound, WorkspaceId};
 
--- a/crates/jobs/src/lives.rs
+++ b/crates/jobs/src/lives.rs
@@ -9,7 +9,7 @@
 //! other: an answer to a question that was asked after a life was known, and that another life gives, shows that the
 //! former is over.
 
-use crate::{BornMs, WorkerId, WorkerName, name_of};
+use crate::{StartedAtMs, WorkerId, WorkerName, name_of};
 use clock::Instant;
 use std::collections::{HashMap, VecDeque};
 
@@ -186,18 +186,18 @@
     }
 
     /// Takes in which life of a worker the newest entry names, if it says which.
-    pub(crate) fn list(&mut self, name: &str, born: Option<BornMs>) -> Listing {
+    pub(crate) fn list(&mut self, name: &str, started_at: Option<StartedAtMs>) -> Listing {
         if self.workers.len() >= MOST_WORKERS && !self.workers.contains_key(name) {
             return Listing::Surplus;
         }
         let lives = self.get_mut(name);
-        let life = WorkerId::new(name, born);
+        let life = WorkerId::new(name, started_at);
         if lives.past.contains(&life) {
             return Listing::Past;
         }
         // An entry that does not say which life it is of is one of the life that answers.
         let heard = lives.heard.as_ref().map(|heard| heard.life.clone());
-        let life = heard.filter(|_| born.is_none()).unwrap_or(life);
+        let life = heard.filter(|_| started_at.is_none()).unwrap_or(life);
         lives.listed = Some(life.clone());
         Listing::Of(life)
     }
@@ -230,14 +230,14 @@
     pub(crate) fn hear(
         &mut self,
         meant: &WorkerId,
-        born: Option<BornMs>,
+        started_at: Option<StartedAtMs>,
         asked: Instant,
         now: Instant,
     ) -> Hearing {
         let lives = self.get_mut(meant.name());
         // An answer that does not say which life gives it is one of the life that is listed.
         let listed = || lives.listed.clone().unwrap_or_else(|| meant.clone());
-        let life = born.map_or_else(listed, |_| WorkerId::new(meant.name(), born));
+        let life = started_at.map_or_else(listed, |_| WorkerId::new(meant.name(), started_at));
         let other = lives.heard.as_ref().filter(|heard| heard.life != life);
         let began = other.is_some();
         // Asked before the other was heard of, either may be the later one.
--- a/crates/jobs/src/worker_id.rs
+++ b/crates/jobs/src/worker_id.rs
@@ -7,7 +7,7 @@
 pub type WorkerName = String;
 
 /// When a life of a worker began by its machine's clock, in ms since 1970. It tells lives apart, and nothing else.
-pub type BornMs = u64;
+pub type StartedAtMs = u64;
 
 /// What parts a worker's name from the time of its life's beginning in the text of a [`WorkerId`].
 const PART: char = '@';
@@ -28,12 +28,12 @@
     ///
     /// let life = WorkerId::new("w-1", Some(1_700_000_000_000));
     /// assert_eq!(life.name(), "w-1");
-    /// assert_eq!(life.born(), Some(1_700_000_000_000));
+    /// assert_eq!(life.started_at(), Some(1_700_000_000_000));
     /// assert_eq!(WorkerId::new("w-1", None).name(), "w-1");
     /// ```
-    pub fn new(name: &str, born: Option<BornMs>) -> Self {
-        WorkerId(match born {
-            Some(born) => format!("{name}{PART}{born}"),
+    pub fn new(name: &str, started_at: Option<StartedAtMs>) -> Self {
+        WorkerId(match started_at {
+            Some(started_at) => format!("{name}{PART}{started_at}"),
             // A name that holds the sign itself must not be taken for one with a time.
             None if name.contains(PART) => format!("{name}{PART}"),
             None => name.to_owned(),
@@ -47,12 +47,12 @@
 
     /// Whether both may be one life: they are of one worker, and are the same or one of them is not known.
     pub fn may_be(&self, other: &WorkerId) -> bool {
-        let unknown = self.born().is_none() || other.born().is_none();
+        let unknown = self.started_at().is_none() || other.started_at().is_none();
         self == other || unknown && self.name() == other.name()
     }
 
     /// When it began, if it tells that.
-    pub fn born(&self) -> Option<BornMs> {
+    pub fn started_at(&self) -> Option<StartedAtMs> {
         self.0.rsplit_once(PART)?.1.parse().ok()
     }
 }
--- a/crates/jobs/tests/history/restarts.rs
+++ b/crates/jobs/tests/history/restarts.rs
@@ -3,7 +3,9 @@
 
 use super::{History, host::Host};
 use crate::fixture::worker;
-use havenladder_jobs::{BornMs, JobId, Limits, Phase, TaskId, WorkerId, WorkerInfo, WorkerName};
+use havenladder_jobs::{
+    JobId, Limits, Phase, StartedAtMs, TaskId, WorkerId, WorkerInfo, WorkerName,
+};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,13 +22,13 @@
 pub(super) struct Restarts {
     rng: StdRng,
     /// When the life of each worker began.
-    born: BTreeMap<WorkerName, BornMs>,
+    born: BTreeMap<WorkerName, StartedAtMs>,
     /// The worker to which a start of each task was sent last.
     sent: BTreeMap<TaskId, WorkerName>,
     /// How often a worker has ended under each task, or may have: to which a start of it was sent.
     lost: BTreeMap<TaskId, u32>,
     /// Entries that are read late: when, of which worker, and of which life.
-    entries: Vec<(u64, WorkerName, BornMs)>,
+    entries: Vec<(u64, WorkerName, StartedAtMs)>,
 }
 
 impl Restarts {
@@ -72,13 +74,13 @@
     }
 
     /// When the life of a worker began, if the workers tell that.
-    pub(super) fn born(&self, name: &str) -> Option<BornMs> {
+    pub(super) fn born(&self, name: &str) -> Option<StartedAtMs> {
         self.restarts.as_ref()?.born.get(name).copied()
     }
 
     /// Whether a call for a life of a worker is taken by another one.
     pub(super) fn is_succeeded(&self, life: &WorkerId) -> bool {
-        self.born(life.name()) != life.born()
+        self.born(life.name()) != life.started_at()
     }
 
     /// Now and then a worker starts again; its entry is read later, and so may one of the life before.
@@ -165,7 +167,7 @@
             .extract_if(.., |entry| entry.0 <= now)
             .collect();
         let beat = (now / super::TICK).is_multiple_of(25);
-        let mut read: Vec<(WorkerName, BornMs)> = due
+        let mut read: Vec<(WorkerName, StartedAtMs)> = due
             .into_iter()
             .map(|(_, name, born)| (name, born))
             .collect();
--- a/crates/jobs/tests/lives.rs
+++ b/crates/jobs/tests/lives.rs
@@ -7,7 +7,7 @@
 
 use fixture::{job, step, worker};
 use havenladder_jobs::{
-    BornMs, EndRow, Ending, Hearing, How, Limits, Listing, Loss, Phase, Report, RunId, TaskId,
+    EndRow, Ending, Hearing, How, Limits, Listing, Loss, Phase, Report, RunId, StartedAtMs, TaskId,
     WorkerId, WorkerInfo, name_of,
 };
 use std::time::Duration;
@@ -18,12 +18,12 @@
 const HOLD: Duration = Duration::from_millis(6_000);
 
 /// A life of the worker `a1`.
-fn life(born: BornMs) -> WorkerId {
+fn life(born: StartedAtMs) -> WorkerId {
     WorkerId::new("a1", Some(born))
 }
 
 /// Reads an entry of a life of the worker.
-fn list(world: &mut World, born: Option<BornMs>) -> Listing {
+fn list(world: &mut World, born: Option<StartedAtMs>) -> Listing {
     let info = WorkerInfo {
         id: WorkerId::new("a1", born),
         ..worker("a1")
@@ -33,7 +33,7 @@
 }
 
 /// A question that is meant for one life, and that another, or the same, answers 1 ms later.
-fn ask(world: &mut World, meant: &WorkerId, born: Option<BornMs>) -> Hearing {
+fn ask(world: &mut World, meant: &WorkerId, born: Option<StartedAtMs>) -> Hearing {
     world.pass(1);
     let asked = world.now;
     world.pass(1);
@@ -42,7 +42,7 @@
 
 /// A life answers a question that was meant for it. Those that it has outlived are given up; returns them.
 fn answer(world: &mut World, life: &WorkerId, report: &Report) -> Vec<WorkerId> {
-    let hearing = ask(world, life, life.born());
+    let hearing = ask(world, life, life.started_at());
     assert!(matches!(hearing, Hearing::Same { .. }), "{hearing:?}");
     let asked = world.now - Duration::from_millis(1);
     world.cell.report(life, report, asked, world.now);
@@ -54,7 +54,7 @@
 }
 
 /// A world with one worker, of whose life it knows.
-fn met(born: BornMs) -> World {
+fn met(born: StartedAtMs) -> World {
     let mut world = World::new(&[]);
     assert_eq!(list(&mut world, Some(born)), Listing::Of(life(born)));
     assert!(answer(&mut world, &life(born), &Report::default()).is_empty());
@@ -394,9 +394,9 @@
     at_its_end = { "w@", None },
     largest = { "w", Some(u64::MAX) },
 )]
-fn a_life_is_read_back_from_its_text(name: &str, born: Option<BornMs>) {
+fn a_life_is_read_back_from_its_text(name: &str, born: Option<StartedAtMs>) {
     let life = WorkerId::new(name, born);
-    assert_eq!((life.name(), life.born()), (name, born));
+    assert_eq!((life.name(), life.started_at()), (name, born));
     assert_eq!(name_of(&life), name);
     assert_eq!(WorkerId::from(&*life), life);
 }
