--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -7,7 +7,7 @@
     workspaces::Rows,
 };
 use bytes::Bytes;
-use jobs::{Evacuations, HallId, HallOrder, WorkspaceId};
+use jobs::{HallDrains, HallId, HallOrder, WorkspaceId};
 use serde::{Deserialize, Serialize};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -66,7 +66,7 @@
     rows: Rows,
     keyring: Keyring,
     waves: BTreeMap<u64, Wave>,
-    evacuations: Evacuations,
+    evacuations: HallDrains,
     /// The data centres of the deployment; none if they are not known.
     halls: BTreeSet<HallId>,
 }
@@ -127,7 +127,7 @@
     }
 
     /// The data centres that are to be emptied.
-    pub fn evacuations(&self) -> &Evacuations {
+    pub fn evacuations(&self) -> &HallDrains {
         &self.evacuations
     }
 
@@ -135,25 +135,25 @@
     pub fn restart(&mut self, newest: Vec<Keyed>, end: Offset) {
         let orders = newest.iter().filter_map(|record| self.read_order(record));
         let halls = orders.filter_map(|order| match order {
-            HallOrder::Empty(hall) => Some(hall),
-            HallOrder::TakeBack(_) => None,
+            HallOrder::Drain(hall) => Some(hall),
+            HallOrder::Undrain(_) => None,
         });
         // What has no record has been taken back.
-        self.adopt_evacuations(Evacuations::new(halls.collect(), end));
+        self.adopt_evacuations(HallDrains::new(halls.collect(), end));
         newest.into_iter().for_each(|record| self.put(record));
     }
 
     /// Takes in the record at an offset of the operators' topic.
     pub fn take(&mut self, record: Keyed, offset: Offset) {
         let order = self.read_order(&record);
-        if self.evacuations.take(order, offset) {
+        if self.evacuations.apply(order, offset) {
             self.tell_evacuations();
         }
         self.put(record);
     }
 
     /// Takes in what another entry knows.
-    pub fn adopt(&mut self, config: Option<Written>, evacuations: Evacuations) {
+    pub fn adopt(&mut self, config: Option<Written>, evacuations: HallDrains) {
         if let Some(config) = config {
             info!("another entry has a newer configuration");
             self.take_config(config.0.into());
@@ -162,7 +162,7 @@
     }
 
     /// Takes over which data centres are to be emptied, unless something newer is known.
-    fn adopt_evacuations(&mut self, evacuations: Evacuations) {
+    fn adopt_evacuations(&mut self, evacuations: HallDrains) {
         if self.evacuations.adopt(evacuations) {
             self.tell_evacuations();
         }
@@ -180,14 +180,14 @@
         let key = &record.key;
         let hall = key.strip_prefix(EVACUATE_KEY)?;
         let Some(value) = &record.value else {
-            return Some(HallOrder::TakeBack(hall.to_owned()));
+            return Some(HallOrder::Undrain(hall.to_owned()));
         };
         if hall.is_empty() || !(self.halls.is_empty() || self.halls.contains(hall)) {
             warn!(key, halls = ?self.halls, "an order to empty a data centre that does not exist");
             return None;
         }
         match operator::read_evacuation(value) {
-            Ok(()) => Some(HallOrder::Empty(hall.to_owned())),
+            Ok(()) => Some(HallOrder::Drain(hall.to_owned())),
             Err(error) => {
                 warn!(%error, key, "an order to empty a data centre cannot be read");
                 None
--- a/crates/havenladder/src/entry/inner.rs
+++ b/crates/havenladder/src/entry/inner.rs
@@ -17,7 +17,7 @@
 use fleet::{MilliCpu, Seeker, Source};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Method, Response, StatusCode, body::Incoming};
-use jobs::{Evacuations, JobId, Phase, QueueId, Submission};
+use jobs::{HallDrains, JobId, Phase, QueueId, Submission};
 use serde::{Deserialize, Serialize};
 use std::{fmt, rc::Rc, time::Duration};
 use tokio::net::{TcpListener, TcpStream};
@@ -134,7 +134,7 @@
     pub lease: Option<(Lease, u64)>,
     /// The data centres that are to be emptied.
     #[serde(default)]
-    pub evacuations: Evacuations,
+    pub evacuations: HallDrains,
     /// How many ms ago the entry's configuration was the newest for certain.
     pub age: u64,
 }
--- a/crates/jobs/src/evacuations.rs
+++ b/crates/jobs/src/hall_drains.rs
@@ -11,22 +11,22 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HallOrder {
     /// Empty it.
-    Empty(HallId),
+    Drain(HallId),
     /// It is taken back.
-    TakeBack(HallId),
+    Undrain(HallId),
 }
 
 /// The data centres to be emptied, as of an offset of what operators publish.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Evacuations {
+pub struct HallDrains {
     halls: BTreeSet<HallId>,
     as_of: Offset,
 }
 
-impl Evacuations {
+impl HallDrains {
     /// Those that stand where all that was published before an offset is known.
     pub fn new(halls: BTreeSet<HallId>, as_of: Offset) -> Self {
-        Evacuations { halls, as_of }
+        HallDrains { halls, as_of }
     }
 
     /// The data centres to be emptied.
@@ -41,20 +41,20 @@
 
     /// Takes in what stands at an offset, an order or something else; true if it changes anything. What is known already
     /// does not.
-    pub fn take(&mut self, order: Option<HallOrder>, offset: Offset) -> bool {
+    pub fn apply(&mut self, order: Option<HallOrder>, offset: Offset) -> bool {
         if offset < self.as_of {
             return false;
         }
         self.as_of = offset + 1;
         match order {
-            Some(HallOrder::Empty(hall)) => self.halls.insert(hall),
-            Some(HallOrder::TakeBack(hall)) => self.halls.remove(&hall),
+            Some(HallOrder::Drain(hall)) => self.halls.insert(hall),
+            Some(HallOrder::Undrain(hall)) => self.halls.remove(&hall),
             None => false,
         }
     }
 
     /// Takes over what is known elsewhere, unless it is older; true if that changes anything.
-    pub fn adopt(&mut self, other: Evacuations) -> bool {
+    pub fn adopt(&mut self, other: HallDrains) -> bool {
         if other.as_of < self.as_of {
             return false;
         }
