--- a/crates/havenladder/src/entry/moves/demands.rs
+++ b/crates/havenladder/src/entry/moves/demands.rs
@@ -63,7 +63,7 @@
             pool.vms += usize::from(moving.to == pool.pool);
             return;
         }
-        if vm.pool != pool.pool || round.owner.cell.borrow().is_emptied(&vm.hall) {
+        if vm.pool != pool.pool || round.owner.cell.borrow().is_hall_drained(&vm.hall) {
             return;
         }
         pool.vms += 1;
@@ -89,7 +89,7 @@
             let of_pool = |vm: &&Vm| {
                 let may_go = vm.state == VmState::Up
                     && !self.moving.contains_key(&vm.name)
-                    && !round.owner.cell.borrow().is_emptied(&vm.hall);
+                    && !round.owner.cell.borrow().is_hall_drained(&vm.hall);
                 may_go && vm.pool == pool.pool && !round.waves.holds(&vm.name)
             };
             let is_idle = |vm: &&Vm| self.idle.contains_key(&vm.name);
--- a/crates/havenladder/src/entry/moves/drain.rs
+++ b/crates/havenladder/src/entry/moves/drain.rs
@@ -57,7 +57,7 @@
             let id = round.worker(name);
             if let Some(id) = id.filter(|_| !self.draining.contains_key(name)) {
                 cell.close_worker(id, true);
-                let moved = cell.evacuate(id, round.now);
+                let moved = cell.drain_worker(id, round.now);
                 info!(vm = name, worker = %id, moved, "VM is emptied");
                 self.draining.insert(name.clone(), round.now);
             }
--- a/crates/havenladder/src/entry/owner/evacuations.rs
+++ b/crates/havenladder/src/entry/owner/evacuations.rs
@@ -13,7 +13,7 @@
         let as_of = evacuations.as_of();
         if self.evacuated.replace(as_of) != as_of {
             let halls = evacuations.halls().clone();
-            self.cell.borrow_mut().set_emptied(halls);
+            self.cell.borrow_mut().set_drained_halls(halls);
         }
         as_of > 0
     }
@@ -23,9 +23,9 @@
         if !self.may_hold() {
             return;
         }
-        let stopped = self.cell.borrow_mut().empty_halls(Instant::now());
+        let stopped = self.cell.borrow_mut().drain_halls(Instant::now());
         if stopped > 0 {
-            let left = self.cell.borrow().left_behind();
+            let left = self.cell.borrow().count_runs_in_drained_halls();
             self.node.metrics.left_halls(stopped);
             info!(
                 stopped,
--- a/crates/havenladder/src/entry/upkeep.rs
+++ b/crates/havenladder/src/entry/upkeep.rs
@@ -245,7 +245,7 @@
         if let Some(id) = &vms[name].worker {
             let mut cell = owner.cell.borrow_mut();
             cell.close_worker(id, true);
-            cell.evacuate(id, Instant::now());
+            cell.drain_worker(id, Instant::now());
         }
         course.closing.insert(name.clone(), Instant::now());
     }
--- a/crates/jobs/src/cell/hosts.rs
+++ b/crates/jobs/src/cell/hosts.rs
@@ -14,15 +14,15 @@
     /// Takes note of what the platform's list says of a life of a worker.
     pub fn see_worker(&mut self, info: WorkerInfo, now: Instant) {
         self.lives.know(&info.id, Some(now));
-        let emptied = self.is_emptied(&info.hall);
+        let emptied = self.is_hall_drained(&info.hall);
         if let Some(worker) = self.workers.get_mut(&info.id) {
-            worker.emptied = emptied;
+            worker.hall_drained = emptied;
             worker.unlisted = None;
             worker.unusable = false;
             return self.workers.update(info);
         }
         let mut worker = Worker::new(info);
-        worker.emptied = emptied;
+        worker.hall_drained = emptied;
         worker.met = self.gate.listed;
         let orphans = self.orphans.remove(&worker.info.id);
         for Orphan { task, run, charge } in orphans.unwrap_or_default() {
--- a/crates/jobs/src/evacuate.rs
+++ b/crates/jobs/src/drain.rs
@@ -37,7 +37,7 @@
 
     /// Stops the runs on a worker that can go on elsewhere from the progress that they have saved.
     /// Returns how many.
-    pub fn evacuate(&mut self, id: &str, now: Instant) -> usize {
+    pub fn drain_worker(&mut self, id: &str, now: Instant) -> usize {
         let Some(worker) = self.workers.get(id) else {
             return 0;
         };
--- a/crates/jobs/src/explain.rs
+++ b/crates/jobs/src/explain.rs
@@ -61,7 +61,7 @@
             Obstacle::Silent
         } else if worker.closed || worker.taken || worker.info.draining {
             Obstacle::Leaving
-        } else if worker.emptied {
+        } else if worker.hall_drained {
             Obstacle::Emptied
         } else if worker.aside.is_some_and(|until| until > now) {
             Obstacle::Aside
--- a/crates/jobs/src/hall.rs
+++ b/crates/jobs/src/hall.rs
@@ -15,35 +15,35 @@
 
 impl Cell {
     /// Sets which data centres are to be emptied.
-    pub fn set_emptied(&mut self, halls: BTreeSet<HallId>) {
+    pub fn set_drained_halls(&mut self, halls: BTreeSet<HallId>) {
         self.emptied = halls;
         for worker in self.workers.values_mut() {
-            worker.emptied = self.emptied.contains(&worker.info.hall);
+            worker.hall_drained = self.emptied.contains(&worker.info.hall);
         }
     }
 
     /// Whether a data centre is to be emptied.
-    pub fn is_emptied(&self, hall: &str) -> bool {
+    pub fn is_hall_drained(&self, hall: &str) -> bool {
         self.emptied.contains(hall)
     }
 
     /// How many runs are left in the data centres that are to be emptied.
-    pub fn left_behind(&self) -> usize {
-        let leaving = self.workers.values().filter(|worker| worker.emptied);
+    pub fn count_runs_in_drained_halls(&self) -> usize {
+        let leaving = self.workers.values().filter(|worker| worker.hall_drained);
         leaving.map(|worker| worker.runs.len()).sum()
     }
 
     /// Stops what can go on elsewhere on the workers of data centres that are to be emptied. Returns how many runs.
-    pub fn empty_halls(&mut self, now: Instant) -> usize {
+    pub fn drain_halls(&mut self, now: Instant) -> usize {
         if self.emptied.is_empty() {
             return 0;
         }
         let leaving = self.workers.values();
-        let leaving = leaving.filter(|worker| worker.emptied && !worker.runs.is_empty());
+        let leaving = leaving.filter(|worker| worker.hall_drained && !worker.runs.is_empty());
         let leaving: Vec<WorkerId> = leaving.map(|worker| worker.info.id.clone()).collect();
         let mut stopped = 0;
         for id in leaving {
-            stopped += self.evacuate(&id, now);
+            stopped += self.drain_worker(&id, now);
             while let Some((task, run)) = self.next_lasting(&id, now) {
                 self.stop_run(&id, task, run);
                 stopped += 1;
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -8,8 +8,8 @@
 mod account;
 mod arrivals;
 mod cell;
+mod drain;
 mod duty;
-mod evacuate;
 mod explain;
 mod gang;
 mod hall;
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -175,7 +175,7 @@
     /// Whether its VM has been told to go down or to move.
     pub taken: bool,
     /// Whether its data centre is to be emptied.
-    pub emptied: bool,
+    pub hall_drained: bool,
     /// Whether its newest entry is none of a worker: another writer may have left it.
     pub unusable: bool,
     /// Whether an earlier owner may have told its VM so, and the order may still be under way.
@@ -215,7 +215,7 @@
             met: false,
             closed: false,
             taken: false,
-            emptied: false,
+            hall_drained: false,
             unusable: false,
             doubted: false,
             used: Need::default(),
@@ -280,7 +280,7 @@
 
     /// Whether what was decided for it may still be sent.
     pub fn may_start(&self) -> bool {
-        !self.taken && !self.emptied && !self.unusable && !self.info.draining
+        !self.taken && !self.hall_drained && !self.unusable && !self.info.draining
     }
 
     /// Adds a run and what it takes.
--- a/crates/jobs/tests/emptied_halls.rs
+++ b/crates/jobs/tests/emptied_halls.rs
@@ -31,7 +31,7 @@
 fn empty(world: &mut World, hall: &str) {
     world
         .cell
-        .set_emptied(BTreeSet::from([format!("z-{hall}")]));
+        .set_drained_halls(BTreeSet::from([format!("z-{hall}")]));
 }
 
 fn lasting(count: u32, budget: Option<u32>) -> Step {
@@ -56,7 +56,7 @@
     assert_eq!(started(&mut world), ["b1"; 4]);
     let waiting = world.cell.obstacles(task(1, 0, 5), world.now);
     assert_eq!(waiting[&Obstacle::Emptied], 1);
-    world.cell.set_emptied(BTreeSet::new());
+    world.cell.set_drained_halls(BTreeSet::new());
     assert_eq!(started(&mut world), ["a1"; 2]);
 }
 
@@ -123,9 +123,9 @@
 fn lasting_tasks_leave_within_their_budget() {
     for (budget, away) in [(None, 1), (Some(0), 0), (Some(2), 2)] {
         let mut world = leaving(budget);
-        assert_eq!(world.cell.empty_halls(world.now), away, "{budget:?}");
+        assert_eq!(world.cell.drain_halls(world.now), away, "{budget:?}");
         assert_eq!(
-            world.cell.empty_halls(world.now),
+            world.cell.drain_halls(world.now),
             0,
             "no more before these are back"
         );
@@ -136,7 +136,7 @@
 fn all_lasting_tasks_have_left_in_the_end() {
     let mut world = leaving(Some(1));
     for _ in 0..4 {
-        assert_eq!(world.cell.empty_halls(world.now), 1);
+        assert_eq!(world.cell.drain_halls(world.now), 1);
         let (worker, task, run) = world.stops().pop().unwrap();
         let number = world.cell.workers.get(&worker).unwrap().noted + 1;
         world.end(&worker, number, task, run, How::Stopped);
@@ -154,8 +154,8 @@
         );
         assert_eq!((task.job, run), (1, 2));
     }
-    assert_eq!(world.cell.left_behind(), 0);
-    assert_eq!(world.cell.empty_halls(world.now), 0);
+    assert_eq!(world.cell.count_runs_in_drained_halls(), 0);
+    assert_eq!(world.cell.drain_halls(world.now), 0);
 }
 
 #[test]
@@ -167,8 +167,8 @@
     let ended = Vec::new();
     world.report("a1", Report { running, ended });
     empty(&mut world, "a");
-    assert_eq!(world.cell.empty_halls(world.now), 0);
-    assert_eq!(world.cell.left_behind(), 2);
+    assert_eq!(world.cell.drain_halls(world.now), 0);
+    assert_eq!(world.cell.count_runs_in_drained_halls(), 2);
 }
 
 #[test]
--- a/crates/jobs/tests/evacuate.rs
+++ b/crates/jobs/tests/evacuate.rs
@@ -44,7 +44,7 @@
     );
     assert!(world.cell.time_left("a1", world.now) < Duration::from_secs(1));
     world.cell.close_worker("a1", true);
-    assert_eq!(world.cell.evacuate("a1", world.now), 2);
+    assert_eq!(world.cell.drain_worker("a1", world.now), 2);
     assert_eq!(world.stops().len(), 2);
     world.end("a1", 1, task(1, 0, 0), 1, How::Stopped);
     let started = world.run();
@@ -59,7 +59,7 @@
 fn other_runs_are_left_to_end(step: Step) {
     let mut world = busy(step);
     world.cell.close_worker("a1", true);
-    assert_eq!(world.cell.evacuate("a1", world.now), 0);
+    assert_eq!(world.cell.drain_worker("a1", world.now), 0);
     assert!(world.stops().is_empty());
 }
 
@@ -68,7 +68,7 @@
     // The other worker has room for three more tasks of one core.
     let mut world = busy(long(4));
     world.cell.close_worker("a1", true);
-    assert_eq!(world.cell.evacuate("a1", world.now), 3);
+    assert_eq!(world.cell.drain_worker("a1", world.now), 3);
     assert!(world.cell.time_left("a1", world.now) > Duration::from_secs(4));
 }
 
@@ -77,7 +77,7 @@
     let mut world = busy(long(1));
     let moved = task(1, 0, 0);
     world.cell.close_worker("a1", true);
-    assert_eq!(world.cell.evacuate("a1", world.now), 1);
+    assert_eq!(world.cell.drain_worker("a1", world.now), 1);
     world.run();
     world.take_over();
     world.join("b1");
