--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -182,7 +182,10 @@
     for vm in list.values() {
         if let Some(worker) = &vm.worker {
             let doubted = owner.is_doubtful(&vm.name);
-            owner.cell.borrow_mut().doubt_worker(worker, doubted);
+            owner
+                .cell
+                .borrow_mut()
+                .set_order_unconfirmed(worker, doubted);
         }
     }
 }
--- a/crates/havenladder/src/entry/moves/mod.rs
+++ b/crates/havenladder/src/entry/moves/mod.rs
@@ -13,7 +13,7 @@
 use adapter::cloud::{Ordered, VmState};
 use clock::Instant;
 use fleet::{PoolDemand, Shift, SizingLimits, lacks_vms, resize};
-use jobs::{Loss, Need, Takeout, WorkerId};
+use jobs::{Disruption, Loss, Need, WorkerId};
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
     rc::Rc,
@@ -98,7 +98,7 @@
             let there = vm.state == VmState::Up && moving.confirmed;
             let lost = !moving.confirmed && moving.since.elapsed() >= ORDER_LOST;
             if lost && let Some(id) = &moving.worker {
-                owner.cell.borrow_mut().take_worker(id, false);
+                owner.cell.borrow_mut().set_disrupted(id, false);
             }
             !there && !lost
         });
@@ -180,10 +180,10 @@
     fn begin(&mut self, owner: &Owner, vm: &Vm, shift: &Shift) -> Option<VmOrder> {
         if let Some(id) = &vm.worker {
             let mut cell = owner.cell.borrow_mut();
-            if cell.takeout(id) != Takeout::Free {
+            if cell.disruption(id) != Disruption::Free {
                 return None;
             }
-            cell.take_worker(id, true);
+            cell.set_disrupted(id, true);
         }
         self.idle.remove(&vm.name);
         self.draining.remove(&vm.name);
@@ -213,7 +213,7 @@
                     self.barred.extend(bars);
                 }
                 if let Some(id) = &vm.worker {
-                    owner.cell.borrow_mut().take_worker(id, false);
+                    owner.cell.borrow_mut().set_disrupted(id, false);
                 }
             }
         }
--- a/crates/havenladder/src/entry/upkeep.rs
+++ b/crates/havenladder/src/entry/upkeep.rs
@@ -13,7 +13,7 @@
 };
 use clock::Instant;
 use fleet::{Whereabouts, room_to_go};
-use jobs::{Loss, Need, Takeout, WorkerId};
+use jobs::{Disruption, Loss, Need, WorkerId};
 use std::{
     collections::{BTreeMap, BTreeSet},
     rc::Rc,
@@ -151,7 +151,7 @@
         let Some(id) = &down.worker else { continue };
         if same {
             info!(vm = name, worker = %id, "the VM had had its upkeep before");
-            owner.cell.borrow_mut().take_worker(id, false);
+            owner.cell.borrow_mut().set_disrupted(id, false);
             owner.cell.borrow_mut().close_worker(id, false);
         } else {
             give_up(owner, id, Loss::Ordered);
@@ -202,7 +202,7 @@
     let cell = owner.cell.borrow();
     for name in wave.vms.iter().filter(|name| !course.done.contains(*name)) {
         let Some(vm) = vms.get(name) else { continue };
-        let cost = vm.worker.as_deref().map(|id| cell.takeout(id));
+        let cost = vm.worker.as_deref().map(|id| cell.disruption(id));
         let (closing, down) = (
             course.closing.contains_key(name),
             course.down.contains_key(name),
@@ -252,11 +252,11 @@
 }
 
 /// What a VM weighs in the order in which VMs go; the lowest goes first.
-fn weight(cost: Takeout) -> usize {
+fn weight(cost: Disruption) -> usize {
     match cost {
-        Takeout::Free => 0,
-        Takeout::Busy(runs) => 1 + runs,
-        Takeout::Guarded => GUARDED,
+        Disruption::Free => 0,
+        Disruption::Busy(runs) => 1 + runs,
+        Disruption::Guarded => GUARDED,
     }
 }
 
@@ -286,7 +286,7 @@
     // What they carry may have changed while the record was written, and each that goes uses up budgets.
     let mut orders = Vec::new();
     for vm in &ready {
-        if cost(owner, vm) != Takeout::Guarded {
+        if cost(owner, vm) != Disruption::Guarded {
             orders.push(begin(owner, wave, course, vm));
         }
     }
@@ -302,9 +302,9 @@
     let drained = course.closing[&vm.name].elapsed() >= DRAIN;
     match cost(owner, vm) {
         _ if owner.must_spare(&vm.name) => false,
-        Takeout::Free => true,
-        Takeout::Busy(_) => drained && !may_wait(owner, wave, course, vm),
-        Takeout::Guarded => {
+        Disruption::Free => true,
+        Disruption::Busy(_) => drained && !may_wait(owner, wave, course, vm),
+        Disruption::Guarded => {
             relieve(owner, course, vm, drained);
             false
         }
@@ -312,9 +312,9 @@
 }
 
 /// What it costs to take a VM down now.
-fn cost(owner: &Owner, vm: &Vm) -> Takeout {
+fn cost(owner: &Owner, vm: &Vm) -> Disruption {
     let worker = vm.worker.as_deref();
-    worker.map_or(Takeout::Free, |id| owner.cell.borrow().takeout(id))
+    worker.map_or(Disruption::Free, |id| owner.cell.borrow().disruption(id))
 }
 
 /// Deals with a VM whose lasting tasks cannot be away now.
@@ -337,7 +337,7 @@
 /// Begins to take a VM down. Its worker gets nothing more from now on.
 fn begin(owner: &Owner, wave: &Wave, course: &mut Course, vm: &Vm) -> VmOrder {
     if let Some(id) = &vm.worker {
-        owner.cell.borrow_mut().take_worker(id, true);
+        owner.cell.borrow_mut().set_disrupted(id, true);
     }
     let down = Down {
         worker: vm.worker.clone(),
@@ -369,7 +369,7 @@
             course.down.remove(&vm.name);
             if let Some(id) = &vm.worker {
                 let mut cell = owner.cell.borrow_mut();
-                cell.take_worker(id, false);
+                cell.set_disrupted(id, false);
                 cell.close_worker(id, false);
             }
         }
--- a/crates/jobs/src/takeout.rs
+++ b/crates/jobs/src/disruption.rs
@@ -4,7 +4,7 @@
 
 /// Whether a worker may be taken out now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Takeout {
+pub enum Disruption {
     /// Nothing that would be lost runs there.
     Free,
     /// So many runs that end by themselves would be thrown away.
@@ -15,27 +15,27 @@
 
 impl Cell {
     /// What taking a worker out would cost now.
-    pub fn takeout(&self, id: &str) -> Takeout {
+    pub fn disruption(&self, id: &str) -> Disruption {
         let Some(worker) = self.workers.get(id) else {
-            return self.takeout_unknown(id);
+            return self.disruption_of_unknown(id);
         };
         let tasks = || worker.runs.keys().map(|(task, _)| *task);
         if tasks().any(|task| self.exceeds_budget(worker, task)) {
-            return Takeout::Guarded;
+            return Disruption::Guarded;
         }
         match tasks().filter(|task| !self.lasts(*task)).count() {
-            0 => Takeout::Free,
-            busy => Takeout::Busy(busy),
+            0 => Disruption::Free,
+            busy => Disruption::Busy(busy),
         }
     }
 
     /// What taking out a worker would cost that no list of workers has named: nothing is known of what it
     /// runs before the list has been read, or where an earlier owner has used it.
-    fn takeout_unknown(&self, id: &str) -> Takeout {
+    fn disruption_of_unknown(&self, id: &str) -> Disruption {
         if self.gate.listed && !self.is_orphan(id) {
-            Takeout::Free
+            Disruption::Free
         } else {
-            Takeout::Guarded
+            Disruption::Guarded
         }
     }
 
@@ -47,16 +47,16 @@
     }
 
     /// The worker's VM is being told to go: all that runs there counts as away.
-    pub fn take_worker(&mut self, id: &str, taken: bool) {
+    pub fn set_disrupted(&mut self, id: &str, disrupted: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.taken = taken;
+            worker.disrupted = disrupted;
         }
     }
 
     /// Whether an earlier owner may have told the worker's VM to go, and the order may still be under way.
-    pub fn doubt_worker(&mut self, id: &str, doubted: bool) {
+    pub fn set_order_unconfirmed(&mut self, id: &str, unconfirmed: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.doubted = doubted;
+            worker.order_unconfirmed = unconfirmed;
         }
     }
 
@@ -129,8 +129,9 @@
         };
         let host = self.workers.get(on).filter(|_| Some(&**on) != leaving);
         // One that does not answer may be gone, and one that is doubted may go at any moment.
-        let stays =
-            |host: &&Worker| host.known && !host.taken && !host.doubted && !host.info.draining;
+        let stays = |host: &&Worker| {
+            host.known && !host.disrupted && !host.order_unconfirmed && !host.info.draining
+        };
         let Some(host) = host.filter(stays) else {
             return false;
         };
--- a/crates/jobs/src/explain.rs
+++ b/crates/jobs/src/explain.rs
@@ -59,7 +59,7 @@
         let step = job.step(task.step);
         if !worker.known {
             Obstacle::Silent
-        } else if worker.closed || worker.taken || worker.info.draining {
+        } else if worker.closed || worker.disrupted || worker.info.draining {
             Obstacle::Leaving
         } else if worker.hall_drained {
             Obstacle::Emptied
--- a/crates/jobs/src/loss.rs
+++ b/crates/jobs/src/loss.rs
@@ -125,7 +125,7 @@
     pub(crate) fn of(loss: Loss, worker: Option<&Worker>) -> Self {
         // That an earlier owner may have told its VM to go is no order: after a slow store all VMs are doubted for
         // seconds, in which tasks that end their workers were started six times.
-        let ordered = worker.is_some_and(|worker| worker.taken);
+        let ordered = worker.is_some_and(|worker| worker.disrupted);
         let announced = worker.is_some_and(Worker::has_announced);
         match loss {
             Loss::Ordered => Ending::Ordered,
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -173,13 +173,13 @@
     /// Whether it is to get no new runs because its VM is to be taken out.
     pub closed: bool,
     /// Whether its VM has been told to go down or to move.
-    pub taken: bool,
+    pub disrupted: bool,
     /// Whether its data centre is to be emptied.
     pub hall_drained: bool,
     /// Whether its newest entry is none of a worker: another writer may have left it.
     pub unusable: bool,
     /// Whether an earlier owner may have told its VM so, and the order may still be under way.
-    pub doubted: bool,
+    pub order_unconfirmed: bool,
     /// What its runs take of its room.
     pub used: Need,
     /// How many of its runs last and serve.
@@ -214,10 +214,10 @@
             known: false,
             met: false,
             closed: false,
-            taken: false,
+            disrupted: false,
             hall_drained: false,
             unusable: false,
-            doubted: false,
+            order_unconfirmed: false,
             used: Need::default(),
             anchors: 0,
             runs: BTreeMap::new(),
@@ -280,7 +280,7 @@
 
     /// Whether what was decided for it may still be sent.
     pub fn may_start(&self) -> bool {
-        !self.taken && !self.hall_drained && !self.unusable && !self.info.draining
+        !self.disrupted && !self.hall_drained && !self.unusable && !self.info.draining
     }
 
     /// Adds a run and what it takes.
--- a/crates/jobs/tests/blame.rs
+++ b/crates/jobs/tests/blame.rs
@@ -66,8 +66,8 @@
     let now = world.now;
     match before {
         Before::Nothing => {}
-        Before::Ordered => world.cell.take_worker("a1", true),
-        Before::Doubted => world.cell.doubt_worker("a1", true),
+        Before::Ordered => world.cell.set_disrupted("a1", true),
+        Before::Doubted => world.cell.set_order_unconfirmed("a1", true),
         Before::Draining => world.cell.see_worker(
             WorkerInfo {
                 draining: true,
--- a/crates/jobs/tests/cell.rs
+++ b/crates/jobs/tests/cell.rs
@@ -7,7 +7,7 @@
 
 use fixture::{job, step, worker};
 use havenladder_jobs::{
-    Accepted, Cancelled, How, Loss, Order, Permit, Phase, Refusal, Report, Step, Takeout,
+    Accepted, Cancelled, Disruption, How, Loss, Order, Permit, Phase, Refusal, Report, Step,
 };
 use std::time::Duration;
 use world::{World, row, task};
@@ -192,8 +192,8 @@
         },
     );
     assert_eq!(
-        world.cell.takeout(&first.0),
-        Takeout::Guarded,
+        world.cell.disruption(&first.0),
+        Disruption::Guarded,
         "the other is not at work yet"
     );
     world.report(
@@ -203,9 +203,9 @@
             ended: vec![],
         },
     );
-    assert_eq!(world.cell.takeout(&first.0), Takeout::Free);
-    world.cell.take_worker(&second.0, true);
-    assert_eq!(world.cell.takeout(&first.0), Takeout::Guarded);
+    assert_eq!(world.cell.disruption(&first.0), Disruption::Free);
+    world.cell.set_disrupted(&second.0, true);
+    assert_eq!(world.cell.disruption(&first.0), Disruption::Guarded);
 }
 
 #[test]
@@ -298,15 +298,15 @@
     );
     world.join("b1");
     world.cell.close_worker("a1", true);
-    assert_eq!(world.cell.takeout("a1"), Takeout::Guarded);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Guarded);
     assert_eq!(world.cell.shed("a1"), 1);
     assert_eq!(world.stops(), [("a1".into(), task(1, 0, 0), 1)]);
     assert_eq!(world.cell.shed("a1"), 0, "one at a time");
     world.end("a1", 1, task(1, 0, 0), 1, How::Stopped);
     assert_eq!(world.run()[0].0, "b1");
     assert_eq!(
-        world.cell.takeout("a1"),
-        Takeout::Guarded,
+        world.cell.disruption("a1"),
+        Disruption::Guarded,
         "it is not at work yet"
     );
     let there = vec![row(task(1, 0, 0), 2, 100)];
@@ -325,7 +325,7 @@
             ended: vec![],
         },
     );
-    assert_eq!(world.cell.takeout("a1"), Takeout::Free);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Free);
 }
 
 #[test]
--- a/crates/jobs/tests/unseen.rs
+++ b/crates/jobs/tests/unseen.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use fixture::{job, step, worker};
-use havenladder_jobs::{How, Loss, Report, Step, Takeout};
+use havenladder_jobs::{Disruption, How, Loss, Report, Step};
 use world::{World, row, task};
 
 /// Two workers, and a job of two lasting tasks that are apart and of which one may be away.
@@ -49,17 +49,17 @@
         };
         world.report(&id, report);
     }
-    assert_eq!(world.cell.takeout("a1"), Takeout::Free);
-    world.cell.doubt_worker("b1", true);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Free);
+    world.cell.set_order_unconfirmed("b1", true);
     assert_eq!(
-        world.cell.takeout("a1"),
-        Takeout::Guarded,
+        world.cell.disruption("a1"),
+        Disruption::Guarded,
         "an earlier owner may have told its VM to go"
     );
-    world.cell.doubt_worker("b1", false);
-    assert_eq!(world.cell.takeout("a1"), Takeout::Free);
+    world.cell.set_order_unconfirmed("b1", false);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Free);
     world.cell.mute_worker("b1", world.now);
-    assert_eq!(world.cell.takeout("a1"), Takeout::Guarded);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Guarded);
 }
 
 #[test]
@@ -70,7 +70,7 @@
     for id in ["a1", "b1"] {
         world.cell.see_worker(worker(id), world.now);
     }
-    assert_eq!(world.cell.takeout("a1"), Takeout::Guarded);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Guarded);
 }
 
 #[test]
@@ -97,13 +97,13 @@
     world.cell.accept(job(1, vec![step(1)]));
     world.run();
     world.take_over();
-    assert_eq!(world.cell.takeout("a1"), Takeout::Guarded);
-    assert_eq!(world.cell.takeout("new"), Takeout::Guarded);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Guarded);
+    assert_eq!(world.cell.disruption("new"), Disruption::Guarded);
     world.cell.mark_listed();
     assert_eq!(
-        world.cell.takeout("a1"),
-        Takeout::Guarded,
+        world.cell.disruption("a1"),
+        Disruption::Guarded,
         "the records say that it has a run"
     );
-    assert_eq!(world.cell.takeout("new"), Takeout::Free);
+    assert_eq!(world.cell.disruption("new"), Disruption::Free);
 }
