--- a/crates/havenladder/src/entry/owner/duties.rs
+++ b/crates/havenladder/src/entry/owner/duties.rs
@@ -32,12 +32,12 @@
         let matters = self.node.settings.lease;
         let noted = vms.iter().copied();
         let holder = self.holder();
-        let version = self
-            .cell
-            .borrow_mut()
-            .note_orders(noted, &holder, Instant::now(), matters);
+        let version =
+            self.cell
+                .borrow_mut()
+                .record_vm_orders(noted, &holder, Instant::now(), matters);
         self.wake();
-        let recorded = || self.cell.borrow().orders_durable(version);
+        let recorded = || self.cell.borrow().are_vm_orders_durable(version);
         if self.wait_until(RECORDED_WITHIN, recorded).await {
             return self.is_certain();
         }
@@ -65,7 +65,8 @@
     /// Whether orders about VMs that are not recorded may have been given, or may be soon: the next owner is
     /// to know as long as they matter.
     pub fn may_order_unrecorded(&self) -> bool {
-        let inherited = Instant::now() < self.duties && self.cell.borrow().doubts_all_vms();
+        let inherited =
+            Instant::now() < self.duties && self.cell.borrow().are_all_vms_unconfirmed();
         let matters = self.node.settings.lease + ANNOUNCED_WITHIN;
         inherited
             || self
@@ -84,13 +85,13 @@
     /// an order about it.
     pub fn must_spare(&self, vm: &str) -> bool {
         let matters = Instant::now() < self.duties;
-        matters && self.cell.borrow().must_spare(vm, &self.ended.borrow())
+        matters && self.cell.borrow().must_skip(vm, &self.ended.borrow())
     }
 
     /// In whose name this owner gives orders.
     fn holder(&self) -> Holder {
         Holder {
-            life: self.node.life,
+            incarnation: self.node.life,
             address: self.node.inner_address(),
         }
     }
@@ -102,16 +103,16 @@
         task::spawn_local(watch_holder(Rc::clone(&owner), holder));
     }
     timer::sleep_until(owner.duties).await;
-    owner.cell.borrow_mut().forget_holders();
+    owner.cell.borrow_mut().forget_earlier_holders();
 }
 
 /// Asks at an earlier owner's address which life answers there: another one has taken its place.
 async fn watch_holder(owner: Rc<Owner>, holder: Holder) {
     while owner.is_alive() && Instant::now() < owner.duties {
         if let Some(life) = ask_life(&owner, &holder).await {
-            if life != holder.life {
+            if life != holder.incarnation {
                 info!(address = holder.address, life, "an earlier owner has ended");
-                owner.ended.borrow_mut().insert(holder.life);
+                owner.ended.borrow_mut().insert(holder.incarnation);
             }
             return;
         }
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -195,7 +195,7 @@
         };
         let mut cell = JobCell::new(limits(&node.settings));
         if before.orders {
-            cell.doubt_all_vms();
+            cell.mark_all_vms_unconfirmed();
         }
         Owner {
             node: Rc::clone(node),
--- a/crates/jobs/src/cell/durable.rs
+++ b/crates/jobs/src/cell/durable.rs
@@ -79,7 +79,7 @@
         if let Some(vms) = self.duty.take_change() {
             batch.entries.push(encode_ordered(&vms));
         }
-        batch.ordered = self.duty.taken;
+        batch.ordered = self.duty.batched;
         batch.starts = std::mem::take(&mut self.starts);
         batch.noted = std::mem::take(&mut self.noted).into_iter().collect();
         batch
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -28,12 +28,12 @@
     Charge, HallId, Job, JobId, Need, Order, Phase, QueueId, RunId, ServiceId, Submission, TaskId,
     TaskPhase, WorkerId, Workers,
     arrivals::Arrivals,
-    duty::Duty,
     lives::LifeTable,
     near::Near,
     permit::{Permits, StepId},
     rank::Rank,
     suspicion::Suspicions,
+    vm_orders::VmOrders,
     worker::{Load, RunKind},
 };
 use clock::Instant;
@@ -116,7 +116,7 @@
     pub(crate) suspicions: Suspicions,
     /// What keeps the tasks of earlier owners from starting.
     pub(crate) gate: Gate,
-    pub(crate) duty: Duty,
+    pub(crate) duty: VmOrders,
     /// Which workers may run the steps of queues that ask for it.
     pub(crate) permits: HashMap<StepId, Permits>,
     /// The time of day of the last look at what is due, in ms since 1970.
--- a/crates/jobs/src/duty.rs
+++ b/crates/jobs/src/vm_orders.rs
@@ -17,14 +17,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Holder {
     /// This life of the process.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Where it took the calls of other entries.
     pub address: String,
 }
 
 /// What an owner remembers of its orders.
 #[derive(Debug, Default)]
-pub(crate) struct Duty {
+pub(crate) struct VmOrders {
     /// The VMs that it gave orders about of late, in whose name, and until when that matters.
     recent: BTreeMap<String, (Holder, Instant)>,
     /// The VMs that earlier owners may have given orders about.
@@ -34,18 +35,18 @@
     /// How often the record has changed.
     pub(crate) version: u64,
     /// The version that was last put into a batch.
-    pub(crate) taken: u64,
+    pub(crate) batched: u64,
     /// The version that is durable.
     pub(crate) durable: u64,
 }
 
-impl Duty {
+impl VmOrders {
     /// The VMs to be recorded, if the record has changed.
     pub(crate) fn take_change(&mut self) -> Option<BTreeMap<String, Holder>> {
-        if self.taken == self.version {
+        if self.batched == self.version {
             return None;
         }
-        self.taken = self.version;
+        self.batched = self.version;
         // Owners may follow each other within moments: what one inherited is passed on.
         let mut vms = self.inherited.clone();
         let own = self.recent.iter();
@@ -75,12 +76,12 @@
     }
 
     /// An earlier owner may have given orders about any VM without a record of them.
-    pub fn doubt_all_vms(&mut self) {
+    pub fn mark_all_vms_unconfirmed(&mut self) {
         self.duty.unrecorded = true;
     }
 
     /// Whether an earlier owner may have given orders about VMs without a record of them.
-    pub fn doubts_all_vms(&self) -> bool {
+    pub fn are_all_vms_unconfirmed(&self) -> bool {
         self.duty.unrecorded
     }
 
@@ -91,13 +92,13 @@
 
     /// Whether the owner leaves a VM alone, since an earlier one that may still run may have just given an order
     /// about it; `ended` are those that do not run any more. Who gave orders without a record is not known.
-    pub fn must_spare(&self, vm: &str, ended: &HashSet<u64>) -> bool {
+    pub fn must_skip(&self, vm: &str, ended: &HashSet<u64>) -> bool {
         let holder = self.duty.inherited.get(vm);
-        self.duty.unrecorded || holder.is_some_and(|holder| !ended.contains(&holder.life))
+        self.duty.unrecorded || holder.is_some_and(|holder| !ended.contains(&holder.incarnation))
     }
 
     /// The orders of earlier owners do not matter any more.
-    pub fn forget_holders(&mut self) {
+    pub fn forget_earlier_holders(&mut self) {
         self.duty.unrecorded = false;
         if !self.duty.inherited.is_empty() {
             self.duty.inherited.clear();
@@ -106,25 +107,25 @@
     }
 
     /// Notes the VMs that orders are to be given about; returns what has to be durable before.
-    pub fn note_orders<'a>(
+    pub fn record_vm_orders<'a>(
         &mut self,
         vms: impl IntoIterator<Item = &'a str>,
         holder: &Holder,
         now: Instant,
-        matters: Duration,
+        relevant_for: Duration,
     ) -> u64 {
         self.duty.forget_old(now);
-        let until = now + matters;
-        let noted = vms
+        let until = now + relevant_for;
+        let orders = vms
             .into_iter()
             .map(|vm| (vm.to_owned(), (holder.clone(), until)));
-        self.duty.recent.extend(noted);
+        self.duty.recent.extend(orders);
         self.duty.version += 1;
         self.duty.version
     }
 
     /// Whether what was noted up to a version is durable.
-    pub fn orders_durable(&self, version: u64) -> bool {
+    pub fn are_vm_orders_durable(&self, version: u64) -> bool {
         self.duty.durable >= version
     }
 }
--- a/crates/jobs/tests/orders.rs
+++ b/crates/jobs/tests/orders.rs
@@ -17,24 +17,24 @@
     let second_holder = holder(2);
     let first = world
         .cell
-        .note_orders(["vm-1"], &first_holder, world.now, matters);
+        .record_vm_orders(["vm-1"], &first_holder, world.now, matters);
     assert!(
-        !world.cell.orders_durable(first),
+        !world.cell.are_vm_orders_durable(first),
         "no order before it is durable"
     );
     world.run();
-    assert!(world.cell.orders_durable(first));
+    assert!(world.cell.are_vm_orders_durable(first));
     world.pass(3_000);
     world
         .cell
-        .note_orders(["vm-2"], &first_holder, world.now, matters);
+        .record_vm_orders(["vm-2"], &first_holder, world.now, matters);
     world.run();
     world.take_over();
     assert_eq!(world.cell.earlier_holder("vm-2"), Some(&first_holder));
     assert_eq!(world.cell.earlier_holder("vm-1"), None, "that was long ago");
     world
         .cell
-        .note_orders(["vm-3"], &second_holder, world.now, matters);
+        .record_vm_orders(["vm-3"], &second_holder, world.now, matters);
     world.run();
     world.take_over();
     assert_eq!(
@@ -52,7 +52,7 @@
     let matters = Duration::from_millis(3_000);
     world
         .cell
-        .note_orders(["vm-1"], &holder(1), world.now, matters);
+        .record_vm_orders(["vm-1"], &holder(1), world.now, matters);
     world.run();
     world.pass(3_000);
     world.run();
@@ -60,19 +60,19 @@
     assert!(world.cell.earlier_holders().is_empty());
     world
         .cell
-        .note_orders(["vm-2"], &holder(2), world.now, matters);
+        .record_vm_orders(["vm-2"], &holder(2), world.now, matters);
     world.run();
     world.take_over();
-    world.cell.forget_holders();
+    world.cell.forget_earlier_holders();
     world.run();
     world.take_over();
     assert!(world.cell.earlier_holders().is_empty());
 }
 
-fn holder(life: u64) -> Holder {
+fn holder(incarnation: u64) -> Holder {
     Holder {
-        life,
-        address: format!("10.0.0.{life}:1"),
+        incarnation,
+        address: format!("10.0.0.{incarnation}:1"),
     }
 }
 
@@ -82,13 +82,13 @@
     let matters = Duration::from_millis(3_000);
     world
         .cell
-        .note_orders(["vm-1"], &holder(1), world.now, matters);
+        .record_vm_orders(["vm-1"], &holder(1), world.now, matters);
     world.run();
     world.take_over();
     let nobody = HashSet::new();
-    assert!(world.cell.must_spare("vm-1", &nobody));
-    assert!(!world.cell.must_spare("vm-2", &nobody));
-    assert!(!world.cell.must_spare("vm-1", &HashSet::from([1])));
+    assert!(world.cell.must_skip("vm-1", &nobody));
+    assert!(!world.cell.must_skip("vm-2", &nobody));
+    assert!(!world.cell.must_skip("vm-1", &HashSet::from([1])));
     assert!(
         world.cell.may_be_ordered("vm-1"),
         "its order may be under way though its process has ended"
@@ -98,10 +98,10 @@
 #[test]
 fn a_new_owner_spares_all_vms_after_orders_without_a_record() {
     let mut world = World::new(&["a1"]);
-    world.cell.doubt_all_vms();
-    assert!(world.cell.must_spare("vm-2", &HashSet::from([1])));
+    world.cell.mark_all_vms_unconfirmed();
+    assert!(world.cell.must_skip("vm-2", &HashSet::from([1])));
     assert!(world.cell.may_be_ordered("vm-2"));
-    world.cell.forget_holders();
-    assert!(!world.cell.must_spare("vm-2", &HashSet::new()));
+    world.cell.forget_earlier_holders();
+    assert!(!world.cell.must_skip("vm-2", &HashSet::new()));
     assert!(!world.cell.may_be_ordered("vm-2"));
 }
