--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -103,7 +103,7 @@
     while owner.is_alive() {
         time::sleep(LOG_INTERVAL).await;
         let cell = owner.cell.borrow();
-        let waiting = cell.waiting_lasting();
+        let waiting = cell.waiting_long_running();
         if let Some(task) = waiting.first() {
             let obstacles = cell.obstacles(*task, Instant::now());
             info!(%task, waiting = waiting.len(), ?obstacles, "lasting task waits for room");
--- a/crates/jobs/src/cell/demand.rs
+++ b/crates/jobs/src/cell/demand.rs
@@ -107,7 +107,7 @@
     /// Notes the work of a job: what it needs, times seconds.
     pub(super) fn note_inflow(&mut self, given: &Submission) {
         let pace = self.pace_of(&given.queue);
-        let finite = given.spec.steps.iter().filter(|step| !step.lasting);
+        let finite = given.spec.steps.iter().filter(|step| !step.long_running);
         let work = |step: &Step| {
             let cpu = if step.fills { 0 } else { step.need.cpu };
             let seconds = step.estimate as f64 * pace / 1_000.0;
--- a/crates/jobs/src/cell/ends.rs
+++ b/crates/jobs/src/cell/ends.rs
@@ -19,7 +19,7 @@
         let Some(step) = self.note_end(task, run, progress) else {
             return;
         };
-        let (gang, lasting) = (step.gang, step.lasting);
+        let (gang, lasting) = (step.gang, step.long_running);
         self.mark_dirty(task.job);
         match how {
             How::Done if !lasting => return self.complete(task, gang),
--- a/crates/jobs/src/cell/margins.rs
+++ b/crates/jobs/src/cell/margins.rs
@@ -52,7 +52,10 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if job.in_hand.is_some() || job.given.spec.schedule.is_some() || job.given.spec.lasts() {
+        if job.in_hand.is_some()
+            || job.given.spec.schedule.is_some()
+            || job.given.spec.is_long_running()
+        {
             return;
         }
         let pace = self.pace_of(&job.given.queue);
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -166,7 +166,7 @@
             return Accepted::Known;
         }
         self.note_work(&given);
-        if !given.spec.lasts() {
+        if !given.spec.is_long_running() {
             self.begun.insert(given.service.clone());
             // What waits for its workspace's bound needs no more VMs, however much of it comes.
             if !self.is_at_bound(&given) {
--- a/crates/jobs/src/cell/outlook.rs
+++ b/crates/jobs/src/cell/outlook.rs
@@ -128,7 +128,7 @@
             .jobs
             .get(&task.job)
             .filter(|job| !job.phase.is_over())?;
-        let step = job.find_step(task).filter(|step| !step.lasting)?;
+        let step = job.find_step(task).filter(|step| !step.long_running)?;
         let members = if step.gang {
             f64::from(step.count)
         } else {
@@ -149,6 +149,6 @@
 /// Whether somebody waits for a job's end: it runs at once and ends by itself, and its queue says what is in time.
 fn is_timed(given: &Submission) -> bool {
     let guessed = given.spec.steps.iter().all(|step| step.estimate > 0);
-    let ends = !given.spec.lasts() && given.spec.schedule.is_none();
+    let ends = !given.spec.is_long_running() && given.spec.schedule.is_none();
     ends && guessed && given.stretch > 0.0 && given.slack > 0
 }
--- a/crates/jobs/src/cell/queue.rs
+++ b/crates/jobs/src/cell/queue.rs
@@ -102,7 +102,7 @@
                 step,
                 index,
             };
-            Rank::new(task, spec.lasting, job)
+            Rank::new(task, spec.long_running, job)
         };
         if !spec.gang {
             queue.extend((0..spec.count).filter(waits).map(rank));
--- a/crates/jobs/src/cell/takeover.rs
+++ b/crates/jobs/src/cell/takeover.rs
@@ -17,7 +17,7 @@
                 Decoded::Given(_, given) if given.spec.check().is_err() => {}
                 Decoded::Given(order, given) => {
                     self.next_order = self.next_order.max(order + 1);
-                    if !given.spec.lasts() {
+                    if !given.spec.is_long_running() {
                         self.begun.insert(given.service.clone());
                     }
                     self.jobs.insert(given.id, Job::new(given, order));
--- a/crates/jobs/src/disruption.rs
+++ b/crates/jobs/src/disruption.rs
@@ -23,7 +23,7 @@
         if tasks().any(|task| self.exceeds_budget(worker, task)) {
             return Disruption::Guarded;
         }
-        match tasks().filter(|task| !self.lasts(*task)).count() {
+        match tasks().filter(|task| !self.is_long_running(*task)).count() {
             0 => Disruption::Free,
             busy => Disruption::Busy(busy),
         }
@@ -61,10 +61,10 @@
     }
 
     /// Whether a task runs until its job is cancelled.
-    fn lasts(&self, task: TaskId) -> bool {
+    fn is_long_running(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         let step = job.and_then(|job| job.find_step(task));
-        step.is_some_and(|step| step.lasting)
+        step.is_some_and(|step| step.long_running)
     }
 
     /// Stops a lasting task on a worker that is to be taken out, where it has more of a step than the
--- a/crates/jobs/src/drain.rs
+++ b/crates/jobs/src/drain.rs
@@ -71,7 +71,7 @@
     fn may_move(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         let step = job.and_then(|job| job.find_step(task));
-        step.is_some_and(|step| step.saves && !step.gang && !step.lasting && !step.fills)
+        step.is_some_and(|step| step.saves && !step.gang && !step.long_running && !step.fills)
     }
 
     /// Another worker of the service with room for a run, beside what others that move take there.
--- a/crates/jobs/src/explain.rs
+++ b/crates/jobs/src/explain.rs
@@ -31,10 +31,10 @@
 
 impl Cell {
     /// The lasting tasks of a service that wait, in order.
-    pub fn waiting_lasting(&self) -> Vec<TaskId> {
+    pub fn waiting_long_running(&self) -> Vec<TaskId> {
         let ranks = self.waiting.values().flatten();
         ranks
-            .filter(|rank| rank.is_lasting())
+            .filter(|rank| rank.is_long_running())
             .map(|rank| rank.task())
             .collect()
     }
--- a/crates/jobs/src/hall.rs
+++ b/crates/jobs/src/hall.rs
@@ -44,7 +44,7 @@
         let mut stopped = 0;
         for id in leaving {
             stopped += self.drain_worker(&id, now);
-            while let Some((task, run)) = self.next_lasting(&id, now) {
+            while let Some((task, run)) = self.next_long_running(&id, now) {
                 self.stop_run(&id, task, run);
                 stopped += 1;
             }
@@ -53,7 +53,7 @@
     }
 
     /// A lasting task of a worker that may leave now and finds room elsewhere.
-    fn next_lasting(&self, id: &str, now: Instant) -> Option<(TaskId, RunId)> {
+    fn next_long_running(&self, id: &str, now: Instant) -> Option<(TaskId, RunId)> {
         let worker = self.workers.get(id)?;
         let mut runs = worker.runs.iter();
         let found = runs.find(|((task, _), run)| {
@@ -69,7 +69,7 @@
         };
         let Some(step) = job
             .find_step(task)
-            .filter(|step| step.lasting && !step.gang)
+            .filter(|step| step.long_running && !step.gang)
         else {
             return false;
         };
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -230,7 +230,7 @@
 
 /// The estimated work of a job that ends by itself: thousandths of a core times ms.
 pub(crate) fn work_of_steps(steps: &[Step]) -> f64 {
-    let finite = steps.iter().filter(|step| !step.lasting);
+    let finite = steps.iter().filter(|step| !step.long_running);
     let work = finite.map(|step| {
         let cpu = if step.fills { 0 } else { step.need.cpu };
         cpu as f64 * step.estimate as f64 * f64::from(step.count)
--- a/crates/jobs/src/near.rs
+++ b/crates/jobs/src/near.rs
@@ -78,7 +78,7 @@
                     RunKind::Finite => {
                         work += cpu * self.run_left(*task, run, now).as_millis() as f64;
                     }
-                    RunKind::Serving | RunKind::Lasting | RunKind::Filling => room -= cpu,
+                    RunKind::Serving | RunKind::LongRunning | RunKind::Filling => room -= cpu,
                 }
             }
         }
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -82,7 +82,7 @@
             let lasting = self
                 .jobs
                 .get(&task.job)
-                .is_none_or(|job| job.given.spec.lasts());
+                .is_none_or(|job| job.given.spec.is_long_running());
             if lasting {
                 continue;
             }
@@ -124,7 +124,7 @@
         let Some(step) = job.find_step(task) else {
             return;
         };
-        if step.estimate == 0 || step.lasting {
+        if step.estimate == 0 || step.long_running {
             return;
         }
         let near = took.as_millis() as f64 / self.far_factor(worker, step);
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -119,7 +119,7 @@
     /// Does what brings a task that finds no room nearer to some.
     fn note_misfit(&mut self, service: &str, rank: &Rank, now: Instant) {
         self.ask_permits(rank.task(), now);
-        if rank.is_lasting() {
+        if rank.is_long_running() {
             self.reserve(rank.task(), now);
             if self.wants_room(rank.task()) {
                 let roomless = self.roomless.entry(service.to_owned()).or_default();
@@ -145,7 +145,7 @@
             if rank.is_late() {
                 break;
             }
-            if rank.is_lasting() {
+            if rank.is_long_running() {
                 continue;
             }
             let step = step_of(rank.task());
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -167,7 +167,7 @@
                 && self.takes(w, job, task, now)
                 && may_join(step, || w.siblings(task))
         };
-        let racks = if step.lasting {
+        let racks = if step.long_running {
             self.racks_of(&job.given.service, task)
         } else {
             HashMap::new()
@@ -176,7 +176,7 @@
         let mut best: Option<(f64, &Worker)> = None;
         for worker in self.workers.of(&job.given.service).filter(may) {
             let crowd = racks.get(worker.info.rack()).copied().unwrap_or(0);
-            let siblings = if step.lasting {
+            let siblings = if step.long_running {
                 worker.siblings(task)
             } else {
                 0
@@ -218,7 +218,7 @@
         score -= FAR;
     }
     score -= SAME_RACK * f64::from(crowd);
-    if step.lasting {
+    if step.long_running {
         score -= SAME_WORKER * f64::from(siblings);
     }
     score - DISTURBS * disturbing(worker, kind) as f64
@@ -229,7 +229,7 @@
     match kind {
         RunKind::Filling => worker.count(RunKind::Serving),
         RunKind::Serving => worker.count(RunKind::Filling),
-        RunKind::Finite | RunKind::Lasting => 0,
+        RunKind::Finite | RunKind::LongRunning => 0,
     }
 }
 
--- a/crates/jobs/src/quarantine.rs
+++ b/crates/jobs/src/quarantine.rs
@@ -76,7 +76,7 @@
         let step = job.find_step(task)?;
         let index = if step.gang { 0 } else { task.index };
         let first = TaskId { index, ..task };
-        let rank = Rank::new(first, step.lasting, job);
+        let rank = Rank::new(first, step.long_running, job);
         [rank, rank.to_late()]
             .into_iter()
             .find(|rank| queue.contains(rank))
--- a/crates/jobs/src/rank.rs
+++ b/crates/jobs/src/rank.rs
@@ -21,7 +21,7 @@
 
 impl Rank {
     /// The place of a task of a job.
-    pub fn new(task: TaskId, lasting: bool, job: &Job) -> Self {
+    pub fn new(task: TaskId, long_running: bool, job: &Job) -> Self {
         let TaskId {
             job: id,
             round,
@@ -29,7 +29,7 @@
             index,
         } = task;
         Rank {
-            finite: !lasting,
+            finite: !long_running,
             late: false,
             beyond: job.beyond,
             priority: job.given.priority,
@@ -42,7 +42,7 @@
     }
 
     /// Whether the task runs until its job is cancelled.
-    pub fn is_lasting(&self) -> bool {
+    pub fn is_long_running(&self) -> bool {
         !self.finite
     }
 
--- a/crates/jobs/src/spec.rs
+++ b/crates/jobs/src/spec.rs
@@ -39,7 +39,8 @@
     /// Whether the tasks save their progress.
     pub saves: bool,
     /// Whether the tasks run until the job is cancelled.
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// What the tasks run; those of one image behave alike.
     pub image: Option<String>,
     /// The tail of the answer times that a lasting task is to stay under, in ms.
@@ -160,8 +161,8 @@
     }
 
     /// Whether any step runs until the job is cancelled.
-    pub fn lasts(&self) -> bool {
-        self.steps.iter().any(|s| s.lasting)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|s| s.long_running)
     }
 }
 
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -54,7 +54,7 @@
     /// It lasts, and serves users of its own within a target.
     Serving,
     /// It lasts.
-    Lasting,
+    LongRunning,
     /// It takes what the others leave.
     Filling,
 }
@@ -67,14 +67,16 @@
             Step {
                 target: Some(_), ..
             } => RunKind::Serving,
-            Step { lasting: true, .. } => RunKind::Lasting,
+            Step {
+                long_running: true, ..
+            } => RunKind::LongRunning,
             _ => RunKind::Finite,
         }
     }
 
     /// Whether its worker's VM cannot be moved without a thought for it.
     fn is_anchor(self) -> bool {
-        matches!(self, RunKind::Serving | RunKind::Lasting)
+        matches!(self, RunKind::Serving | RunKind::LongRunning)
     }
 }
 
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -84,13 +84,13 @@
 fn a_lasting_task_that_waits_for_its_bound_asks_for_no_room() {
     let mut world = world(cores(2));
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         ..step(4)
     };
     world.cell.accept(job_of(SCHOOL, 1, vec![lasting]));
     assert_eq!(world.run().len(), 2);
     assert_eq!(world.cell.demand("s").roomless.need, Need::default());
-    assert!(world.cell.waiting_lasting().is_empty());
+    assert!(world.cell.waiting_long_running().is_empty());
 }
 
 #[test]
@@ -259,7 +259,7 @@
     let mut world = world(cores(1));
     let fills = Step {
         fills: true,
-        lasting: true,
+        long_running: true,
         ..step(2)
     };
     world.cell.accept(job_of(SCHOOL, 1, vec![fills]));
--- a/crates/jobs/tests/cell.rs
+++ b/crates/jobs/tests/cell.rs
@@ -175,7 +175,7 @@
 fn a_vm_is_not_taken_out_while_its_budget_is_used_up() {
     let mut world = World::new(&["a1", "b1", "c1"]);
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         budget: Some(1),
         apart: Some(1),
         ..step(2)
@@ -212,7 +212,7 @@
 fn a_lasting_task_starts_again_however_it_ends() {
     let mut world = World::new(&["a1"]);
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         ..step(1)
     };
     world.cell.accept(job(1, vec![lasting]));
@@ -231,7 +231,7 @@
     let started = world.run();
     assert_eq!(started.len(), 4);
     let mut wide = Step {
-        lasting: true,
+        long_running: true,
         ..step(1)
     };
     wide.need.cpu = 2_000;
@@ -282,7 +282,7 @@
 fn lasting_tasks_of_one_step_leave_a_worker_one_after_the_other() {
     let mut world = World::new(&["a1"]);
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         budget: Some(1),
         ..step(2)
     };
--- a/crates/jobs/tests/crash/mod.rs
+++ b/crates/jobs/tests/crash/mod.rs
@@ -309,7 +309,7 @@
     fn submit(&mut self) {
         let step = Step {
             gang: self.plan.gang,
-            lasting: self.plan.lasting,
+            long_running: self.plan.lasting,
             estimate: 2_250,
             ..step(TASKS)
         };
--- a/crates/jobs/tests/decoders.rs
+++ b/crates/jobs/tests/decoders.rs
@@ -38,10 +38,10 @@
     let figures = (any::<u64>(), any::<u64>(), any::<u64>(), any::<u64>());
     let flags = (any::<bool>(), any::<bool>(), any::<bool>());
     (1..4_u32, figures, flags).prop_map(|(count, (cpu, memory, gpu, estimate), flags)| {
-        let (gang, lasting, fills) = flags;
+        let (gang, long_running, fills) = flags;
         let mut step = Step {
             gang,
-            lasting,
+            long_running,
             fills,
             estimate,
             ..step(count)
--- a/crates/jobs/tests/demand.rs
+++ b/crates/jobs/tests/demand.rs
@@ -23,7 +23,7 @@
     };
     Step {
         need,
-        lasting: true,
+        long_running: true,
         ..step(count)
     }
 }
@@ -68,7 +68,7 @@
 
 #[parameterized(
     label = { Step { label: Some("none-has-it".to_owned()), ..lasting(2, 10) } },
-    finite = { Step { lasting: false, ..lasting(3, LARGE) } },
+    finite = { Step { long_running: false, ..lasting(3, LARGE) } },
 )]
 fn other_tasks_without_room_do_not(step: Step) {
     let mut world = World::new(&["a1"]);
--- a/crates/jobs/tests/emptied_halls.rs
+++ b/crates/jobs/tests/emptied_halls.rs
@@ -36,7 +36,7 @@
 
 fn lasting(count: u32, budget: Option<u32>) -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         budget,
         ..step(count)
     }
--- a/crates/jobs/tests/unseen.rs
+++ b/crates/jobs/tests/unseen.rs
@@ -12,7 +12,7 @@
 fn guarded() -> World {
     let mut world = World::new(&["a1", "b1"]);
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         apart: Some(1),
         budget: Some(1),
         ..step(2)
