--- a/crates/havenladder/src/entry/owner/answer.rs
+++ b/crates/havenladder/src/entry/owner/answer.rs
@@ -63,10 +63,10 @@
         let Some(job) = cell.jobs.get(&id) else {
             return true;
         };
-        match (&job.given.workspace, caller) {
+        match (&job.submission.workspace, caller) {
             (None, _) => true,
             (Some(workspace), Caller::Of(by)) => workspace == by,
-            (Some(_), Caller::Anyone) => job.given.queue == queue,
+            (Some(_), Caller::Anyone) => job.submission.queue == queue,
         }
     }
 
@@ -131,7 +131,7 @@
         self.update_workspaces();
         let cell = self.cell.borrow();
         if let Some(job) = cell.jobs.get(&given.id) {
-            return match job.given.workspace == given.workspace {
+            return match job.submission.workspace == given.workspace {
                 true => Admission::Open,
                 // It is another workspace's: nothing may tell that it is there.
                 false => Admission::Taken,
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -265,5 +265,5 @@
     let cell = owner.cell.borrow();
     let job = cell.jobs.get(&task.job)?;
     let saved = job.task(task.round, task.step, task.index)?.saved.clone();
-    Some((job.given.spec.text.clone(), saved))
+    Some((job.submission.spec.text.clone(), saved))
 }
--- a/crates/jobs/src/cell/demand.rs
+++ b/crates/jobs/src/cell/demand.rs
@@ -124,7 +124,7 @@
         let of_service = |id: &JobId| {
             self.jobs
                 .get(id)
-                .is_some_and(|job| job.given.service == service)
+                .is_some_and(|job| job.submission.service == service)
         };
         let spreads = self.spreads.iter().filter(|(id, _)| of_service(id));
         let widest = spreads.map(|(_, spread)| *spread).max();
@@ -140,7 +140,7 @@
 
 /// How many workers the widest step of a job needs whose tasks must be apart; none if it has no such step.
 fn widest_spread(job: &Job) -> Option<usize> {
-    let steps = job.given.spec.steps.iter();
+    let steps = job.submission.spec.steps.iter();
     let apart = steps.filter_map(|step| Some(step.count.div_ceil(step.apart?)));
     apart.max().map(|widest| widest as usize)
 }
--- a/crates/jobs/src/cell/durable.rs
+++ b/crates/jobs/src/cell/durable.rs
@@ -2,7 +2,9 @@
 
 use crate::{
     Batch, Cell, JobId, Order,
-    record::{encode_given, encode_ordered, encode_state, encode_upkept, forget_given},
+    record::{
+        encode_maintained, encode_state, encode_submission, encode_vm_orders, forget_submission,
+    },
 };
 use std::collections::BTreeSet;
 
@@ -66,18 +68,20 @@
             };
             let fresh = self.fresh.remove(&id);
             if fresh && !job.phase.is_over() {
-                batch.entries.push(encode_given(job));
+                batch.entries.push(encode_submission(job));
             } else if !fresh && job.phase.is_over() {
-                batch.entries.push(forget_given(id));
+                batch.entries.push(forget_submission(id));
             }
             batch.entries.push(encode_state(job));
             batch.shown.push((id, job.phase));
         }
         for wave in std::mem::take(&mut self.upkept_dirty) {
-            batch.entries.push(encode_upkept(wave, &self.upkept[&wave]));
+            batch
+                .entries
+                .push(encode_maintained(wave, &self.upkept[&wave]));
         }
         if let Some(vms) = self.duty.take_change() {
-            batch.entries.push(encode_ordered(&vms));
+            batch.entries.push(encode_vm_orders(&vms));
         }
         batch.ordered = self.duty.batched;
         batch.starts = std::mem::take(&mut self.starts);
--- a/crates/jobs/src/cell/ends.rs
+++ b/crates/jobs/src/cell/ends.rs
@@ -55,7 +55,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
-        let attempts = job.given.attempts as usize;
+        let attempts = job.submission.attempts as usize;
         let counted = if gang { 0 } else { task.index };
         let Some(state) = job.task_mut(task.round, task.step, counted) else {
             return false;
@@ -107,7 +107,7 @@
         };
         job.phase = phase;
         job.rounds = Vec::new();
-        let service = job.given.service.clone();
+        let service = job.submission.service.clone();
         self.running.remove(&id);
         self.dirty.insert(id);
         self.forget_wishes(id);
--- a/crates/jobs/src/cell/ledger.rs
+++ b/crates/jobs/src/cell/ledger.rs
@@ -122,7 +122,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if let Some(workspace) = &job.given.workspace {
+        if let Some(workspace) = &job.submission.workspace {
             job.account = Some(self.ledger.open(workspace));
         }
     }
@@ -221,7 +221,7 @@
                 .filter(|_| !self.is_stale(rank.task()));
             let place = open.and_then(|job| {
                 Some((
-                    job.given.service.clone(),
+                    job.submission.service.clone(),
                     start_need(job.find_step(rank.task())?),
                 ))
             });
@@ -267,7 +267,7 @@
                 .filter(|(_, task)| task.phase == TaskPhase::Waiting);
             let charged = waiting.filter_map(|(task, _)| charge_of(job, task));
             charges
-                .entry(job.given.service.clone())
+                .entry(job.submission.service.clone())
                 .or_default()
                 .extend(charged);
         }
--- a/crates/jobs/src/cell/margins.rs
+++ b/crates/jobs/src/cell/margins.rs
@@ -41,7 +41,7 @@
     /// The part of its work that a job must have in hand to be begun: none once it has begun.
     pub(super) fn margin_of(&self, job: &Job) -> f64 {
         match job.in_hand {
-            None => self.margins.of(&job.given.queue),
+            None => self.margins.of(&job.submission.queue),
             Some(_) => 0.0,
         }
     }
@@ -53,12 +53,12 @@
             return;
         };
         if job.in_hand.is_some()
-            || job.given.spec.schedule.is_some()
-            || job.given.spec.is_long_running()
+            || job.submission.spec.schedule.is_some()
+            || job.submission.spec.is_long_running()
         {
             return;
         }
-        let pace = self.pace_of(&job.given.queue);
+        let pace = self.pace_of(&job.submission.queue);
         let left = job.tails.iter().max().copied().unwrap_or(0) as f64 * pace;
         if left <= 0.0 {
             return;
@@ -77,7 +77,7 @@
         let Some(in_hand) = job.in_hand else {
             return;
         };
-        let queue = job.given.queue.clone();
+        let queue = job.submission.queue.clone();
         let in_time = self.wall as f64 <= job.goal(0, self.pace_of(&queue));
         self.margins.learn(&queue, in_hand, in_time);
     }
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -202,9 +202,9 @@
     /// start that was ordered may be lost on its way.
     pub fn pending(&self, queue: &str) -> usize {
         let waits = |job: &&Job| {
-            job.given.queue == queue
+            job.submission.queue == queue
                 && !job.phase.is_over()
-                && !self.running.contains(&job.given.id)
+                && !self.running.contains(&job.submission.id)
         };
         self.jobs.values().filter(waits).count()
     }
--- a/crates/jobs/src/cell/outlook.rs
+++ b/crates/jobs/src/cell/outlook.rs
@@ -134,8 +134,8 @@
         } else {
             1.0
         };
-        let work = work(step, members, self.pace_of(&job.given.queue));
-        Some((job.given.workspace.as_ref(), work))
+        let work = work(step, members, self.pace_of(&job.submission.queue));
+        Some((job.submission.workspace.as_ref(), work))
     }
 }
 
--- a/crates/jobs/src/cell/queue.rs
+++ b/crates/jobs/src/cell/queue.rs
@@ -28,7 +28,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
         };
-        let pace = self.pace_of(&job.given.queue);
+        let pace = self.pace_of(&job.submission.queue);
         let left = job.tails[task.step as usize] as f64 * pace;
         self.wall as f64 + left * (1.0 + self.margin_of(job)) > job.goal(task.round, pace)
     }
@@ -75,7 +75,7 @@
         let steps = self
             .jobs
             .get(&id)
-            .map_or(0, |job| job.given.spec.steps.len() as u32);
+            .map_or(0, |job| job.submission.spec.steps.len() as u32);
         (0..steps).for_each(|step| self.enqueue_step(id, round, step));
     }
 
@@ -94,7 +94,10 @@
         }
         let tasks = &state.steps[step as usize];
         let waits = |index: &u32| tasks[*index as usize].phase == TaskPhase::Waiting;
-        let queue = self.waiting.entry(job.given.service.clone()).or_default();
+        let queue = self
+            .waiting
+            .entry(job.submission.service.clone())
+            .or_default();
         let rank = |index: u32| {
             let task = TaskId {
                 job: id,
--- a/crates/jobs/src/cell/shares.rs
+++ b/crates/jobs/src/cell/shares.rs
@@ -81,15 +81,15 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Some(workspace) = job.given.workspace.clone() else {
+        let Some(workspace) = job.submission.workspace.clone() else {
             return;
         };
-        let service = job.given.service.clone();
-        let pace = self.pace_of(&job.given.queue);
-        let steps = &job.given.spec.steps;
+        let service = job.submission.service.clone();
+        let pace = self.pace_of(&job.submission.queue);
+        let steps = &job.submission.spec.steps;
         let work = work_of_steps(steps) * pace;
         let chain = longest_chain(steps) as f64 * pace;
-        let objective = job.given.stretch * chain + job.given.slack as f64;
+        let objective = job.submission.stretch * chain + job.submission.slack as f64;
         let (begin, ahead) = self.shares.hand_in(&service, &workspace, work);
         let weights = self.shares.weights_at_work(&service, &workspace);
         let room = self.room_of_service(&service);
@@ -102,17 +102,20 @@
     /// The same for the jobs that an earlier owner left, in the order in which they came.
     pub(super) fn share_out_all(&mut self) {
         let open = self.jobs.values().filter(|job| !job.phase.is_over());
-        let mut jobs: Vec<(u64, JobId)> = open.map(|job| (job.order, job.given.id)).collect();
+        let mut jobs: Vec<(u64, JobId)> = open.map(|job| (job.order, job.submission.id)).collect();
         jobs.sort_unstable();
         jobs.into_iter().for_each(|(_, id)| self.share_out(id));
     }
 
     /// A run of a job is ordered: virtual time goes on to where the job begins.
     pub(crate) fn pass_time(&mut self, id: JobId) {
-        let Some(Job { given, begins, .. }) = self.jobs.get(&id) else {
+        let Some(Job {
+            submission, begins, ..
+        }) = self.jobs.get(&id)
+        else {
             return;
         };
-        if let Some(clock) = self.shares.clocks.get_mut(&given.service) {
+        if let Some(clock) = self.shares.clocks.get_mut(&submission.service) {
             clock.now = clock.now.max(*begins);
         }
     }
--- a/crates/jobs/src/cell/takeover.rs
+++ b/crates/jobs/src/cell/takeover.rs
@@ -14,8 +14,8 @@
         let mut states = HashMap::new();
         for record in records {
             match record {
-                Decoded::Given(_, given) if given.spec.check().is_err() => {}
-                Decoded::Given(order, given) => {
+                Decoded::Submission(_, given) if given.spec.check().is_err() => {}
+                Decoded::Submission(order, given) => {
                     self.next_order = self.next_order.max(order + 1);
                     if !given.spec.is_long_running() {
                         self.begun.insert(given.service.clone());
@@ -25,8 +25,8 @@
                 Decoded::State(id, state) => {
                     states.insert(id, state);
                 }
-                Decoded::Ordered(vms) => self.duty.inherited = vms,
-                Decoded::Upkept(wave, vms) => {
+                Decoded::VmOrders(vms) => self.duty.inherited = vms,
+                Decoded::Maintained(wave, vms) => {
                     self.upkept.insert(wave, vms);
                 }
             }
@@ -36,7 +36,7 @@
             job.phase = state.phase;
             job.shown = Some(state.phase);
             if state.phase.is_over() {
-                job.given.workspace = state.workspace.or(job.given.workspace.take());
+                job.submission.workspace = state.workspace.or(job.submission.workspace.take());
             }
             if !state.phase.is_over() && job.fits(&state.rounds) {
                 job.rounds = state.rounds;
@@ -47,7 +47,7 @@
         // What was handed in is written in one call with its state: one without the other is a record
         // that was lost or never complete, and must not stop the takeover.
         let is_whole = |job: &Job| {
-            let known = job.phase.is_over() || !job.given.spec.steps.is_empty();
+            let known = job.phase.is_over() || !job.submission.spec.steps.is_empty();
             job.shown.is_some() && known
         };
         let odd = self.jobs.extract_if(|_, job| !is_whole(job));
--- a/crates/jobs/src/cell/withdraw.rs
+++ b/crates/jobs/src/cell/withdraw.rs
@@ -11,7 +11,7 @@
     /// false if something has been, or the job is over, or is not known.
     pub fn withdraw(&mut self, id: JobId) -> bool {
         let open = self.jobs.get(&id).filter(|job| !job.phase.is_over());
-        let Some(service) = open.map(|job| job.given.service.clone()) else {
+        let Some(service) = open.map(|job| job.submission.service.clone()) else {
             return false;
         };
         if !self.fresh.remove(&id) {
--- a/crates/jobs/src/drain.rs
+++ b/crates/jobs/src/drain.rs
@@ -113,7 +113,7 @@
         }
         let expected = self.jobs.get(&task.job).and_then(|job| {
             let estimate = job.find_step(task)?.estimate as f64;
-            let pace = self.pace_of(&job.given.queue);
+            let pace = self.pace_of(&job.submission.queue);
             Some(Duration::from_secs_f64(estimate * pace / 1_000.0))
         });
         expected.unwrap_or_default().saturating_sub(elapsed)
--- a/crates/jobs/src/explain.rs
+++ b/crates/jobs/src/explain.rs
@@ -45,7 +45,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return counts;
         };
-        for worker in self.workers.of(&job.given.service) {
+        for worker in self.workers.of(&job.submission.service) {
             *counts.entry(self.obstacle(worker, task, now)).or_insert(0) += 1;
         }
         counts
--- a/crates/jobs/src/gang.rs
+++ b/crates/jobs/src/gang.rs
@@ -80,7 +80,7 @@
         if !job.step(task.step).together {
             return self.gang_places_in(task, None, now);
         }
-        let workers = self.workers.of(&job.given.service);
+        let workers = self.workers.of(&job.submission.service);
         let mut racks: Vec<&str> = workers.map(|w| w.info.rack()).collect();
         racks.sort_unstable();
         racks.dedup();
@@ -106,7 +106,7 @@
         };
         let mut hosts: Vec<Host<'_>> = self
             .workers
-            .of(&job.given.service)
+            .of(&job.submission.service)
             .filter(may)
             .map(|worker| Host::new(worker, task))
             .collect();
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug)]
 pub struct Job {
     /// What was handed in.
-    pub given: Submission,
+    pub submission: Submission,
     /// How far it is.
     pub phase: Phase,
     /// How far it may be said to be: what has been recorded. None before the job itself is.
@@ -131,12 +131,12 @@
 
 impl Job {
     /// A job of which nothing has begun.
-    pub fn new(given: Submission, order: u64) -> Self {
-        let fresh = Round::new(&given.spec.steps);
-        let rounds = vec![fresh; given.spec.rounds() as usize];
-        let tails = tails(&given.spec.steps);
+    pub fn new(submission: Submission, order: u64) -> Self {
+        let fresh = Round::new(&submission.spec.steps);
+        let rounds = vec![fresh; submission.spec.rounds() as usize];
+        let tails = tails(&submission.spec.steps);
         Job {
-            given,
+            submission,
             phase: Phase::Pending,
             shown: None,
             rounds,
@@ -151,38 +151,38 @@
 
     /// When a round falls due, in ms since 1970; none if at once.
     pub fn due_at(&self, round: u32) -> Option<u64> {
-        let schedule = self.given.spec.schedule?;
+        let schedule = self.submission.spec.schedule?;
         Some(schedule.first + u64::from(round) * schedule.interval)
     }
 
     /// Until when a round is in time, in ms since 1970, if its work takes `pace` times as long as was
     /// estimated.
     pub fn goal(&self, round: u32, pace: f64) -> f64 {
-        let begin = self.due_at(round).unwrap_or(self.given.at);
+        let begin = self.due_at(round).unwrap_or(self.submission.at);
         let chain = self.tails.iter().max().copied().unwrap_or(0) as f64;
-        begin as f64 + self.given.stretch * chain * pace + self.given.slack as f64
+        begin as f64 + self.submission.stretch * chain * pace + self.submission.slack as f64
     }
 
     /// Whether these are rounds of this job: as many, each with the job's steps and their tasks.
     pub fn fits(&self, rounds: &[Round]) -> bool {
-        let steps = &self.given.spec.steps;
+        let steps = &self.submission.spec.steps;
         let is_step = |(step, tasks): (&Step, &Vec<Task>)| tasks.len() == step.count as usize;
         let is_round = |round: &Round| {
             round.steps.len() == steps.len()
                 && round.open.len() == steps.len()
                 && steps.iter().zip(&round.steps).all(is_step)
         };
-        rounds.len() == self.given.spec.rounds() as usize && rounds.iter().all(is_round)
+        rounds.len() == self.submission.spec.rounds() as usize && rounds.iter().all(is_round)
     }
 
     /// What the tasks of a step are.
     pub fn step(&self, step: u32) -> &Step {
-        &self.given.spec.steps[step as usize]
+        &self.submission.spec.steps[step as usize]
     }
 
     /// What the tasks of a task's step are, if the job has the step: one that is over may have lost it.
     pub fn find_step(&self, task: TaskId) -> Option<&Step> {
-        self.given.spec.steps.get(task.step as usize)
+        self.submission.spec.steps.get(task.step as usize)
     }
 
     /// A task, if the job has it.
@@ -205,7 +205,7 @@
 
     /// All tasks of all repeats.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = (TaskId, &Task)> {
-        let job = self.given.id;
+        let job = self.submission.id;
         (0..).zip(&self.rounds).flat_map(move |(round, state)| {
             (0..).zip(&state.steps).flat_map(move |(step, tasks)| {
                 (0..).zip(tasks).map(move |(index, task)| {
--- a/crates/jobs/src/near.rs
+++ b/crates/jobs/src/near.rs
@@ -59,7 +59,7 @@
             return None;
         }
         let rack = step.near.clone()?;
-        let expected = step.estimate as f64 * self.pace_of(&job.given.queue);
+        let expected = step.estimate as f64 * self.pace_of(&job.submission.queue);
         let work = expected * step.need.cpu as f64;
         Some((rack, work, expected * (self.limits.far - 1.0)))
     }
@@ -67,7 +67,7 @@
     /// In how many ms the rack will have dealt with what it has, as far as is known; none if no worker
     /// there may get the task.
     fn near_wait(&self, task: TaskId, rack: &str, now: Instant) -> Option<f64> {
-        let service = &self.jobs.get(&task.job)?.given.service;
+        let service = &self.jobs.get(&task.job)?.submission.service;
         let there = |w: &&Worker| w.info.has_label(rack) && w.is_open(now);
         let (mut room, mut work) = (0.0, 0.0);
         for worker in self.workers.of(service).filter(there) {
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -82,7 +82,7 @@
             let lasting = self
                 .jobs
                 .get(&task.job)
-                .is_none_or(|job| job.given.spec.is_long_running());
+                .is_none_or(|job| job.submission.spec.is_long_running());
             if lasting {
                 continue;
             }
@@ -129,7 +129,7 @@
         }
         let near = took.as_millis() as f64 / self.far_factor(worker, step);
         let seen = near / step.estimate as f64;
-        let pace = self.pace.entry(job.given.queue.clone()).or_insert(1.0);
+        let pace = self.pace.entry(job.submission.queue.clone()).or_insert(1.0);
         *pace += (seen.min(10.0) - *pace) * LEARNING;
     }
 
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -133,7 +133,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
         };
-        !job.given.permits && job.step(task.step).label.is_none()
+        !job.submission.permits && job.step(task.step).label.is_none()
     }
 
     /// Puts the tasks that cannot be in time any more behind those that can.
@@ -189,7 +189,7 @@
                 RunId::MAX,
             );
         let there = |w: &Worker| w.runs.range(span.clone()).next().is_some();
-        !step.copies && self.workers.of(&job.given.service).any(there)
+        !step.copies && self.workers.of(&job.submission.service).any(there)
     }
 
     /// Takes a task out of those that wait.
--- a/crates/jobs/src/permit.rs
+++ b/crates/jobs/src/permit.rs
@@ -98,10 +98,14 @@
 
     /// Asks for permits of a step that found no room, where its queue needs them.
     pub(crate) fn ask_permits(&mut self, task: TaskId, now: Instant) {
-        let Some(job) = self.jobs.get(&task.job).filter(|job| job.given.permits) else {
+        let Some(job) = self
+            .jobs
+            .get(&task.job)
+            .filter(|job| job.submission.permits)
+        else {
             return;
         };
-        let service = job.given.service.clone();
+        let service = job.submission.service.clone();
         let permits = self.permits.entry(step_of(task)).or_default();
         if permits.pending || permits.asked.is_some_and(|at| now < at + RETRY_INTERVAL) {
             return;
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -59,7 +59,7 @@
         let free = |w: &&Worker| w.info.capacity.cpu.saturating_sub(w.used.cpu);
         let freest = self
             .workers
-            .of(&job.given.service)
+            .of(&job.submission.service)
             .filter(may)
             .max_by_key(free);
         if let Some(id) = freest.map(|w| w.info.id.clone()) {
@@ -72,7 +72,7 @@
         worker.is_open(now)
             && allows(worker, job.step(task.step))
             && !self.reserved.contains(&worker.info.id)
-            && (!job.given.permits || self.has_permit(task, &worker.info.id, now))
+            && (!job.submission.permits || self.has_permit(task, &worker.info.id, now))
     }
 
     /// Places a task, or the whole gang that it stands for.
@@ -145,7 +145,7 @@
             return;
         };
         let step = job.step(task.step);
-        let bound = step.label.is_some() || step.apart.is_some() || job.given.permits;
+        let bound = step.label.is_some() || step.apart.is_some() || job.submission.permits;
         if !bound {
             let room = room_of(job, task);
             self.misfits.retain(|found| !room.is_within(*found));
@@ -168,13 +168,13 @@
                 && may_join(step, || w.siblings(task))
         };
         let racks = if step.long_running {
-            self.racks_of(&job.given.service, task)
+            self.racks_of(&job.submission.service, task)
         } else {
             HashMap::new()
         };
         let is_suspect = self.suspicions.tasks.contains(&task);
         let mut best: Option<(f64, &Worker)> = None;
-        for worker in self.workers.of(&job.given.service).filter(may) {
+        for worker in self.workers.of(&job.submission.service).filter(may) {
             let crowd = racks.get(worker.info.rack()).copied().unwrap_or(0);
             let siblings = if step.long_running {
                 worker.siblings(task)
--- a/crates/jobs/src/quarantine.rs
+++ b/crates/jobs/src/quarantine.rs
@@ -109,12 +109,12 @@
                 && self.takes(worker, job, task, now)
                 && may_join(job.step(task.step), || worker.siblings(task))
         };
-        let fitting = self.workers.of(&job.given.service).filter(may);
+        let fitting = self.workers.of(&job.submission.service).filter(may);
         let near = job.step(task.step).near.as_ref();
         let is_far = |worker: &Worker| near.is_some_and(|rack| !worker.info.has_label(rack));
         let worker =
             fitting.min_by_key(|worker| (worker.runs.len(), is_far(worker), worker.used.cpu))?;
-        let is_free = worker.runs.is_empty() || self.may_keep(&job.given.service);
+        let is_free = worker.runs.is_empty() || self.may_keep(&job.submission.service);
         is_free.then(|| worker.info.id.clone())
     }
 
@@ -139,7 +139,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let service = &job.given.service;
+        let service = &job.submission.service;
         if !self.may_keep(service) {
             return;
         }
--- a/crates/jobs/src/rank.rs
+++ b/crates/jobs/src/rank.rs
@@ -32,7 +32,7 @@
             finite: !long_running,
             late: false,
             beyond: job.beyond,
-            priority: job.given.priority,
+            priority: job.submission.priority,
             order: job.order,
             round,
             step,
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -34,13 +34,13 @@
 #[derive(Debug)]
 pub enum Decoded {
     /// What was handed in, with its place in the order of arrival.
-    Given(u64, Submission),
+    Submission(u64, Submission),
     /// How far a job is.
     State(JobId, State),
     /// Which VMs have had their upkeep in a wave.
-    Upkept(u64, BTreeSet<String>),
+    Maintained(u64, BTreeSet<String>),
     /// Which VMs an owner may have given orders about.
-    Ordered(BTreeMap<String, Holder>),
+    VmOrders(BTreeMap<String, Holder>),
 }
 
 /// How far a job is, as it is kept.
@@ -56,16 +56,16 @@
 }
 
 /// The first letter of the key of what was handed in.
-const GIVEN: char = 'g';
+const SUBMISSION: char = 'g';
 
 /// The first letter of the key of a job's state.
 const STATE: char = 's';
 
 /// The first letter of the key of a wave's record.
-const UPKEPT: char = 'w';
+const MAINTAINED: char = 'w';
 
 /// The first letter of the key of the VMs that orders were given about.
-const ORDERED: char = 'o';
+const VM_ORDERS: char = 'o';
 
 /// The key of a job's record of one kind.
 fn encode_key(kind: char, id: JobId) -> String {
@@ -73,19 +73,19 @@
 }
 
 /// The record of what was handed in.
-pub fn encode_given(job: &Job) -> Entry {
-    let value =
-        rmp_serde::to_vec(&(job.order, &job.given)).expect("plain data has a form in MessagePack");
+pub fn encode_submission(job: &Job) -> Entry {
+    let value = rmp_serde::to_vec(&(job.order, &job.submission))
+        .expect("plain data has a form in MessagePack");
     Entry {
-        key: encode_key(GIVEN, job.given.id),
+        key: encode_key(SUBMISSION, job.submission.id),
         value: Some(value),
     }
 }
 
 /// The record that says that what was handed in is no longer needed.
-pub fn forget_given(id: JobId) -> Entry {
+pub fn forget_submission(id: JobId) -> Entry {
     Entry {
-        key: encode_key(GIVEN, id),
+        key: encode_key(SUBMISSION, id),
         value: None,
     }
 }
@@ -93,7 +93,7 @@
 /// The record of a job's state.
 pub fn encode_state(job: &Job) -> Entry {
     let (rounds, workspace) = if job.phase.is_over() {
-        (Vec::new(), job.given.workspace.clone())
+        (Vec::new(), job.submission.workspace.clone())
     } else {
         (job.rounds.clone(), None)
     };
@@ -104,25 +104,25 @@
     };
     let value = rmp_serde::to_vec(&state).expect("plain data has a form in MessagePack");
     Entry {
-        key: encode_key(STATE, job.given.id),
+        key: encode_key(STATE, job.submission.id),
         value: Some(value),
     }
 }
 
 /// The record of the VMs that an owner is about to give orders about.
-pub fn encode_ordered(vms: &BTreeMap<String, Holder>) -> Entry {
+pub fn encode_vm_orders(vms: &BTreeMap<String, Holder>) -> Entry {
     let value = rmp_serde::to_vec(vms).expect("plain data has a form in MessagePack");
     Entry {
-        key: encode_key(ORDERED, 0),
+        key: encode_key(VM_ORDERS, 0),
         value: Some(value),
     }
 }
 
 /// The record of the VMs that have had their upkeep in a wave.
-pub fn encode_upkept(wave: u64, vms: &BTreeSet<String>) -> Entry {
+pub fn encode_maintained(wave: u64, vms: &BTreeSet<String>) -> Entry {
     let value = rmp_serde::to_vec(vms).expect("plain data has a form in MessagePack");
     Entry {
-        key: encode_key(UPKEPT, wave),
+        key: encode_key(MAINTAINED, wave),
         value: Some(value),
     }
 }
@@ -141,19 +141,19 @@
         source,
     };
     match kind {
-        GIVEN => {
-            let (order, given) = rmp_serde::from_slice(value).map_err(wrong)?;
-            Ok(Decoded::Given(order, given))
+        SUBMISSION => {
+            let (order, submission) = rmp_serde::from_slice(value).map_err(wrong)?;
+            Ok(Decoded::Submission(order, submission))
         }
         STATE => Ok(Decoded::State(
             id,
             rmp_serde::from_slice(value).map_err(wrong)?,
         )),
-        UPKEPT => Ok(Decoded::Upkept(
+        MAINTAINED => Ok(Decoded::Maintained(
             id,
             rmp_serde::from_slice(value).map_err(wrong)?,
         )),
-        ORDERED => Ok(Decoded::Ordered(
+        VM_ORDERS => Ok(Decoded::VmOrders(
             rmp_serde::from_slice(value).map_err(wrong)?,
         )),
         _ => Err(unknown()),
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -333,7 +333,7 @@
     world.cell.cancel(1);
     world.run();
     world.take_over();
-    let kept = world.cell.jobs[&1].given.workspace.clone();
+    let kept = world.cell.jobs[&1].submission.workspace.clone();
     assert_eq!(kept.as_deref(), Some(SCHOOL));
 }
 
@@ -375,7 +375,7 @@
     let mut cell = havenladder_jobs::Cell::new(Limits::default());
     let odd = cell.load(records);
     assert_eq!(odd, [7], "its state is missing, the record itself is read");
-    assert_eq!(cell.jobs[&8].given.workspace, None);
+    assert_eq!(cell.jobs[&8].submission.workspace, None);
 }
 
 #[test]
--- a/crates/jobs/tests/decoders.rs
+++ b/crates/jobs/tests/decoders.rs
@@ -58,10 +58,10 @@
         let decoded = decode_entry(&key, &bytes);
         let fits = match (&decoded, KINDS[kind]) {
             (Err(_), _)
-            | (Ok(Decoded::Given(..)), 'g')
+            | (Ok(Decoded::Submission(..)), 'g')
             | (Ok(Decoded::State(..)), 's')
-            | (Ok(Decoded::Upkept(..)), 'w')
-            | (Ok(Decoded::Ordered(..)), 'o') => true,
+            | (Ok(Decoded::Maintained(..)), 'w')
+            | (Ok(Decoded::VmOrders(..)), 'o') => true,
             (Ok(_), _) => false,
         };
         prop_assert!(fits);
@@ -84,9 +84,9 @@
         let state = State { phase: Phase::Running, rounds, workspace: None };
         let sound = Job::new(job(2, vec![step(1)]), 1);
         let records = vec![
-            Decoded::Given(0, given),
+            Decoded::Submission(0, given),
             Decoded::State(1, state),
-            Decoded::Given(1, sound.given.clone()),
+            Decoded::Submission(1, sound.submission.clone()),
             Decoded::State(2, State { phase: Phase::Pending, rounds: sound.rounds, workspace: None }),
         ];
         let cell = take_over(records);
