--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -13,7 +13,7 @@
     workers::{ClockMs, WorkerError},
 };
 use clock::Instant;
-use jobs::{Hearing, Loss, Refusal, Report, WorkerId};
+use jobs::{AnswerOutcome, Loss, Refusal, Report, WorkerId};
 use std::{rc::Rc, time::Duration};
 use tokio::{task, time};
 use tracing::info;
@@ -137,18 +137,18 @@
     let Answer { asked, told } = answer;
     let hearing = owner.cell.borrow_mut().hear(id, told.born, *asked, now);
     match hearing {
-        Hearing::Same { began } => {
+        AnswerOutcome::Same { began } => {
             if began {
                 note_restart(owner, id, now);
             }
             take_report(owner, id, answer, now);
             Watch::GoesOn
         }
-        Hearing::Overtaken => {
+        AnswerOutcome::Outdated => {
             info!(worker = %id, "answer of an earlier life was overtaken");
             Watch::Again
         }
-        Hearing::Over { next, began } => {
+        AnswerOutcome::Replaced { next, began } => {
             if !owner.contacts.borrow().contains_key(&next) {
                 meet(owner, next.clone(), owner.inherited);
             }
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -89,10 +89,10 @@
     let (service, draining) = (entry.service.clone(), entry.draining);
     let listing = owner.cell.borrow_mut().list_worker(entry, Instant::now());
     match listing {
-        Listing::Past => owner.node.metrics.foreign_entry("past"),
-        Listing::Surplus => owner.node.metrics.foreign_entry("surplus"),
-        Listing::Of(life) if owner.contacts.borrow().contains_key(&life) => {}
-        Listing::Of(life) => {
+        Listing::Ended => owner.node.metrics.foreign_entry("past"),
+        Listing::LimitReached => owner.node.metrics.foreign_entry("surplus"),
+        Listing::Incarnation(life) if owner.contacts.borrow().contains_key(&life) => {}
+        Listing::Incarnation(life) => {
             info!(worker = %life, service, draining, "worker listed");
             meet(owner, life, owner.inherited);
         }
--- a/crates/jobs/src/cell/hosts.rs
+++ b/crates/jobs/src/cell/hosts.rs
@@ -13,7 +13,7 @@
 impl Cell {
     /// Takes note of what the platform's list says of a life of a worker.
     pub fn see_worker(&mut self, info: WorkerInfo, now: Instant) {
-        self.lives.know(&info.id, Some(now));
+        self.lives.add(&info.id, Some(now));
         let emptied = self.is_hall_drained(&info.hall);
         if let Some(worker) = self.workers.get_mut(&info.id) {
             worker.hall_drained = emptied;
@@ -60,7 +60,7 @@
     /// of the others. Returns the lives that the cell has.
     pub fn unlist_worker(&mut self, name: &str, now: Instant) -> Vec<WorkerId> {
         let lives = self.lives_of(name);
-        self.lives.unlist(name);
+        self.lives.remove_listing(name);
         for life in &lives {
             if let Some(worker) = self.workers.get_mut(life)
                 && !worker.info.draining
--- a/crates/jobs/src/cell/lives.rs
+++ b/crates/jobs/src/cell/lives.rs
@@ -1,22 +1,24 @@
 //! The lives of workers as entries name them and as they answer.
 
-use crate::{Cell, Hearing, Listing, Loss, StartedAtMs, WorkerId, WorkerInfo};
+use crate::{AnswerOutcome, Cell, Listing, Loss, StartedAtMs, WorkerId, WorkerInfo};
 use clock::Instant;
 
 impl Cell {
     /// Takes in an entry of the list, which may be of any life of its worker. Lives that only entries have named are
     /// forgotten where too many are.
     pub fn list_worker(&mut self, mut info: WorkerInfo, now: Instant) -> Listing {
-        let listing = self.lives.list(info.id.name(), info.id.started_at());
-        let Listing::Of(life) = &listing else {
+        let listing = self
+            .lives
+            .record_listing(info.id.name(), info.id.started_at());
+        let Listing::Incarnation(life) = &listing else {
             return listing;
         };
         info.id = life.clone();
         self.see_worker(info, now);
-        for surplus in self.lives.surplus(life.name()) {
-            let worker = self.workers.get(&surplus);
-            if surplus != *life && worker.is_some_and(|worker| !worker.is_real()) {
-                self.lose_worker(&surplus, Loss::Lapsed, now);
+        for excess in self.lives.excess(life.name()) {
+            let worker = self.workers.get(&excess);
+            if excess != *life && worker.is_some_and(|worker| !worker.is_real()) {
+                self.lose_worker(&excess, Loss::Lapsed, now);
             }
         }
         listing
@@ -30,13 +32,13 @@
         born: Option<StartedAtMs>,
         asked: Instant,
         now: Instant,
-    ) -> Hearing {
+    ) -> AnswerOutcome {
         if self.workers.get(meant).is_none() {
             // It was given up meanwhile.
-            return Hearing::Overtaken;
+            return AnswerOutcome::Outdated;
         }
-        let hearing = self.lives.hear(meant, born, asked, now);
-        if let Hearing::Over { next, .. } = &hearing {
+        let hearing = self.lives.record_answer(meant, born, asked, now);
+        if let AnswerOutcome::Replaced { next, .. } = &hearing {
             self.mute_worker(meant, now);
             self.succeed(meant, next, now);
         }
@@ -68,12 +70,12 @@
     /// The lives of a worker that are over for certain, now that this one has answered a question that was asked at
     /// `asked`: what they ran ended with them, and what was on its way to them is listed, or never comes.
     pub fn outlived(&self, life: &str, asked: Instant) -> Vec<WorkerId> {
-        self.lives.outlived(life, asked)
+        self.lives.ended_by(life, asked)
     }
 
     /// The lives of a worker that are over since this one has answered, while it may still list what they were to run.
     pub fn former(&self, life: &str) -> Vec<WorkerId> {
-        self.lives.former(life)
+        self.lives.predecessors(life)
     }
 
     /// The life of a worker that counts, by the worker's name; none if nothing is known of it.
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -28,7 +28,7 @@
     Charge, HallId, Job, JobId, Need, Order, Phase, QueueId, RunId, ServiceId, Submission, TaskId,
     TaskPhase, WorkerId, Workers,
     arrivals::Arrivals,
-    lives::LifeTable,
+    incarnations::IncarnationTable,
     near::Near,
     permit::{Permits, StepId},
     rank::Rank,
@@ -89,7 +89,7 @@
     /// The rounds that are not due: when, in ms since 1970, of which job, and which round.
     timed: BTreeSet<(u64, JobId, u32)>,
     /// Which lives of each worker are known.
-    lives: LifeTable,
+    lives: IncarnationTable,
     /// The runs that an earlier owner placed on workers that no list has named since.
     orphans: HashMap<WorkerId, Vec<Orphan>>,
     /// What workspaces have running, and the tasks that wait for it to be less.
--- a/crates/jobs/src/cell/takeover.rs
+++ b/crates/jobs/src/cell/takeover.rs
@@ -71,7 +71,7 @@
         self.note_spread(id);
         self.restore_suspicions(id);
         for (worker, task, run) in placed {
-            self.lives.know(&worker, None);
+            self.lives.add(&worker, None);
             let charge = self.charge(task);
             let orphan = Orphan { task, run, charge };
             self.orphans.entry(worker).or_default().push(orphan);
--- a/crates/jobs/tests/history/calls.rs
+++ b/crates/jobs/tests/history/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to workers, which may be lost, or be carried out late.
 
 use super::{GRACE, History, LEASE, host::tell, restarts::HOLD};
-use havenladder_jobs::{EndRow, Hearing, How, Loss, Order, Refusal, WorkerId};
+use havenladder_jobs::{AnswerOutcome, EndRow, How, Loss, Order, Refusal, WorkerId};
 use rand::Rng;
 
 /// An order that is carried out late.
@@ -67,12 +67,12 @@
             host.leased = host.leased.max(now + lease);
             // The first of two questions tells which life answers; only the second tells which ends are durable.
             match self.cell.hear(&id, born, asked, asked) {
-                Hearing::Same { began: false } => host.heard = true,
-                Hearing::Same { began: true } => {
+                AnswerOutcome::Same { began: false } => host.heard = true,
+                AnswerOutcome::Same { began: true } => {
                     self.leased.insert(id.clone(), now + HOLD);
                 }
-                Hearing::Overtaken => continue,
-                Hearing::Over { next, .. } => {
+                AnswerOutcome::Outdated => continue,
+                AnswerOutcome::Replaced { next, .. } => {
                     self.leased.insert(next, now + HOLD);
                     continue;
                 }
--- a/crates/jobs/tests/lives.rs
+++ b/crates/jobs/tests/lives.rs
@@ -7,8 +7,8 @@
 
 use fixture::{job, step, worker};
 use havenladder_jobs::{
-    EndRow, Ending, Hearing, How, Limits, Listing, Loss, Phase, Report, RunId, StartedAtMs, TaskId,
-    WorkerId, WorkerInfo, name_of,
+    AnswerOutcome, EndRow, Ending, How, Limits, Listing, Loss, Phase, Report, RunId, StartedAtMs,
+    TaskId, WorkerId, WorkerInfo, name_of,
 };
 use std::time::Duration;
 use world::{World, row, task};
@@ -33,7 +33,7 @@
 }
 
 /// A question that is meant for one life, and that another, or the same, answers 1 ms later.
-fn ask(world: &mut World, meant: &WorkerId, born: Option<StartedAtMs>) -> Hearing {
+fn ask(world: &mut World, meant: &WorkerId, born: Option<StartedAtMs>) -> AnswerOutcome {
     world.pass(1);
     let asked = world.now;
     world.pass(1);
@@ -43,7 +43,7 @@
 /// A life answers a question that was meant for it. Those that it has outlived are given up; returns them.
 fn answer(world: &mut World, life: &WorkerId, report: &Report) -> Vec<WorkerId> {
     let hearing = ask(world, life, life.started_at());
-    assert!(matches!(hearing, Hearing::Same { .. }), "{hearing:?}");
+    assert!(matches!(hearing, AnswerOutcome::Same { .. }), "{hearing:?}");
     let asked = world.now - Duration::from_millis(1);
     world.cell.report(life, report, asked, world.now);
     let outlived = world.cell.outlived(life, asked);
@@ -56,7 +56,10 @@
 /// A world with one worker, of whose life it knows.
 fn met(born: StartedAtMs) -> World {
     let mut world = World::new(&[]);
-    assert_eq!(list(&mut world, Some(born)), Listing::Of(life(born)));
+    assert_eq!(
+        list(&mut world, Some(born)),
+        Listing::Incarnation(life(born))
+    );
     assert!(answer(&mut world, &life(born), &Report::default()).is_empty());
     world
 }
@@ -88,7 +91,7 @@
 
     assert_eq!(
         ask(&mut world, &life(5), Some(9)),
-        Hearing::Over {
+        AnswerOutcome::Replaced {
             next: life(9),
             began: true
         }
@@ -144,7 +147,7 @@
     list(&mut world, Some(9));
     assert_eq!(
         ask(&mut world, &life(9), Some(9)),
-        Hearing::Same { began: true }
+        AnswerOutcome::Same { began: true }
     );
     let asked = world.now - Duration::from_millis(1);
     assert!(
@@ -184,7 +187,7 @@
     ask(&mut world, &life(5), Some(9));
     answer(&mut world, &life(9), &Report::default());
     let late = world.cell.hear(&life(9), Some(5), early, world.now);
-    assert_eq!(late, Hearing::Overtaken);
+    assert_eq!(late, AnswerOutcome::Outdated);
     assert_eq!(world.cell.current_life("a1"), Some(&life(9)));
 }
 
@@ -193,7 +196,7 @@
     let mut world = met(5);
     ask(&mut world, &life(5), Some(9));
     answer(&mut world, &life(9), &Report::default());
-    assert_eq!(list(&mut world, Some(5)), Listing::Past);
+    assert_eq!(list(&mut world, Some(5)), Listing::Ended);
     assert!(world.cell.workers.get(&life(5)).is_none());
 }
 
@@ -202,12 +205,12 @@
     let mut world = met(5);
     world.cell.accept(job(1, vec![step(1)]));
     world.run();
-    assert_eq!(list(&mut world, Some(9)), Listing::Of(life(9)));
+    assert_eq!(list(&mut world, Some(9)), Listing::Incarnation(life(9)));
     assert_eq!(world.cell.current_life("a1"), Some(&life(5)));
     // Another writer's: the worker goes on to answer.
     assert_eq!(
         ask(&mut world, &life(9), Some(5)),
-        Hearing::Over {
+        AnswerOutcome::Replaced {
             next: life(5),
             began: false
         }
@@ -220,16 +223,16 @@
 #[test]
 fn an_entry_that_names_no_life_is_of_the_one_that_answers() {
     let mut world = met(5);
-    assert_eq!(list(&mut world, None), Listing::Of(life(5)));
+    assert_eq!(list(&mut world, None), Listing::Incarnation(life(5)));
 }
 
 #[test]
 fn a_worker_that_never_tells_when_it_began_is_served_under_its_name() {
     let mut world = World::new(&[]);
     let id = WorkerId::new("a1", None);
-    assert_eq!(list(&mut world, None), Listing::Of(id.clone()));
+    assert_eq!(list(&mut world, None), Listing::Incarnation(id.clone()));
     answer(&mut world, &id, &Report::default());
-    assert_eq!(list(&mut world, None), Listing::Of(id.clone()));
+    assert_eq!(list(&mut world, None), Listing::Incarnation(id.clone()));
     world.cell.accept(job(1, vec![step(1)]));
     assert_eq!(world.run(), [(id.clone(), task(1, 0, 0), 1)]);
     answer(&mut world, &id, &report(&[], &[(task(1, 0, 0), 1)]));
@@ -243,19 +246,19 @@
     list(&mut world, Some(5));
     assert_eq!(
         ask(&mut world, &life(5), None),
-        Hearing::Same { began: false }
+        AnswerOutcome::Same { began: false }
     );
     list(&mut world, Some(9));
     assert_eq!(
         ask(&mut world, &life(5), None),
-        Hearing::Over {
+        AnswerOutcome::Replaced {
             next: life(9),
             began: true
         }
     );
     assert_eq!(
         ask(&mut world, &life(9), None),
-        Hearing::Same { began: false }
+        AnswerOutcome::Same { began: false }
     );
 }
 
@@ -266,7 +269,7 @@
     answer(&mut world, &life(9), &Report::default());
     world.cell.accept(job(1, vec![step(1)]));
     assert!(world.run().is_empty(), "it may be of another kind");
-    assert_eq!(list(&mut world, Some(9)), Listing::Of(life(9)));
+    assert_eq!(list(&mut world, Some(9)), Listing::Incarnation(life(9)));
     assert_eq!(world.run().len(), 1);
 }
 
@@ -376,12 +379,12 @@
             ..worker("a1")
         };
         let listing = world.cell.list_worker(info, world.now);
-        refused += usize::from(listing == Listing::Surplus);
+        refused += usize::from(listing == Listing::LimitReached);
     }
     assert!(refused >= 900_000, "{refused} of a million were left out");
     assert_eq!(
         list(&mut world, Some(5)),
-        Listing::Of(life(5)),
+        Listing::Incarnation(life(5)),
         "it is known"
     );
 }
