--- a/crates/havenladder/src/entry/losses.rs
+++ b/crates/havenladder/src/entry/losses.rs
@@ -43,7 +43,7 @@
         ?youngest,
         "worker lost"
     );
-    for task in &lost.given_up {
+    for task in &lost.failed {
         owner.node.metrics.gave_up();
         info!(%task, worker = id, "task ends its workers; its job is given up");
     }
@@ -55,11 +55,14 @@
         task,
         run,
         age,
-        bearing,
+        involvement,
         ..
     } = run;
     match age {
-        Some(age) => format!("{task} run {run} after {} ms, {bearing:?}", age.as_millis()),
+        Some(age) => format!(
+            "{task} run {run} after {} ms, {involvement:?}",
+            age.as_millis()
+        ),
         None => format!("{task} run {run} of an earlier owner"),
     }
 }
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -98,7 +98,7 @@
     };
     let (owner, worker) = (Rc::clone(owner), WorkerId::from(worker));
     task::spawn_local(async move {
-        time::sleep(quarantine.bar).await;
+        time::sleep(quarantine.threshold).await;
         watch::look(&owner, &worker);
     });
 }
--- a/crates/jobs/src/cell/crashes.rs
+++ b/crates/jobs/src/cell/crashes.rs
@@ -1,8 +1,8 @@
 //! Counts ends of workers without notice against the tasks that may be the cause, and clears those that are not.
 
 use crate::{
-    Bearing, Cell, CrashHistory, JobId, LostRun, Phase, TaskId, TaskPhase,
-    suspicion::{Crash, PROVEN, Standing},
+    Cell, CrashHistory, Involvement, JobId, LostRun, Phase, TaskId, TaskPhase,
+    suspicion::{Crash, PROVEN_AGE, Standing},
 };
 use clock::Instant;
 use std::{collections::BTreeSet, time::Duration};
@@ -26,7 +26,10 @@
         let suspects = suspects(runs);
         let ages = suspects.iter().map(|run| run.age);
         self.suspicions.note_ages(ages, now);
-        let fresh = suspects.iter().filter(|run| run.bearing.is_fresh()).count();
+        let fresh = suspects
+            .iter()
+            .filter(|run| run.involvement.is_fresh())
+            .count();
         let mut seen: BTreeSet<Work> = BTreeSet::new();
         let mut blamed = BTreeSet::new();
         for run in &suspects {
@@ -41,7 +44,7 @@
         let repeats: Vec<TaskId> = blamed.iter().flat_map(|task| self.repeats(*task)).collect();
         let given_up = blamed.iter().copied();
         let given_up: Vec<TaskId> = given_up
-            .filter(|task| self.standing(*task, now) == Standing::GivenUp)
+            .filter(|task| self.standing(*task, now) == Standing::Failed)
             .collect();
         self.suspicions.tasks.extend(repeats);
         self.suspicions.note_end(worker, blamed, now);
@@ -54,7 +57,7 @@
 
     /// Counts the end of a worker against a task, in all repeats of its job; false if it does not count.
     fn blame_run(&mut self, run: &LostRun, one_fresh: bool) -> bool {
-        let fresh = run.bearing.is_fresh();
+        let fresh = run.involvement.is_fresh();
         let crash = Crash {
             age: run.age.map(|age| age.as_millis() as u64),
             fresh,
@@ -71,9 +74,9 @@
             return false;
         }
         let mut counts = false;
-        let lived = run.lived.as_millis() as u64;
+        let lived = run.known_runtime.as_millis() as u64;
         for task in state.repeats_mut(step, index) {
-            counts |= task.history.blame(crash, lived);
+            counts |= task.history.record_crash(crash, lived);
         }
         self.mark_dirty(job);
         counts
@@ -112,7 +115,7 @@
         match self.standing(task, now) {
             Standing::Quarantined(bar) => Some(bar),
             // An earlier owner, who knew of accidents that this one does not know of, has not given it up.
-            Standing::GivenUp => Some(self.crash_history(task)?.bar()),
+            Standing::Failed => Some(self.crash_history(task)?.threshold()),
             Standing::Clear => None,
         }
     }
@@ -147,7 +150,7 @@
             return false;
         }
         self.crash_history(task)
-            .is_some_and(|history| lived >= history.bar())
+            .is_some_and(|history| lived >= history.threshold())
     }
 
     /// Clears a task that has been at work for so long, in all repeats of its job.
@@ -184,14 +187,14 @@
 fn suspects(runs: &[LostRun]) -> Vec<&LostRun> {
     let named: Vec<&LostRun> = runs
         .iter()
-        .filter(|run| run.bearing == Bearing::Quarantined)
+        .filter(|run| run.involvement == Involvement::Quarantined)
         .collect();
     if !named.is_empty() {
         return named;
     }
     // What an earlier owner started and this one has seen at work has outlived more than is known.
-    let is_old = |run: &LostRun| run.age.is_none() && run.lived >= PROVEN;
+    let is_old = |run: &LostRun| run.age.is_none() && run.known_runtime >= PROVEN_AGE;
     runs.iter()
-        .filter(|run| run.bearing != Bearing::Unsent && !is_old(run))
+        .filter(|run| run.involvement != Involvement::Unsent && !is_old(run))
         .collect()
 }
--- a/crates/jobs/src/cell/hosts.rs
+++ b/crates/jobs/src/cell/hosts.rs
@@ -134,14 +134,14 @@
                 self.requeue(*task);
             }
         }
-        let given_up = match ending {
+        let failed = match ending {
             Ending::Crashed if is_real => self.blame_end(id, &runs, now),
             Ending::Crashed | Ending::Ordered | Ending::Announced | Ending::Unclear => Vec::new(),
         };
         Some(LostWorker {
             ending,
             runs,
-            given_up,
+            failed,
         })
     }
 
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -44,7 +44,7 @@
 pub use hall_drains::{HallDrains, HallOrder};
 pub use incarnations::{AnswerOutcome, Listing};
 pub use job::{Job, Phase, Round, Task, TaskPhase};
-pub use loss::{Bearing, Ending, Loss, LostRun, LostWorker};
+pub use loss::{Ending, Involvement, Loss, LostRun, LostWorker};
 pub use need::{Need, Resource};
 pub use outbox::{Batch, Order};
 pub use permit::{Permit, StepId};
--- a/crates/jobs/src/loss.rs
+++ b/crates/jobs/src/loss.rs
@@ -1,6 +1,6 @@
 //! Why a worker is given up, and what that says of the runs that it had.
 
-use crate::{RunId, TaskId, Worker, suspicion::PROVEN, worker::RunState};
+use crate::{RunId, TaskId, Worker, suspicion::PROVEN_AGE, worker::RunState};
 use clock::Instant;
 use std::time::Duration;
 
@@ -38,14 +38,14 @@
     /// How long after its start was sent the worker fell silent; none if that is not known.
     pub age: Option<Duration>,
     /// For how long it is known to have been at work.
-    pub lived: Duration,
+    pub known_runtime: Duration,
     /// What it may have had to do with the worker's end.
-    pub bearing: Bearing,
+    pub involvement: Involvement,
 }
 
 /// What a run may have had to do with the end of its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bearing {
+pub enum Involvement {
     /// Nothing: its start was not sent.
     Unsent,
     /// Little: the worker has answered for a while after its start, or an earlier owner may have started it long ago.
@@ -56,10 +56,10 @@
     Quarantined,
 }
 
-impl Bearing {
+impl Involvement {
     /// Whether the run had just begun.
     pub(crate) fn is_fresh(self) -> bool {
-        matches!(self, Bearing::Fresh | Bearing::Quarantined)
+        matches!(self, Involvement::Fresh | Involvement::Quarantined)
     }
 }
 
@@ -70,8 +70,8 @@
             task,
             run,
             age: None,
-            lived: Duration::ZERO,
-            bearing: Bearing::Older,
+            known_runtime: Duration::ZERO,
+            involvement: Involvement::Older,
         }
     }
 
@@ -84,15 +84,15 @@
     ) -> Self {
         let (task, run) = key;
         let end = worker.silent_since.unwrap_or(now);
-        let lived = worker.known_runtime(state);
+        let known_runtime = worker.known_runtime(state);
         let is_quarantined = worker
             .quarantine
             .is_some_and(|quarantine| quarantine.key == key);
-        let bearing = match state.sent_at {
-            None => Bearing::Unsent,
-            Some(_) if is_quarantined => Bearing::Quarantined,
-            Some(_) if lived >= PROVEN || state.inherited => Bearing::Older,
-            Some(_) => Bearing::Fresh,
+        let involvement = match state.sent_at {
+            None => Involvement::Unsent,
+            Some(_) if is_quarantined => Involvement::Quarantined,
+            Some(_) if known_runtime >= PROVEN_AGE || state.inherited => Involvement::Older,
+            Some(_) => Involvement::Fresh,
         };
         // A start without an answer may have been carried out much later than it was sent, or never, where its worker had
         // ended before: it is no proof. Of a task that ends its workers before they answer, four ends are.
@@ -104,8 +104,8 @@
             task,
             run,
             age: sent.filter(|_| is_known),
-            lived,
-            bearing,
+            known_runtime,
+            involvement,
         }
     }
 }
@@ -118,7 +118,7 @@
     /// The runs that it may have had, the youngest first.
     pub runs: Vec<LostRun>,
     /// The tasks that are given up for it, and their jobs with them.
-    pub given_up: Vec<TaskId>,
+    pub failed: Vec<TaskId>,
 }
 
 impl Ending {
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -119,12 +119,12 @@
             state.phase = TaskPhase::Placed(worker.clone());
             state.run = run;
         }
-        let bar = self.quarantine_bar(task, now);
+        let threshold = self.quarantine_bar(task, now);
         if let Some(host) = self.workers.get_mut(&worker) {
             host.add(task, run, RunState::ordered(load, charge, now));
-            host.quarantine = bar.map(|bar| Quarantine {
+            host.quarantine = threshold.map(|threshold| Quarantine {
                 key: (task, run),
-                bar,
+                threshold,
             });
         }
         self.lost.remove(&task);
--- a/crates/jobs/src/suspicion.rs
+++ b/crates/jobs/src/suspicion.rs
@@ -16,39 +16,39 @@
 /// Until a worker has answered for so long after a start, that run may be what ends it. Users saw workers end 2 to
 /// 10 ms after the start; 25 times that leaves room for slow workers. A quarantine takes as long, so that longer ones
 /// would keep room from others.
-pub(crate) const PROVEN: Duration = Duration::from_millis(250);
+pub(crate) const PROVEN_AGE: Duration = Duration::from_millis(250);
 
 /// Once a run has been at work for longer, the end of its worker counts against no task: it is not the start that ended
 /// it. 100 times what users saw. A lasting task would else be given up after some days for ends that have nothing to do
 /// with it.
-pub(crate) const LATEST: Duration = Duration::from_millis(1_000);
+pub(crate) const MAX_SUSPECT_RUNTIME: Duration = Duration::from_millis(1_000);
 
 /// Within this time after its start, the end of a worker is most likely the run's doing: users saw 2 to 10 ms, and an
 /// owner that is full learns of it 76 ms later.
-const PROMPT: Duration = Duration::from_millis(100);
+const PROMPT_AGE: Duration = Duration::from_millis(100);
 
 /// How many ends of workers are proof, the last of them in quarantine, where all came promptly and accidents are rare:
 /// the first makes suspects, the quarantine names one.
-const PROOF: usize = 2;
+const PROOF_CRASHES: usize = 2;
 
 /// How many are where the run was older, or workers may end by accident: where each of 20 ended every 8 s, two prompt
 /// ends met some of 3,000 harmless tasks within a minute.
-const PROOF_OF_LATER: usize = 3;
+const PROOF_CRASHES_LATER: usize = 3;
 
 /// How many ends of workers are proof in any case. The users allow two starts after the third; one end in five may
 /// meet a start that no record names, and is not known.
-const MOST: usize = 4;
+const MAX_CRASHES: usize = 4;
 
 /// How many ends of workers that no task has caused make accidents common, and within which time; and more than have
 /// been proven to be the doing of tasks. Where tasks end workers all the time, a few accidents beside them would else
 /// ask for four ends of each: with 40 such tasks in 20 s on 8 workers, harmless suspects waited 18 s for their turn.
-const COMMON: usize = 2;
+const COMMON_ACCIDENTS: usize = 2;
 
-/// See [`COMMON`].
+/// See [`COMMON_ACCIDENTS`].
 const ACCIDENT_SPAN: Duration = Duration::from_secs(30);
 
 /// How many of the last such ends are remembered: more than that say no more.
-const MOST_RECENT: usize = 64;
+const MAX_RECENT: usize = 64;
 
 /// The end of a worker without notice under a run of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,14 +64,15 @@
 impl Crash {
     /// Whether the end came promptly after the start.
     fn is_prompt(&self) -> bool {
-        self.age.is_some_and(|age| age <= PROMPT.as_millis() as u64)
+        self.age
+            .is_some_and(|age| age <= PROMPT_AGE.as_millis() as u64)
     }
 
     /// Whether a run that was at work for so long, in ms, shows that the task did not cause this end: one that ends its
     /// workers does so at about the same age each time.
     fn is_disproved_by(&self, lived: u64) -> bool {
         self.age
-            .is_some_and(|age| lived > 2 * age + PROVEN.as_millis() as u64)
+            .is_some_and(|age| lived > 2 * age + PROVEN_AGE.as_millis() as u64)
     }
 }
 
@@ -83,7 +84,7 @@
     /// It is started in quarantine, which ends when the run has outlived this age.
     Quarantined(Duration),
     /// Its job is given up.
-    GivenUp,
+    Failed,
 }
 
 /// The record of a task: what speaks against it, and what for it.
@@ -97,8 +98,8 @@
 
 impl CrashHistory {
     /// Takes note of the end of a worker under a run that had been at work for so long, in ms. True if it counts.
-    pub(crate) fn blame(&mut self, crash: Crash, lived: u64) -> bool {
-        let is_late = lived > LATEST.as_millis() as u64;
+    pub(crate) fn record_crash(&mut self, crash: Crash, lived: u64) -> bool {
+        let is_late = lived > MAX_SUSPECT_RUNTIME.as_millis() as u64;
         let counts = !is_late && !crash.is_disproved_by(self.outlived);
         self.crashes
             .retain(|earlier| !earlier.is_disproved_by(lived));
@@ -111,10 +112,10 @@
 
     /// How old a run must become to show that the task is not the cause: twice the least age at which a worker ended,
     /// since a task does its work at about the same pace everywhere.
-    pub(crate) fn bar(&self) -> Duration {
+    pub(crate) fn threshold(&self) -> Duration {
         let ages = self.crashes.iter().filter_map(|crash| crash.age);
         let least = Duration::from_millis(ages.min().unwrap_or(0));
-        PROVEN.max(least * 2)
+        PROVEN_AGE.max(least * 2)
     }
 
     /// How the task stands.
@@ -122,10 +123,12 @@
         let count = self.crashes.len();
         // Where accidents are common, one end of a worker says next to nothing of a dozen tasks there.
         let one_is_enough = accidents != Accidents::Common;
-        if self.is_proven(accidents) || count >= MOST {
-            Standing::GivenUp
-        } else if count >= PROOF || one_is_enough && self.crashes.iter().any(|crash| crash.fresh) {
-            Standing::Quarantined(self.bar())
+        if self.is_proven(accidents) || count >= MAX_CRASHES {
+            Standing::Failed
+        } else if count >= PROOF_CRASHES
+            || one_is_enough && self.crashes.iter().any(|crash| crash.fresh)
+        {
+            Standing::Quarantined(self.threshold())
         } else {
             Standing::Clear
         }
@@ -136,9 +139,9 @@
         let is_prompt = self.crashes.iter().all(Crash::is_prompt);
         let last_alone = self.crashes.last().is_some_and(|crash| crash.alone);
         let enough = match (accidents, is_prompt) {
-            (Accidents::Rare, true) => PROOF,
-            (Accidents::Rare, false) | (Accidents::Suspected, _) => PROOF_OF_LATER,
-            (Accidents::Common, _) => MOST,
+            (Accidents::Rare, true) => PROOF_CRASHES,
+            (Accidents::Rare, false) | (Accidents::Suspected, _) => PROOF_CRASHES_LATER,
+            (Accidents::Common, _) => MAX_CRASHES,
         };
         last_alone && self.crashes.len() >= enough
     }
@@ -177,7 +180,7 @@
 impl Recent {
     fn note(&mut self, now: Instant) {
         self.0.push_back(now);
-        if self.0.len() > MOST_RECENT {
+        if self.0.len() > MAX_RECENT {
             self.0.pop_front();
         }
     }
@@ -225,7 +228,7 @@
 
     /// How often workers end that no task has ended.
     pub(crate) fn accidents(&self, now: Instant) -> Accidents {
-        let enough = COMMON.max(self.proven.count(now));
+        let enough = COMMON_ACCIDENTS.max(self.proven.count(now));
         if self.accidents.count(now) >= enough {
             Accidents::Common
         } else if self.unprompted.count(now) >= enough {
@@ -242,7 +245,7 @@
         now: Instant,
     ) {
         // What an earlier owner started may have just begun.
-        let prompted = ages.any(|age| age.is_none_or(|age| age <= PROMPT));
+        let prompted = ages.any(|age| age.is_none_or(|age| age <= PROMPT_AGE));
         if !prompted {
             self.unprompted.note(now);
         }
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -1,6 +1,8 @@
 //! A worker as the owner of its cell sees it: its room, and the runs that it may have.
 
-use crate::{Charge, LostRun, Need, RunId, ServiceId, Step, TaskId, WorkerId, suspicion::PROVEN};
+use crate::{
+    Charge, LostRun, Need, RunId, ServiceId, Step, TaskId, WorkerId, suspicion::PROVEN_AGE,
+};
 use clock::Instant;
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -159,7 +161,7 @@
     /// The run.
     pub key: (TaskId, RunId),
     /// The age that ends the quarantine.
-    pub bar: Duration,
+    pub threshold: Duration,
 }
 
 /// A worker.
@@ -252,7 +254,7 @@
     pub fn is_settled(&self) -> bool {
         self.runs
             .values()
-            .all(|state| self.known_runtime(state) >= PROVEN)
+            .all(|state| self.known_runtime(state) >= PROVEN_AGE)
     }
 
     /// Ends the quarantine of a run that has outlived what it was to outlive.
@@ -261,7 +263,7 @@
             return;
         };
         let state = self.runs.get(&quarantine.key);
-        if state.is_none_or(|state| self.known_runtime(state) >= quarantine.bar) {
+        if state.is_none_or(|state| self.known_runtime(state) >= quarantine.threshold) {
             self.quarantine = None;
         }
     }
--- a/crates/jobs/tests/blame.rs
+++ b/crates/jobs/tests/blame.rs
@@ -211,7 +211,7 @@
     let started = world.run();
     assert_eq!(started.len(), 1);
     let lost = crash(&mut world, &started[0].0);
-    assert_eq!(lost.given_up, [task(1, 0, 0)]);
+    assert_eq!(lost.failed, [task(1, 0, 0)]);
     assert_eq!(world.cell.jobs[&1].phase, Phase::Failed);
     world.run();
     world.take_over();
@@ -283,7 +283,7 @@
     }
     assert_eq!(world.run().len(), 2, "each on a worker of its own");
     let lost = crash(&mut world, "b1");
-    assert_eq!(lost.given_up.len(), 1);
+    assert_eq!(lost.failed.len(), 1);
     assert_eq!(world.cell.jobs[&1].phase, Phase::Failed);
 }
 
@@ -333,7 +333,7 @@
     world.join("b1");
     world.run();
     assert_eq!(
-        crash(&mut world, "b1").given_up.len(),
+        crash(&mut world, "b1").failed.len(),
         1,
         "two ends are proof"
     );
@@ -355,5 +355,5 @@
     assert!(world.cell.confirm_start("b1", task(1, 0, 0), 2, now));
     world.cell.unsure("b1", task(1, 0, 0), 2);
     let lost = crash(&mut world, "b1");
-    assert!(lost.given_up.is_empty(), "nothing shows that it began");
+    assert!(lost.failed.is_empty(), "nothing shows that it began");
 }
--- a/crates/jobs/tests/crash/mod.rs
+++ b/crates/jobs/tests/crash/mod.rs
@@ -403,7 +403,7 @@
             .and_then(|worker| worker.quarantine);
         if let Some(quarantine) = quarantine.filter(|quarantine| quarantine.key == (task, run)) {
             let host = self.hosts.get_mut(id).unwrap();
-            host.look = Some(self.now + quarantine.bar.as_millis() as u64);
+            host.look = Some(self.now + quarantine.threshold.as_millis() as u64);
         }
     }
 
