--- a/crates/jobs/src/cell/margins.rs
+++ b/crates/jobs/src/cell/margins.rs
@@ -40,7 +40,7 @@
 impl Cell {
     /// The part of its work that a job must have in hand to be begun: none once it has begun.
     pub(super) fn margin_of(&self, job: &Job) -> f64 {
-        match job.in_hand {
+        match job.slack_ratio {
             None => self.margins.of(&job.submission.queue),
             Some(_) => 0.0,
         }
@@ -52,20 +52,20 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if job.in_hand.is_some()
+        if job.slack_ratio.is_some()
             || job.submission.spec.schedule.is_some()
             || job.submission.spec.is_long_running()
         {
             return;
         }
         let pace = self.pace_of(&job.submission.queue);
-        let left = job.tails.iter().max().copied().unwrap_or(0) as f64 * pace;
+        let left = job.critical_paths.iter().max().copied().unwrap_or(0) as f64 * pace;
         if left <= 0.0 {
             return;
         }
-        let in_hand = (job.goal(0, pace) - wall - left) / left;
+        let in_hand = (job.target_time(0, pace) - wall - left) / left;
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.in_hand = Some(in_hand);
+            job.slack_ratio = Some(in_hand);
         }
     }
 
@@ -74,11 +74,11 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Some(in_hand) = job.in_hand else {
+        let Some(in_hand) = job.slack_ratio else {
             return;
         };
         let queue = job.submission.queue.clone();
-        let in_time = self.wall as f64 <= job.goal(0, self.pace_of(&queue));
+        let in_time = self.wall as f64 <= job.target_time(0, self.pace_of(&queue));
         self.margins.learn(&queue, in_hand, in_time);
     }
 }
--- a/crates/jobs/src/cell/queue.rs
+++ b/crates/jobs/src/cell/queue.rs
@@ -29,8 +29,8 @@
             return false;
         };
         let pace = self.pace_of(&job.submission.queue);
-        let left = job.tails[task.step as usize] as f64 * pace;
-        self.wall as f64 + left * (1.0 + self.margin_of(job)) > job.goal(task.round, pace)
+        let left = job.critical_paths[task.step as usize] as f64 * pace;
+        self.wall as f64 + left * (1.0 + self.margin_of(job)) > job.target_time(task.round, pace)
     }
 
     /// Puts a task back among those that wait.
--- a/crates/jobs/src/cell/shares.rs
+++ b/crates/jobs/src/cell/shares.rs
@@ -94,8 +94,9 @@
         let weights = self.shares.weights_at_work(&service, &workspace);
         let room = self.room_of_service(&service);
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.begins = begin;
-            job.beyond = room.is_some_and(|room| ahead * weights / room > FAR_BEYOND * objective);
+            job.virtual_start = begin;
+            job.over_share =
+                room.is_some_and(|room| ahead * weights / room > FAR_BEYOND * objective);
         }
     }
 
@@ -110,13 +111,15 @@
     /// A run of a job is ordered: virtual time goes on to where the job begins.
     pub(crate) fn pass_time(&mut self, id: JobId) {
         let Some(Job {
-            submission, begins, ..
+            submission,
+            virtual_start,
+            ..
         }) = self.jobs.get(&id)
         else {
             return;
         };
         if let Some(clock) = self.shares.clocks.get_mut(&submission.service) {
-            clock.now = clock.now.max(*begins);
+            clock.now = clock.now.max(*virtual_start);
         }
     }
 }
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -118,13 +118,13 @@
     /// Its place in the order of arrival.
     pub order: u64,
     /// For each step, the longest chain of estimated work that begins with it, in ms.
-    pub tails: Vec<u64>,
+    pub critical_paths: Vec<u64>,
     /// When it begins in the virtual time of its service.
-    pub begins: f64,
+    pub virtual_start: f64,
     /// Whether it is beyond what its workspace may have of a service that is full.
-    pub beyond: bool,
+    pub over_share: bool,
     /// How much time it had in hand as it began, as a part of its work; none before.
-    pub in_hand: Option<f64>,
+    pub slack_ratio: Option<f64>,
     /// The account of its workspace; none if it belongs to none.
     pub account: Option<Rc<Account>>,
 }
@@ -134,17 +134,17 @@
     pub fn new(submission: Submission, order: u64) -> Self {
         let fresh = Round::new(&submission.spec.steps);
         let rounds = vec![fresh; submission.spec.rounds() as usize];
-        let tails = tails(&submission.spec.steps);
+        let critical_paths = critical_paths(&submission.spec.steps);
         Job {
             submission,
             phase: Phase::Pending,
             durable_phase: None,
             rounds,
             order,
-            tails,
-            begins: 0.0,
-            beyond: false,
-            in_hand: None,
+            critical_paths,
+            virtual_start: 0.0,
+            over_share: false,
+            slack_ratio: None,
             account: None,
         }
     }
@@ -157,9 +157,9 @@
 
     /// Until when a round is in time, in ms since 1970, if its work takes `pace` times as long as was
     /// estimated.
-    pub fn goal(&self, round: u32, pace: f64) -> f64 {
+    pub fn target_time(&self, round: u32, pace: f64) -> f64 {
         let begin = self.due_at(round).unwrap_or(self.submission.at);
-        let chain = self.tails.iter().max().copied().unwrap_or(0) as f64;
+        let chain = self.critical_paths.iter().max().copied().unwrap_or(0) as f64;
         begin as f64 + self.submission.stretch * chain * pace + self.submission.slack as f64
     }
 
@@ -240,16 +240,17 @@
 
 /// The longest chain of estimated work of a job, in ms.
 pub(crate) fn longest_chain(steps: &[Step]) -> u64 {
-    tails(steps).into_iter().max().unwrap_or(0)
+    critical_paths(steps).into_iter().max().unwrap_or(0)
 }
 
 /// For each step, the longest chain of estimated work that begins with it.
-fn tails(steps: &[Step]) -> Vec<u64> {
-    let mut tails: Vec<u64> = steps.iter().map(|step| step.estimate).collect();
+fn critical_paths(steps: &[Step]) -> Vec<u64> {
+    let mut critical_paths: Vec<u64> = steps.iter().map(|step| step.estimate).collect();
     for number in (0..steps.len()).rev() {
         for before in steps[number].after.iter().map(|before| *before as usize) {
-            tails[before] = tails[before].max(steps[before].estimate + tails[number]);
+            critical_paths[before] =
+                critical_paths[before].max(steps[before].estimate + critical_paths[number]);
         }
     }
-    tails
+    critical_paths
 }
--- a/crates/jobs/src/rank.rs
+++ b/crates/jobs/src/rank.rs
@@ -10,7 +10,7 @@
 pub struct Rank {
     finite: bool,
     late: bool,
-    beyond: bool,
+    over_share: bool,
     priority: u32,
     order: u64,
     round: u32,
@@ -31,7 +31,7 @@
         Rank {
             finite: !long_running,
             late: false,
-            beyond: job.beyond,
+            over_share: job.over_share,
             priority: job.submission.priority,
             order: job.order,
             round,
