--- a/crates/jobs/benches/placement.rs
+++ b/crates/jobs/benches/placement.rs
@@ -46,7 +46,7 @@
     let step = Step {
         count: TASKS,
         need,
-        estimate: 1_000,
+        estimate_ms: 1_000,
         ..Step::default()
     };
     Submission {
--- a/crates/jobs/src/cell/demand.rs
+++ b/crates/jobs/src/cell/demand.rs
@@ -88,7 +88,7 @@
                 continue;
             };
             roomless.need.add(room_of(job, *task));
-            if let Some(most) = job.step(task.step).apart {
+            if let Some(most) = job.step(task.step).max_per_worker {
                 let tasks = steps.entry(step_of(*task)).or_default();
                 *tasks += 1;
                 let workers = tasks.div_ceil(most.max(1)) as usize;
@@ -109,8 +109,8 @@
         let pace = self.pace_of(&given.queue);
         let finite = given.spec.steps.iter().filter(|step| !step.long_running);
         let work = |step: &Step| {
-            let cpu = if step.fills { 0 } else { step.need.cpu };
-            let seconds = step.estimate as f64 * pace / 1_000.0;
+            let cpu = if step.best_effort { 0 } else { step.need.cpu };
+            let seconds = step.estimate_ms as f64 * pace / 1_000.0;
             Need { cpu, ..step.need }.times(f64::from(step.count) * seconds)
         };
         let work = Need::sum(finite.map(work));
@@ -141,6 +141,6 @@
 /// How many workers the widest step of a job needs whose tasks must be apart; none if it has no such step.
 fn widest_spread(job: &Job) -> Option<usize> {
     let steps = job.submission.spec.steps.iter();
-    let apart = steps.filter_map(|step| Some(step.count.div_ceil(step.apart?)));
+    let apart = steps.filter_map(|step| Some(step.count.div_ceil(step.max_per_worker?)));
     apart.max().map(|widest| widest as usize)
 }
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -243,7 +243,7 @@
             kind: RunKind::Finite,
         };
     };
-    let cpu = if step.fills { 0 } else { step.need.cpu };
+    let cpu = if step.best_effort { 0 } else { step.need.cpu };
     Load {
         need: Need { cpu, ..step.need },
         kind: RunKind::of(step),
--- a/crates/jobs/src/cell/outlook.rs
+++ b/crates/jobs/src/cell/outlook.rs
@@ -142,13 +142,13 @@
 /// The work of so many tasks of a step: cores times ms.
 fn work(step: &Step, tasks: f64, pace: f64) -> f64 {
     let Need { cpu, .. } = step.need;
-    let cpu = if step.fills { 0 } else { cpu };
-    cpu as f64 / 1_000.0 * step.estimate as f64 * pace * tasks
+    let cpu = if step.best_effort { 0 } else { cpu };
+    cpu as f64 / 1_000.0 * step.estimate_ms as f64 * pace * tasks
 }
 
 /// Whether somebody waits for a job's end: it runs at once and ends by itself, and its queue says what is in time.
 fn is_timed(given: &Submission) -> bool {
-    let guessed = given.spec.steps.iter().all(|step| step.estimate > 0);
+    let guessed = given.spec.steps.iter().all(|step| step.estimate_ms > 0);
     let ends = !given.spec.is_long_running() && given.spec.schedule.is_none();
     ends && guessed && given.stretch > 0.0 && given.slack > 0
 }
--- a/crates/jobs/src/disruption.rs
+++ b/crates/jobs/src/disruption.rs
@@ -100,7 +100,7 @@
             .jobs
             .get(&task.job)
             .filter(|job| !job.phase.is_over())?;
-        job.find_step(task)?.budget
+        job.find_step(task)?.disruption_budget
     }
 
     /// How many other tasks of a task's step are not at work, or on the worker that leaves.
--- a/crates/jobs/src/drain.rs
+++ b/crates/jobs/src/drain.rs
@@ -71,7 +71,9 @@
     fn may_move(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         let step = job.and_then(|job| job.find_step(task));
-        step.is_some_and(|step| step.saves && !step.gang && !step.long_running && !step.fills)
+        step.is_some_and(|step| {
+            step.saves_progress && !step.gang && !step.long_running && !step.best_effort
+        })
     }
 
     /// Another worker of the service with room for a run, beside what others that move take there.
@@ -112,7 +114,7 @@
             return whole.saturating_sub(elapsed);
         }
         let expected = self.jobs.get(&task.job).and_then(|job| {
-            let estimate = job.find_step(task)?.estimate as f64;
+            let estimate = job.find_step(task)?.estimate_ms as f64;
             let pace = self.pace_of(&job.submission.queue);
             Some(Duration::from_secs_f64(estimate * pace / 1_000.0))
         });
--- a/crates/jobs/src/gang.rs
+++ b/crates/jobs/src/gang.rs
@@ -77,7 +77,7 @@
     /// A worker for each member of a gang, or none if not all find room at once.
     fn gang_places(&self, task: TaskId, now: Instant) -> Option<Vec<WorkerId>> {
         let job = self.jobs.get(&task.job)?;
-        if !job.step(task.step).together {
+        if !job.step(task.step).same_rack {
             return self.gang_places_in(task, None, now);
         }
         let workers = self.workers.of(&job.submission.service);
--- a/crates/jobs/src/hall.rs
+++ b/crates/jobs/src/hall.rs
@@ -79,7 +79,7 @@
                 && room.fits(host.used, host.info.capacity)
                 && may_join(step, || host.siblings(task))
         };
-        let budget = step.budget.unwrap_or(DEFAULT_AWAY);
+        let budget = step.disruption_budget.unwrap_or(DEFAULT_AWAY);
         self.away(task, None) < budget && self.workers.of(&worker.info.service).any(fits)
     }
 }
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -232,8 +232,8 @@
 pub(crate) fn work_of_steps(steps: &[Step]) -> f64 {
     let finite = steps.iter().filter(|step| !step.long_running);
     let work = finite.map(|step| {
-        let cpu = if step.fills { 0 } else { step.need.cpu };
-        cpu as f64 * step.estimate as f64 * f64::from(step.count)
+        let cpu = if step.best_effort { 0 } else { step.need.cpu };
+        cpu as f64 * step.estimate_ms as f64 * f64::from(step.count)
     });
     work.sum()
 }
@@ -245,11 +245,11 @@
 
 /// For each step, the longest chain of estimated work that begins with it.
 fn critical_paths(steps: &[Step]) -> Vec<u64> {
-    let mut critical_paths: Vec<u64> = steps.iter().map(|step| step.estimate).collect();
+    let mut critical_paths: Vec<u64> = steps.iter().map(|step| step.estimate_ms).collect();
     for number in (0..steps.len()).rev() {
         for before in steps[number].after.iter().map(|before| *before as usize) {
             critical_paths[before] =
-                critical_paths[before].max(steps[before].estimate + critical_paths[number]);
+                critical_paths[before].max(steps[before].estimate_ms + critical_paths[number]);
         }
     }
     critical_paths
--- a/crates/jobs/src/near.rs
+++ b/crates/jobs/src/near.rs
@@ -58,8 +58,8 @@
         if self.far_factor(worker, step) <= 1.0 {
             return None;
         }
-        let rack = step.near.clone()?;
-        let expected = step.estimate as f64 * self.pace_of(&job.submission.queue);
+        let rack = step.data_rack.clone()?;
+        let expected = step.estimate_ms as f64 * self.pace_of(&job.submission.queue);
         let work = expected * step.need.cpu as f64;
         Some((rack, work, expected * (self.limits.far - 1.0)))
     }
@@ -78,7 +78,7 @@
                     RunKind::Finite => {
                         work += cpu * self.run_left(*task, run, now).as_millis() as f64;
                     }
-                    RunKind::Serving | RunKind::LongRunning | RunKind::Filling => room -= cpu,
+                    RunKind::Serving | RunKind::LongRunning | RunKind::BestEffort => room -= cpu,
                 }
             }
         }
@@ -90,7 +90,7 @@
     pub(crate) fn far_factor(&self, worker: &str, step: &Step) -> f64 {
         let host = self.workers.get(worker);
         let far = step
-            .near
+            .data_rack
             .as_ref()
             .is_some_and(|rack| host.is_some_and(|host| !host.info.has_label(rack)));
         if far { self.limits.far } else { 1.0 }
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -126,11 +126,11 @@
         let Some(step) = job.find_step(task) else {
             return;
         };
-        if step.estimate == 0 || step.long_running {
+        if step.estimate_ms == 0 || step.long_running {
             return;
         }
         let near = took.as_millis() as f64 / self.far_factor(worker, step);
-        let seen = near / step.estimate as f64;
+        let seen = near / step.estimate_ms as f64;
         let pace = self.pace.entry(job.submission.queue.clone()).or_insert(1.0);
         *pace += (seen.min(10.0) - *pace) * LEARNING;
     }
@@ -295,10 +295,10 @@
             let Some(step) = job.find_step(row.task) else {
                 continue;
             };
-            if let Some(target) = step.target {
+            if let Some(target) = step.target_latency_ms {
                 tightest = tightest.max(row.figure as f64 / target.max(1) as f64);
             }
-            if step.fills {
+            if step.best_effort {
                 fillers.push((row.task, row.run));
             }
         }
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -189,7 +189,7 @@
                 RunId::MAX,
             );
         let there = |w: &Worker| w.runs.range(span.clone()).next().is_some();
-        !step.copies && self.workers.of(&job.submission.service).any(there)
+        !step.allow_duplicates && self.workers.of(&job.submission.service).any(there)
     }
 
     /// Takes a task out of those that wait.
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -145,7 +145,7 @@
             return;
         };
         let step = job.step(task.step);
-        let bound = step.label.is_some() || step.apart.is_some() || job.submission.permits;
+        let bound = step.label.is_some() || step.max_per_worker.is_some() || job.submission.permits;
         if !bound {
             let room = room_of(job, task);
             self.misfits.retain(|found| !room.is_within(*found));
@@ -213,7 +213,7 @@
     if worker.anchors > 0 {
         score += ANCHORED;
     }
-    let near = step.near.as_ref();
+    let near = step.data_rack.as_ref();
     if near.is_some_and(|rack| !worker.info.has_label(rack)) {
         score -= FAR;
     }
@@ -227,8 +227,8 @@
 /// How many runs on the worker a new one would disturb, or be disturbed by.
 fn disturbing(worker: &Worker, kind: RunKind) -> usize {
     match kind {
-        RunKind::Filling => worker.count(RunKind::Serving),
-        RunKind::Serving => worker.count(RunKind::Filling),
+        RunKind::BestEffort => worker.count(RunKind::Serving),
+        RunKind::Serving => worker.count(RunKind::BestEffort),
         RunKind::Finite | RunKind::LongRunning => 0,
     }
 }
@@ -236,7 +236,7 @@
 /// Whether a worker that has this many tasks of a step may get one more, as far as these must be apart; they
 /// are counted only where that matters.
 pub(crate) fn may_join(step: &Step, siblings: impl FnOnce() -> u32) -> bool {
-    step.apart.is_none_or(|most| siblings() < most)
+    step.max_per_worker.is_none_or(|most| siblings() < most)
 }
 
 /// Whether a worker has the label that a step asks for.
--- a/crates/jobs/src/quarantine.rs
+++ b/crates/jobs/src/quarantine.rs
@@ -110,7 +110,7 @@
                 && may_join(job.step(task.step), || worker.siblings(task))
         };
         let fitting = self.workers.of(&job.submission.service).filter(may);
-        let near = job.step(task.step).near.as_ref();
+        let near = job.step(task.step).data_rack.as_ref();
         let is_far = |worker: &Worker| near.is_some_and(|rack| !worker.info.has_label(rack));
         let worker =
             fitting.min_by_key(|worker| (worker.runs.len(), is_far(worker), worker.used.cpu))?;
--- a/crates/jobs/src/spec.rs
+++ b/crates/jobs/src/spec.rs
@@ -4,14 +4,14 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest text of a job, in bytes; the workers' interface takes no longer one.
-const LONGEST_TEXT: usize = 4_000;
+const MAX_TEXT_BYTES: usize = 4_000;
 
 /// The most tasks that one job may have; far above what a pool could hold, it keeps a slip of the
 /// pen from filling the owner's memory.
-const MOST_TASKS: u64 = 20_000;
+const MAX_TASKS: u64 = 20_000;
 
 /// The most repeats of one job.
-const MOST_REPEATS: u32 = 10_000;
+const MAX_REPEATS: u32 = 10_000;
 
 /// What the tasks of a step are and need.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -21,34 +21,43 @@
     /// What each of them needs.
     pub need: Need,
     /// The caller's guess of a task's run time in ms; 0 if none was made.
-    pub estimate: u64,
+    #[serde(rename = "estimate")]
+    pub estimate_ms: u64,
     /// Earlier steps that must have ended before this one begins.
     pub after: Vec<u32>,
     /// Whether the tasks run only all together.
     pub gang: bool,
     /// Whether the tasks are slow unless they share a rack.
-    pub together: bool,
+    #[serde(rename = "together")]
+    pub same_rack: bool,
     /// A label that the worker must have.
     pub label: Option<String>,
     /// The rack where the data lies.
-    pub near: Option<String>,
+    #[serde(rename = "near")]
+    pub data_rack: Option<String>,
     /// How many tasks of the step one worker may have at most.
-    pub apart: Option<u32>,
+    #[serde(rename = "apart")]
+    pub max_per_worker: Option<u32>,
     /// Whether two runs of a task may go on side by side.
-    pub copies: bool,
+    #[serde(rename = "copies")]
+    pub allow_duplicates: bool,
     /// Whether the tasks save their progress.
-    pub saves: bool,
+    #[serde(rename = "saves")]
+    pub saves_progress: bool,
     /// Whether the tasks run until the job is cancelled.
     #[serde(rename = "lasting")]
     pub long_running: bool,
     /// What the tasks run; those of one image behave alike.
     pub image: Option<String>,
     /// The tail of the answer times that a lasting task is to stay under, in ms.
-    pub target: Option<u64>,
+    #[serde(rename = "target")]
+    pub target_latency_ms: Option<u64>,
     /// Whether the tasks take only the processor that others leave.
-    pub fills: bool,
+    #[serde(rename = "fills")]
+    pub best_effort: bool,
     /// How many tasks of a lasting step may be away at once by the system's own doing.
-    pub budget: Option<u32>,
+    #[serde(rename = "budget")]
+    pub disruption_budget: Option<u32>,
 }
 
 /// When a job's repeats fall due, by the time of day in ms since 1970.
@@ -105,7 +114,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpecError {
     /// The text is too long.
-    #[error("the text has {0} bytes; {LONGEST_TEXT} is the limit")]
+    #[error("the text has {0} bytes; {MAX_TEXT_BYTES} is the limit")]
     Text(usize),
     /// The job has no steps.
     #[error("the job has no steps")]
@@ -122,10 +131,10 @@
         after: u32,
     },
     /// The job has too many tasks.
-    #[error("the job has {0} tasks; {MOST_TASKS} is the limit")]
+    #[error("the job has {0} tasks; {MAX_TASKS} is the limit")]
     TooMany(u64),
     /// The job repeats too often.
-    #[error("the job repeats {0} times; {MOST_REPEATS} is the limit")]
+    #[error("the job repeats {0} times; {MAX_REPEATS} is the limit")]
     Repeats(u32),
 }
 
@@ -136,7 +145,7 @@
     ///
     /// Names the first thing that is wrong, with the step that holds it.
     pub fn check(&self) -> Result<(), SpecError> {
-        if self.text.len() > LONGEST_TEXT {
+        if self.text.len() > MAX_TEXT_BYTES {
             return Err(SpecError::Text(self.text.len()));
         }
         if self.steps.is_empty() {
@@ -146,11 +155,11 @@
             check_step(number, step)?;
         }
         let tasks = self.steps.iter().map(|s| u64::from(s.count)).sum::<u64>();
-        if tasks > MOST_TASKS {
+        if tasks > MAX_TASKS {
             return Err(SpecError::TooMany(tasks));
         }
         match self.schedule {
-            Some(s) if s.repeats > MOST_REPEATS => Err(SpecError::Repeats(s.repeats)),
+            Some(s) if s.repeats > MAX_REPEATS => Err(SpecError::Repeats(s.repeats)),
             _ => Ok(()),
         }
     }
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -58,16 +58,19 @@
     /// It lasts.
     LongRunning,
     /// It takes what the others leave.
-    Filling,
+    BestEffort,
 }
 
 impl RunKind {
     /// What the runs of a step are like.
     pub fn of(step: &Step) -> Self {
         match step {
-            Step { fills: true, .. } => RunKind::Filling,
             Step {
-                target: Some(_), ..
+                best_effort: true, ..
+            } => RunKind::BestEffort,
+            Step {
+                target_latency_ms: Some(_),
+                ..
             } => RunKind::Serving,
             Step {
                 long_running: true, ..
--- a/crates/jobs/tests/blame.rs
+++ b/crates/jobs/tests/blame.rs
@@ -183,7 +183,7 @@
     world.cell.accept(job(
         2,
         vec![Step {
-            near: Some("r-b".into()),
+            data_rack: Some("r-b".into()),
             ..step(1)
         }],
     ));
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -258,7 +258,7 @@
 fn what_fills_counts_with_all_that_it_asks_for() {
     let mut world = world(cores(1));
     let fills = Step {
-        fills: true,
+        best_effort: true,
         long_running: true,
         ..step(2)
     };
--- a/crates/jobs/tests/cell.rs
+++ b/crates/jobs/tests/cell.rs
@@ -176,8 +176,8 @@
     let mut world = World::new(&["a1", "b1", "c1"]);
     let lasting = Step {
         long_running: true,
-        budget: Some(1),
-        apart: Some(1),
+        disruption_budget: Some(1),
+        max_per_worker: Some(1),
         ..step(2)
     };
     world.cell.accept(job(1, vec![lasting]));
@@ -247,7 +247,7 @@
 fn a_task_that_cannot_be_in_time_any_more_goes_behind_those_that_can() {
     let mut world = World::new(&["a1"]);
     let estimated = |count| Step {
-        estimate: 1_000,
+        estimate_ms: 1_000,
         ..step(count)
     };
     world.cell.accept(job(1, vec![estimated(4)]));
@@ -283,7 +283,7 @@
     let mut world = World::new(&["a1"]);
     let lasting = Step {
         long_running: true,
-        budget: Some(1),
+        disruption_budget: Some(1),
         ..step(2)
     };
     world.cell.accept(job(1, vec![lasting]));
--- a/crates/jobs/tests/crash/mod.rs
+++ b/crates/jobs/tests/crash/mod.rs
@@ -310,7 +310,7 @@
         let step = Step {
             gang: self.plan.gang,
             long_running: self.plan.lasting,
-            estimate: 2_250,
+            estimate_ms: 2_250,
             ..step(TASKS)
         };
         let given: Submission = job(self.next, vec![step]);
--- a/crates/jobs/tests/decoders.rs
+++ b/crates/jobs/tests/decoders.rs
@@ -37,13 +37,13 @@
 fn any_step() -> impl Strategy<Value = Step> {
     let figures = (any::<u64>(), any::<u64>(), any::<u64>(), any::<u64>());
     let flags = (any::<bool>(), any::<bool>(), any::<bool>());
-    (1..4_u32, figures, flags).prop_map(|(count, (cpu, memory, gpu, estimate), flags)| {
-        let (gang, long_running, fills) = flags;
+    (1..4_u32, figures, flags).prop_map(|(count, (cpu, memory, gpu, estimate_ms), flags)| {
+        let (gang, long_running, best_effort) = flags;
         let mut step = Step {
             gang,
             long_running,
-            fills,
-            estimate,
+            best_effort,
+            estimate_ms,
             ..step(count)
         };
         (step.need.cpu, step.need.memory, step.need.gpu) = (cpu, memory, gpu);
--- a/crates/jobs/tests/demand.rs
+++ b/crates/jobs/tests/demand.rs
@@ -57,7 +57,7 @@
 fn lasting_tasks_that_must_be_apart_ask_for_a_worker_each() {
     let mut world = World::new(&["a1"]);
     let apart = Step {
-        apart: Some(1),
+        max_per_worker: Some(1),
         ..lasting(4, 10)
     };
     world.cell.accept(job(1, vec![apart]));
@@ -84,7 +84,7 @@
     for at in (first..until).step_by(gap) {
         world.cell.mark_due(at);
         let work = Step {
-            estimate: 1_000,
+            estimate_ms: 1_000,
             ..step(8)
         };
         world.cell.accept(job(at, vec![work]));
@@ -112,7 +112,7 @@
     let mut world = World::new(&["a1"]);
     arrive(&mut world, 10_000, 100, 14_000);
     let large = Step {
-        estimate: 1_000,
+        estimate_ms: 1_000,
         ..step(80)
     };
     world.cell.accept(job(1, vec![large]));
@@ -128,7 +128,7 @@
         let part = (at - since as f64) / (until - since) as f64;
         world.cell.mark_due(at as u64);
         let work = Step {
-            estimate: 1_000,
+            estimate_ms: 1_000,
             ..step(8)
         };
         world.cell.accept(job(at.to_bits(), vec![work]));
--- a/crates/jobs/tests/emptied_halls.rs
+++ b/crates/jobs/tests/emptied_halls.rs
@@ -34,10 +34,10 @@
         .set_drained_halls(BTreeSet::from([format!("z-{hall}")]));
 }
 
-fn lasting(count: u32, budget: Option<u32>) -> Step {
+fn lasting(count: u32, disruption_budget: Option<u32>) -> Step {
     Step {
         long_running: true,
-        budget,
+        disruption_budget,
         ..step(count)
     }
 }
--- a/crates/jobs/tests/evacuate.rs
+++ b/crates/jobs/tests/evacuate.rs
@@ -26,8 +26,8 @@
 
 fn long(count: u32) -> Step {
     Step {
-        estimate: 5_000,
-        saves: true,
+        estimate_ms: 5_000,
+        saves_progress: true,
         ..step(count)
     }
 }
@@ -52,9 +52,9 @@
 }
 
 #[parameterized(
-    saves_nothing = { Step { saves: false, ..long(1) } },
+    saves_nothing = { Step { saves_progress: false, ..long(1) } },
     gang = { Step { gang: true, ..long(1) } },
-    about_to_end = { Step { estimate: 300, ..long(1) } },
+    about_to_end = { Step { estimate_ms: 300, ..long(1) } },
 )]
 fn other_runs_are_left_to_end(step: Step) {
     let mut world = busy(step);
--- a/crates/jobs/tests/load/mod.rs
+++ b/crates/jobs/tests/load/mod.rs
@@ -173,7 +173,7 @@
     fn hand_in(&mut self, stream: &Stream) {
         let estimate = (stream.ms as f64 * self.rng.random_range(0.6..1.4)) as u64;
         let mut one = step(stream.tasks);
-        one.estimate = estimate;
+        one.estimate_ms = estimate;
         let given = Submission {
             workspace: self.named.then(|| WorkspaceId::from(stream.workspace)),
             at: self.now,
--- a/crates/jobs/tests/near.rs
+++ b/crates/jobs/tests/near.rs
@@ -10,10 +10,10 @@
 use yare::parameterized;
 
 /// A step whose data lies in the rack of the worker `a1`.
-fn near(count: u32, estimate: u64) -> Step {
+fn near(count: u32, estimate_ms: u64) -> Step {
     Step {
-        near: Some("r-a".to_owned()),
-        estimate,
+        data_rack: Some("r-a".to_owned()),
+        estimate_ms,
         ..step(count)
     }
 }
--- a/crates/jobs/tests/unseen.rs
+++ b/crates/jobs/tests/unseen.rs
@@ -13,8 +13,8 @@
     let mut world = World::new(&["a1", "b1"]);
     let lasting = Step {
         long_running: true,
-        apart: Some(1),
-        budget: Some(1),
+        max_per_worker: Some(1),
+        disruption_budget: Some(1),
         ..step(2)
     };
     world.cell.accept(job(1, vec![lasting]));
