--- a/crates/havenladder/src/entry/ends.rs
+++ b/crates/havenladder/src/entry/ends.rs
@@ -1,7 +1,7 @@
 //! Logs and counts how runs came to their end, as workers tell it, and what does not fit what is known.
 
 use super::owner::Owner;
-use jobs::{How, Report, RunId, TaskId};
+use jobs::{Report, RunId, RunOutcome, TaskId};
 use tracing::{info, warn};
 
 /// Logs and counts the ends that a worker listed for the first time, and those that are passed over: one whose number
@@ -33,13 +33,13 @@
 }
 
 /// The name of an end in the metrics.
-fn name(how: How) -> &'static str {
+fn name(how: RunOutcome) -> &'static str {
     match how {
-        How::Done => "done",
-        How::Failed => "failed",
-        How::Stopped => "stopped",
-        How::Lapsed => "lapsed",
-        How::Broken => "broken",
-        How::Alone => "alone",
+        RunOutcome::Done => "done",
+        RunOutcome::Failed => "failed",
+        RunOutcome::Stopped => "stopped",
+        RunOutcome::Lapsed => "lapsed",
+        RunOutcome::Broken => "broken",
+        RunOutcome::Alone => "alone",
     }
 }
--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -31,7 +31,7 @@
         match order {
             Order::Start { worker, task, run } => start(&owner, &worker, task, run).await,
             Order::Stop { worker, task, run } => stop(&owner, &worker, task, run).await,
-            Order::Ask { task, workers } => ask(&owner, task, &workers).await,
+            Order::RequestPermits { task, workers } => ask(&owner, task, &workers).await,
             Order::Pace {
                 worker,
                 task,
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -118,7 +118,7 @@
     let may_start = owner.update_evacuations();
     let mut cell = owner.cell.borrow_mut();
     cell.mark_due(wall_ms());
-    cell.stop_still(now);
+    cell.stop_stalled(now);
     if may_start {
         cell.schedule(now);
     }
--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -112,7 +112,7 @@
     }
     let mut cell = owner.cell.borrow_mut();
     cell.mark_due(wall_ms());
-    cell.stop_still(now);
+    cell.stop_stalled(now);
     cell.schedule_unrecorded(now);
     let mut known = cell.take_known(starts);
     known.extend(cell.take_unrecorded());
--- a/crates/havenladder/src/entry/owner/workspaces.rs
+++ b/crates/havenladder/src/entry/owner/workspaces.rs
@@ -36,7 +36,7 @@
     } in waits
     {
         node.metrics.waited_for_bound(waits);
-        let most = bound.most();
+        let most = bound.amounts();
         info!(
             workspace,
             waits,
--- a/crates/jobs/benches/placement.rs
+++ b/crates/jobs/benches/placement.rs
@@ -55,8 +55,8 @@
         service: "s".to_owned(),
         priority: 0,
         attempts: 3,
-        permits: false,
-        at: 0,
+        requires_permits: false,
+        submitted_at: 0,
         stretch: 1.6,
         slack: 600,
         spec: JobSpec {
--- a/crates/jobs/src/cell/durable.rs
+++ b/crates/jobs/src/cell/durable.rs
@@ -45,7 +45,7 @@
                 .jobs
                 .get(&task.job)
                 .is_some_and(|job| job.durable_phase.is_some()),
-            Order::Stop { .. } | Order::Pace { .. } | Order::Ask { .. } => true,
+            Order::Stop { .. } | Order::Pace { .. } | Order::RequestPermits { .. } => true,
         };
         starts.extract_if(.., known).collect()
     }
--- a/crates/jobs/src/cell/ends.rs
+++ b/crates/jobs/src/cell/ends.rs
@@ -1,6 +1,6 @@
 //! What the end of a run means for its task, and the end of a job for its runs.
 
-use crate::{Cell, How, Job, JobId, Phase, Round, RunId, Step, TaskId, TaskPhase, WorkerId};
+use crate::{Cell, Job, JobId, Phase, Round, RunId, RunOutcome, Step, TaskId, TaskPhase, WorkerId};
 use std::{mem, ops::Range};
 
 impl Cell {
@@ -10,7 +10,7 @@
         worker: &str,
         task: TaskId,
         run: RunId,
-        how: How,
+        how: RunOutcome,
         saved: &str,
     ) {
         self.note_begun(task.job);
@@ -22,8 +22,8 @@
         let (gang, lasting) = (step.gang, step.long_running);
         self.mark_dirty(task.job);
         match how {
-            How::Done if !lasting => return self.complete(task, gang),
-            How::Failed if !lasting && self.count_failure(task, run, gang) => {
+            RunOutcome::Done if !lasting => return self.complete(task, gang),
+            RunOutcome::Failed if !lasting && self.count_failure(task, run, gang) => {
                 return self.finish(task.job, Phase::Failed);
             }
             _ => {}
--- a/crates/jobs/src/cell/withdraw.rs
+++ b/crates/jobs/src/cell/withdraw.rs
@@ -40,7 +40,7 @@
         let taken = self.starts.extract_if(.., of_job);
         let run = |order| match order {
             Order::Start { worker, task, run } => Some((worker, task, run)),
-            Order::Stop { .. } | Order::Pace { .. } | Order::Ask { .. } => None,
+            Order::Stop { .. } | Order::Pace { .. } | Order::RequestPermits { .. } => None,
         };
         taken.filter_map(run).collect()
     }
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -158,7 +158,7 @@
     /// Until when a round is in time, in ms since 1970, if its work takes `pace` times as long as was
     /// estimated.
     pub fn target_time(&self, round: u32, pace: f64) -> f64 {
-        let begin = self.due_at(round).unwrap_or(self.submission.at);
+        let begin = self.due_at(round).unwrap_or(self.submission.submitted_at);
         let chain = self.critical_paths.iter().max().copied().unwrap_or(0) as f64;
         begin as f64 + self.submission.stretch * chain * pace + self.submission.slack as f64
     }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -49,7 +49,7 @@
 pub use outbox::{Batch, Order};
 pub use permit::{Permit, StepId};
 pub use record::{Decoded, Entry, RecordError, State, decode_entry};
-pub use report::{EndRow, How, Refusal, Report, RunRow};
+pub use report::{EndRow, Refusal, Report, RunOutcome, RunRow};
 pub use spec::{JobSpec, Schedule, SpecError, Step, Submission};
 pub use suspicion::{Crash, CrashHistory};
 pub use vm_orders::Holder;
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -2,8 +2,8 @@
 //! beside others may work.
 
 use crate::{
-    Cell, EndRow, How, Need, Order, Report, RunId, RunPhase, RunRow, Task, TaskId, TaskPhase,
-    WorkerId,
+    Cell, EndRow, Need, Order, Report, RunId, RunOutcome, RunPhase, RunRow, Task, TaskId,
+    TaskPhase, WorkerId,
     cell::load_of,
     name_of,
     worker::{Load, RunKind, RunState},
@@ -65,7 +65,7 @@
     }
 
     /// Stops runs that show no progress, so that they are tried elsewhere.
-    pub fn stop_still(&mut self, now: Instant) {
+    pub fn stop_stalled(&mut self, now: Instant) {
         if self.still_due.is_some_and(|due| now < due) {
             return;
         }
@@ -101,18 +101,18 @@
             took = host
                 .remove(end.task, end.run)
                 .map(|state| now - state.ordered_at);
-            if end.how == How::Done {
+            if end.how == RunOutcome::Done {
                 host.failures = 0;
             }
         }
-        if let (Some(took), How::Done) = (took, end.how) {
+        if let (Some(took), RunOutcome::Done) = (took, end.how) {
             self.learn_pace(worker, end.task, took);
         }
-        if end.how == How::Failed {
+        if end.how == RunOutcome::Failed {
             self.blame(worker, now);
         }
         self.note(worker, end.number);
-        if end.how == How::Done {
+        if end.how == RunOutcome::Done {
             self.clear(end.task, took.unwrap_or_default(), now);
         }
         self.end_run(worker, end.task, end.run, end.how, &end.saved);
--- a/crates/jobs/src/outbox.rs
+++ b/crates/jobs/src/outbox.rs
@@ -24,7 +24,7 @@
         run: RunId,
     },
     /// Ask which workers may run a step.
-    Ask {
+    RequestPermits {
         /// A task of the step.
         task: TaskId,
         /// The workers.
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -133,7 +133,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
         };
-        !job.submission.permits && job.step(task.step).label.is_none()
+        !job.submission.requires_permits && job.step(task.step).label.is_none()
     }
 
     /// Puts the tasks that cannot be in time any more behind those that can.
--- a/crates/jobs/src/permit.rs
+++ b/crates/jobs/src/permit.rs
@@ -101,7 +101,7 @@
         let Some(job) = self
             .jobs
             .get(&task.job)
-            .filter(|job| job.submission.permits)
+            .filter(|job| job.submission.requires_permits)
         else {
             return;
         };
@@ -125,7 +125,7 @@
         }
         permits.asked = Some(now);
         permits.pending = true;
-        self.urgent.push(Order::Ask { task, workers });
+        self.urgent.push(Order::RequestPermits { task, workers });
     }
 }
 
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -72,7 +72,7 @@
         worker.is_open(now)
             && allows(worker, job.step(task.step))
             && !self.reserved.contains(&worker.info.id)
-            && (!job.submission.permits || self.has_permit(task, &worker.info.id, now))
+            && (!job.submission.requires_permits || self.has_permit(task, &worker.info.id, now))
     }
 
     /// Places a task, or the whole gang that it stands for.
@@ -145,7 +145,9 @@
             return;
         };
         let step = job.step(task.step);
-        let bound = step.label.is_some() || step.max_per_worker.is_some() || job.submission.permits;
+        let bound = step.label.is_some()
+            || step.max_per_worker.is_some()
+            || job.submission.requires_permits;
         if !bound {
             let room = room_of(job, task);
             self.misfits.retain(|found| !room.is_within(*found));
--- a/crates/jobs/src/report.rs
+++ b/crates/jobs/src/report.rs
@@ -4,7 +4,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum RunOutcome {
     /// It did its work.
     Done,
     /// It failed, by its own fault or the worker's.
@@ -44,7 +44,7 @@
     /// The run.
     pub run: RunId,
     /// How it ended.
-    pub how: How,
+    pub how: RunOutcome,
     /// Its last saved progress; empty if none.
     pub saved: String,
 }
--- a/crates/jobs/src/spec.rs
+++ b/crates/jobs/src/spec.rs
@@ -96,9 +96,11 @@
     /// How often a task may fail before the job has failed.
     pub attempts: u32,
     /// Whether only workers with a permit may run it.
-    pub permits: bool,
+    #[serde(rename = "permits")]
+    pub requires_permits: bool,
     /// When it was handed in, by the time of day in ms since 1970.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub submitted_at: u64,
     /// How many times its longest chain of work it may take to be in time.
     pub stretch: f64,
     /// What it may take beyond that, in ms.
--- a/crates/jobs/src/workspace.rs
+++ b/crates/jobs/src/workspace.rs
@@ -38,7 +38,7 @@
     }
 
     /// The amounts; [`u64::MAX`] where there is no bound.
-    pub fn most(self) -> Need {
+    pub fn amounts(self) -> Need {
         self.0
     }
 
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -7,7 +7,8 @@
 
 use fixture::{job, step, worker};
 use havenladder_jobs::{
-    Bound, How, JobId, Limits, Loss, Need, Order, Refusal, Report, Step, Submission, decode_entry,
+    Bound, JobId, Limits, Loss, Need, Order, Refusal, Report, RunOutcome, Step, Submission,
+    decode_entry,
 };
 use std::time::Duration;
 use world::{World, row, task};
@@ -59,7 +60,7 @@
     assert_eq!(started.len(), 3);
     assert_eq!(world.cell.parked(SCHOOL), 2);
     let (id, task, run) = started[0].clone();
-    world.end(&id, 1, task, run, How::Done);
+    world.end(&id, 1, task, run, RunOutcome::Done);
     assert_eq!(world.run().len(), 1, "one ended, one starts");
     assert_eq!(used(&world), 3);
 }
@@ -105,7 +106,7 @@
     assert!(world.run().is_empty());
     assert!(world.stops().is_empty());
     let (id, task, run) = started[0].clone();
-    world.end(&id, 1, task, run, How::Done);
+    world.end(&id, 1, task, run, RunOutcome::Done);
     assert!(world.run().is_empty(), "four still run");
     set(&mut world, Bound::NONE);
     assert_eq!(world.run().len(), 4, "the bound is off");
@@ -250,7 +251,7 @@
     world.cell.accept(job_of(SCHOOL, 3, vec![step(1)]));
     assert!(world.run().is_empty());
     let (id, task, run) = started[0].clone();
-    world.end(&id, 1, task, run, How::Done);
+    world.end(&id, 1, task, run, RunOutcome::Done);
     assert_eq!(world.run().len(), 3);
 }
 
@@ -360,8 +361,8 @@
         given.service.clone(),
         given.priority,
         given.attempts,
-        given.permits,
-        given.at,
+        given.requires_permits,
+        given.submitted_at,
         given.stretch,
         given.slack,
         given.spec.clone(),
@@ -387,7 +388,7 @@
     let waits = world.cell.take_bound_waits();
     assert_eq!(waits.iter().map(|w| w.waits).collect::<Vec<_>>(), [true]);
     assert_eq!(waits[0].used.cpu, 1_000);
-    world.end(&id, 1, task, run, How::Done);
+    world.end(&id, 1, task, run, RunOutcome::Done);
     world.run();
     let waits = world.cell.take_bound_waits();
     assert_eq!(waits.iter().map(|w| w.waits).collect::<Vec<_>>(), [false]);
--- a/crates/jobs/tests/cell.rs
+++ b/crates/jobs/tests/cell.rs
@@ -7,7 +7,7 @@
 
 use fixture::{job, step, worker};
 use havenladder_jobs::{
-    Accepted, Cancelled, Disruption, How, Loss, Order, Permit, Phase, Refusal, Report, Step,
+    Accepted, Cancelled, Disruption, Loss, Order, Permit, Phase, Refusal, Report, RunOutcome, Step,
 };
 use std::time::Duration;
 use world::{World, row, task};
@@ -27,12 +27,12 @@
     let started = world.run();
     assert_eq!(started.len(), 2);
     for (number, (id, task, run)) in (1..).zip(started) {
-        world.end(&id, number, task, run, How::Done);
+        world.end(&id, number, task, run, RunOutcome::Done);
     }
     let started = world.run();
     assert_eq!(started.len(), 1);
     assert_eq!(started[0].1, task(1, 1, 0));
-    world.end(&started[0].0, 9, started[0].1, 1, How::Done);
+    world.end(&started[0].0, 9, started[0].1, 1, RunOutcome::Done);
     assert_eq!(world.cell.jobs[&1].durable_phase, Some(Phase::Running));
     world.run();
     assert_eq!(world.cell.jobs[&1].durable_phase, Some(Phase::Succeeded));
@@ -50,7 +50,7 @@
             u64::from(attempt),
             task(1, 0, 0),
             attempt,
-            How::Failed,
+            RunOutcome::Failed,
         );
         world.pass(5_000);
     }
@@ -63,12 +63,12 @@
     let mut world = World::new(&["a1", "b1"]);
     world.cell.accept(job(1, vec![step(1)]));
     let (id, first, run) = world.run().remove(0);
-    world.end(&id, 1, first, run, How::Failed);
+    world.end(&id, 1, first, run, RunOutcome::Failed);
     world.run();
     world.take_over();
     world.join("a1");
     world.join("b1");
-    world.end(&id, 1, first, run, How::Failed);
+    world.end(&id, 1, first, run, RunOutcome::Failed);
     assert_eq!(world.cell.jobs[&1].task(0, 0, 0).unwrap().failed, [1]);
 }
 
@@ -81,7 +81,7 @@
     let (second, _, later) = world.run().remove(0);
     assert!(second != first && later == run + 1);
     world.cell.see_worker(worker(&first), world.now);
-    world.end(&first, 1, id, run, How::Done);
+    world.end(&first, 1, id, run, RunOutcome::Done);
     assert_eq!(world.stops(), [(second, id, later)]);
     world.run();
     assert_eq!(world.cell.jobs[&1].durable_phase, Some(Phase::Succeeded));
@@ -149,7 +149,7 @@
     let started = world.run();
     assert_eq!(started.len(), 6);
     assert!(started.iter().all(|(_, _, run)| *run == 1));
-    world.end(&started[0].0, 1, started[0].1, 1, How::Done);
+    world.end(&started[0].0, 1, started[0].1, 1, RunOutcome::Done);
     world.run();
     assert_eq!(world.cell.jobs[&1].durable_phase, Some(Phase::Succeeded));
 }
@@ -163,9 +163,9 @@
     };
     world.cell.accept(job(1, vec![gang]));
     let started = world.run();
-    world.end(&started[0].0, 1, started[0].1, 1, How::Failed);
+    world.end(&started[0].0, 1, started[0].1, 1, RunOutcome::Failed);
     assert!(world.run().is_empty());
-    world.end(&started[1].0, 1, started[1].1, 1, How::Broken);
+    world.end(&started[1].0, 1, started[1].1, 1, RunOutcome::Broken);
     let again = world.run();
     assert_eq!(again.len(), 2);
     assert!(again.iter().all(|(_, _, run)| *run == 2));
@@ -218,7 +218,11 @@
     world.cell.accept(job(1, vec![lasting]));
     for run in 1..=6 {
         assert_eq!(world.run(), [("a1".into(), task(1, 0, 0), run)]);
-        let how = if run % 2 == 0 { How::Failed } else { How::Done };
+        let how = if run % 2 == 0 {
+            RunOutcome::Failed
+        } else {
+            RunOutcome::Done
+        };
         world.end("a1", u64::from(run), task(1, 0, 0), run, how);
         world.pass(4_000);
     }
@@ -238,7 +242,7 @@
     world.cell.accept(job(2, vec![wide]));
     for (number, (id, task, run)) in (1..).zip(started.into_iter().take(2)) {
         assert!(world.run().is_empty(), "the gap is kept");
-        world.end(&id, number, task, run, How::Done);
+        world.end(&id, number, task, run, RunOutcome::Done);
     }
     assert_eq!(world.run(), [("a1".into(), task(2, 0, 0), 1)]);
 }
@@ -254,15 +258,15 @@
     let started = world.run();
     world.cell.accept(job(2, vec![estimated(1)]));
     let fresh = havenladder_jobs::Submission {
-        at: 4_000,
+        submitted_at: 4_000,
         ..job(3, vec![estimated(1)])
     };
     world.cell.accept(fresh);
     // Job 2 was handed in at 0 and is in time until 2 x 1,000 + 1,000 ms.
     world.cell.mark_due(2_001);
-    world.end(&started[0].0, 1, started[0].1, 1, How::Done);
+    world.end(&started[0].0, 1, started[0].1, 1, RunOutcome::Done);
     assert_eq!(world.run()[0].1, task(3, 0, 0));
-    world.end(&started[1].0, 2, started[1].1, 1, How::Done);
+    world.end(&started[1].0, 2, started[1].1, 1, RunOutcome::Done);
     assert_eq!(world.run()[0].1, task(2, 0, 0));
 }
 
@@ -273,7 +277,7 @@
     world.run();
     for (number, run) in [(1, 2), (1, 1), (2, 3)] {
         let id = if run == 2 { "b1" } else { "a1" };
-        world.end(id, number, task(1, 0, 0), run, How::Failed);
+        world.end(id, number, task(1, 0, 0), run, RunOutcome::Failed);
     }
     assert_eq!(world.cell.jobs[&1].phase, Phase::Failed);
 }
@@ -302,7 +306,7 @@
     assert_eq!(world.cell.shed("a1"), 1);
     assert_eq!(world.stops(), [("a1".into(), task(1, 0, 0), 1)]);
     assert_eq!(world.cell.shed("a1"), 0, "one at a time");
-    world.end("a1", 1, task(1, 0, 0), 1, How::Stopped);
+    world.end("a1", 1, task(1, 0, 0), 1, RunOutcome::Stopped);
     assert_eq!(world.run()[0].0, "b1");
     assert_eq!(
         world.cell.disruption("a1"),
@@ -343,9 +347,9 @@
         },
     );
     assert_eq!(world.stops().len(), 1);
-    world.end(&first, 1, id, run, How::Failed);
+    world.end(&first, 1, id, run, RunOutcome::Failed);
     assert!(world.run().is_empty(), "the other run has not ended");
-    world.end(other, 1, id, run, How::Stopped);
+    world.end(other, 1, id, run, RunOutcome::Stopped);
     assert_eq!(world.run().len(), 1);
 }
 
@@ -353,14 +357,14 @@
 fn a_job_whose_queue_needs_permits_starts_only_where_it_has_one() {
     let mut world = World::new(&["a1", "b1"]);
     let given = havenladder_jobs::Submission {
-        permits: true,
+        requires_permits: true,
         ..job(1, vec![step(2)])
     };
     world.cell.accept(given);
     assert!(world.run().is_empty());
     let asked = world.cell.take_urgent();
     let [
-        Order::Ask {
+        Order::RequestPermits {
             task: asked_for,
             workers,
         },
@@ -387,7 +391,7 @@
     assert!(world.run().is_empty(), "it is asked for anew");
     assert!(matches!(
         world.cell.take_urgent().as_slice(),
-        [Order::Ask { .. }]
+        [Order::RequestPermits { .. }]
     ));
 }
 
@@ -401,8 +405,8 @@
     world.cell.see_worker(worker("a1"), world.now);
     world.cell.see_worker(worker("b1"), world.now);
     // The earlier owner had seen run 1 fail, and run 2 has failed without a record.
-    world.end(second, 1, id, 2, How::Failed);
-    world.end(&first, 1, id, run, How::Failed);
+    world.end(second, 1, id, 2, RunOutcome::Failed);
+    world.end(&first, 1, id, run, RunOutcome::Failed);
     let (_, _, next) = world.run().remove(0);
     assert_eq!(next, 3);
 }
--- a/crates/jobs/tests/crash/mod.rs
+++ b/crates/jobs/tests/crash/mod.rs
@@ -5,8 +5,8 @@
 use crate::fixture::{job, step, worker};
 use clock::Instant;
 use havenladder_jobs::{
-    Cell, Decoded, EndRow, Entry, How, JobId, Limits, Loss, Need, Order, Phase, Report, RunId,
-    RunRow, Step, Submission, TaskId, WorkerId, WorkerInfo, decode_entry,
+    Cell, Decoded, EndRow, Entry, JobId, Limits, Loss, Need, Order, Phase, Report, RunId,
+    RunOutcome, RunRow, Step, Submission, TaskId, WorkerId, WorkerInfo, decode_entry,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{
@@ -81,7 +81,7 @@
 }
 
 /// The ends that a worker lists of some of its runs.
-fn list_ends(host: &mut Host, over: Vec<(TaskId, RunId)>, how: How) -> Vec<EndRow> {
+fn list_ends(host: &mut Host, over: Vec<(TaskId, RunId)>, how: RunOutcome) -> Vec<EndRow> {
     let first = host.number + 1;
     host.number += over.len() as u64;
     let end = |(number, (task, run))| EndRow {
@@ -197,7 +197,7 @@
                 .extract_if(.., |(task, _), _| gangs.contains(&task.job));
             let over: Vec<_> = over.map(|(key, _)| key).collect();
             if !over.is_empty() {
-                let ended = list_ends(host, over, How::Broken);
+                let ended = list_ends(host, over, RunOutcome::Broken);
                 self.report(&id, ended);
             }
         }
@@ -259,7 +259,7 @@
                 .running
                 .extract_if(.., |_, run| !run.crashes && run.ends <= self.now);
             let over: Vec<_> = over.map(|(key, _)| key).collect();
-            let ended = list_ends(host, over, How::Done);
+            let ended = list_ends(host, over, RunOutcome::Done);
             let look = host.look.take_if(|at| *at <= self.now).is_some();
             if look || !ended.is_empty() || host.asked + ASK <= self.now {
                 self.report(&id, ended);
--- a/crates/jobs/tests/decoders.rs
+++ b/crates/jobs/tests/decoders.rs
@@ -26,7 +26,7 @@
         cell.report("a1", &Report::default(), now, now);
         cell.mark_due(1_000_000);
         cell.schedule(now);
-        cell.stop_still(now);
+        cell.stop_stalled(now);
         let batch = cell.take_batch();
         cell.confirm(&batch);
     }
@@ -97,7 +97,7 @@
     fn figures_of_callers_do_no_harm(steps in prop::collection::vec(any_step(), 1..4), at: u64) {
         let mut cell = take_over(Vec::new());
         let mut given = job(1, steps);
-        given.at = at;
+        given.submitted_at = at;
         given.slack = u64::MAX;
         cell.accept(given);
         cell.accept(job(2, vec![step(1)]));
--- a/crates/jobs/tests/emptied_halls.rs
+++ b/crates/jobs/tests/emptied_halls.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use fixture::{job, step, worker};
-use havenladder_jobs::{How, Obstacle, Report, Step, WorkerInfo};
+use havenladder_jobs::{Obstacle, Report, RunOutcome, Step, WorkerInfo};
 use std::collections::BTreeSet;
 use world::{World, row, task};
 
@@ -139,7 +139,7 @@
         assert_eq!(world.cell.drain_halls(world.now), 1);
         let (worker, task, run) = world.stops().pop().unwrap();
         let number = world.cell.workers.get(&worker).unwrap().acknowledged + 1;
-        world.end(&worker, number, task, run, How::Stopped);
+        world.end(&worker, number, task, run, RunOutcome::Stopped);
         let (to, task, run) = world.run().pop().unwrap();
         assert!(to.starts_with('b'), "{to}");
         let mut running: Vec<_> = world.cell.workers.get(&to).unwrap().runs.keys().collect();
--- a/crates/jobs/tests/evacuate.rs
+++ b/crates/jobs/tests/evacuate.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use fixture::{job, step};
-use havenladder_jobs::{EndRow, How, Report, Step};
+use havenladder_jobs::{EndRow, Report, RunOutcome, Step};
 use std::time::Duration;
 use world::{World, row, task};
 use yare::parameterized;
@@ -46,7 +46,7 @@
     world.cell.close_worker("a1", true);
     assert_eq!(world.cell.drain_worker("a1", world.now), 2);
     assert_eq!(world.stops().len(), 2);
-    world.end("a1", 1, task(1, 0, 0), 1, How::Stopped);
+    world.end("a1", 1, task(1, 0, 0), 1, RunOutcome::Stopped);
     let started = world.run();
     assert_eq!(started, [("b1".into(), task(1, 0, 0), 2)]);
 }
@@ -87,7 +87,7 @@
         number: 1,
         task: moved,
         run: 1,
-        how: How::Stopped,
+        how: RunOutcome::Stopped,
         saved: "half".to_owned(),
     });
     world.report("a1", stopped);
--- a/crates/jobs/tests/history/calls.rs
+++ b/crates/jobs/tests/history/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to workers, which may be lost, or be carried out late.
 
 use super::{GRACE, History, LEASE, host::tell, restarts::HOLD};
-use havenladder_jobs::{AnswerOutcome, EndRow, How, Loss, Order, Refusal, WorkerId};
+use havenladder_jobs::{AnswerOutcome, EndRow, Loss, Order, Refusal, RunOutcome, WorkerId};
 use rand::Rng;
 
 /// An order that is carried out late.
@@ -84,8 +84,8 @@
                 let counts = |end: &&EndRow| end.number <= noted && end.number > host.void;
                 for end in host.ended.iter().filter(counts) {
                     match end.how {
-                        How::Done => drop(self.done.insert(end.task)),
-                        How::Failed => *self.failed.entry(end.task).or_default() += 1,
+                        RunOutcome::Done => drop(self.done.insert(end.task)),
+                        RunOutcome::Failed => *self.failed.entry(end.task).or_default() += 1,
                         _ => {}
                     }
                 }
--- a/crates/jobs/tests/history/host.rs
+++ b/crates/jobs/tests/history/host.rs
@@ -2,7 +2,7 @@
 
 use super::{History, LEASE, restarts::HOLD};
 use crate::fixture::step;
-use havenladder_jobs::{EndRow, How, Need, Order, Refusal, Report, RunId, RunRow, TaskId};
+use havenladder_jobs::{EndRow, Need, Order, Refusal, Report, RunId, RunOutcome, RunRow, TaskId};
 use rand::Rng;
 use std::collections::BTreeMap;
 
@@ -49,9 +49,9 @@
             for (task, run) in over {
                 let state = host.running.remove(&(task, run)).unwrap();
                 let how = match (state.ends <= now, state.fails) {
-                    (false, _) => How::Lapsed,
-                    (true, true) => How::Failed,
-                    (true, false) => How::Done,
+                    (false, _) => RunOutcome::Lapsed,
+                    (true, true) => RunOutcome::Failed,
+                    (true, false) => RunOutcome::Done,
                 };
                 end(host, task, run, how);
             }
@@ -96,7 +96,7 @@
             let past = host.past.entry(task).or_default();
             *past = (*past).max(run);
             if host.running.remove(&(task, run)).is_some() {
-                end(host, task, run, How::Stopped);
+                end(host, task, run, RunOutcome::Stopped);
             }
             return Ok(());
         }
@@ -146,7 +146,7 @@
     }
 }
 
-fn end(host: &mut Host, task: TaskId, run: RunId, how: How) {
+fn end(host: &mut Host, task: TaskId, run: RunId, how: RunOutcome) {
     host.number += 1;
     let past = host.past.entry(task).or_default();
     *past = (*past).max(run);
--- a/crates/jobs/tests/lives.rs
+++ b/crates/jobs/tests/lives.rs
@@ -7,8 +7,8 @@
 
 use fixture::{job, step, worker};
 use havenladder_jobs::{
-    AnswerOutcome, EndRow, Ending, How, Limits, Listing, Loss, Phase, Report, RunId, StartedAtMs,
-    TaskId, WorkerId, WorkerInfo, name_of,
+    AnswerOutcome, EndRow, Ending, Limits, Listing, Loss, Phase, Report, RunId, RunOutcome,
+    StartedAtMs, TaskId, WorkerId, WorkerInfo, name_of,
 };
 use std::time::Duration;
 use world::{World, row, task};
@@ -71,7 +71,7 @@
         number,
         task: *task,
         run: *run,
-        how: How::Done,
+        how: RunOutcome::Done,
         saved: String::new(),
     });
     Report {
--- a/crates/jobs/tests/load/mod.rs
+++ b/crates/jobs/tests/load/mod.rs
@@ -3,8 +3,8 @@
 use crate::fixture::{job, step, worker};
 use clock::Instant;
 use havenladder_jobs::{
-    Accepted, Bound, Cell, EndRow, Foreseen, How, JobId, Limits, Need, Order, Phase, Report, RunId,
-    RunRow, Submission, TaskId, WorkerId, WorkerInfo, WorkspaceId,
+    Accepted, Bound, Cell, EndRow, Foreseen, JobId, Limits, Need, Order, Phase, Report, RunId,
+    RunOutcome, RunRow, Submission, TaskId, WorkerId, WorkerInfo, WorkspaceId,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{
@@ -176,7 +176,7 @@
         one.estimate_ms = estimate;
         let given = Submission {
             workspace: self.named.then(|| WorkspaceId::from(stream.workspace)),
-            at: self.now,
+            submitted_at: self.now,
             stretch: STRETCH,
             slack: SLACK,
             ..job(self.next, vec![one])
@@ -209,7 +209,7 @@
                 number: *number,
                 task,
                 run,
-                how: How::Done,
+                how: RunOutcome::Done,
                 saved: String::new(),
             });
         }
--- a/crates/jobs/tests/near.rs
+++ b/crates/jobs/tests/near.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use fixture::{job, step};
-use havenladder_jobs::{How, Step};
+use havenladder_jobs::{RunOutcome, Step};
 use world::{World, task};
 use yare::parameterized;
 
@@ -32,7 +32,7 @@
     let mut world = full_near();
     world.cell.accept(job(2, vec![near(1, 1_000)]));
     assert!(world.run().is_empty());
-    world.end("a1", 1, task(1, 0, 0), 1, How::Done);
+    world.end("a1", 1, task(1, 0, 0), 1, RunOutcome::Done);
     let started = world.run();
     assert_eq!(started, [("a1".into(), task(2, 0, 0), 1)]);
 }
--- a/crates/jobs/tests/takeover.rs
+++ b/crates/jobs/tests/takeover.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use fixture::{job, step, worker};
-use havenladder_jobs::{Cancelled, How, Loss, Report};
+use havenladder_jobs::{Cancelled, Loss, Report, RunOutcome};
 use std::time::Duration;
 use world::{World, row, task};
 
@@ -68,7 +68,7 @@
     assert_eq!(started.len(), 4);
     world.cell.accept(job(2, vec![step(1)]));
     for (number, (id, task, run)) in (1..).zip(started.into_iter().take(2)) {
-        world.end(&id, number, task, run, How::Done);
+        world.end(&id, number, task, run, RunOutcome::Done);
     }
     world.cell.schedule(world.now);
     let known = world.cell.take_unrecorded();
@@ -143,7 +143,7 @@
     world.take_over();
     world.join("a1");
     // The earlier owner had started the task without a record.
-    world.end("a1", 1, task(1, 0, 0), 1, How::Failed);
+    world.end("a1", 1, task(1, 0, 0), 1, RunOutcome::Failed);
     assert_eq!(world.run(), [("a1".into(), task(1, 0, 0), 2)]);
 }
 
@@ -165,7 +165,7 @@
             ended: vec![],
         },
     );
-    world.end(&first, 1, id, 1, How::Failed);
+    world.end(&first, 1, id, 1, RunOutcome::Failed);
     assert!(world.run().is_empty(), "run 2 goes on");
     assert!(world.stops().is_empty());
     assert_eq!(world.cell.jobs[&1].task(0, 0, 0).unwrap().failed, [1]);
--- a/crates/jobs/tests/unseen.rs
+++ b/crates/jobs/tests/unseen.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use fixture::{job, step, worker};
-use havenladder_jobs::{Disruption, How, Loss, Report, Step};
+use havenladder_jobs::{Disruption, Loss, Report, RunOutcome, Step};
 use world::{World, row, task};
 
 /// Two workers, and a job of two lasting tasks that are apart and of which one may be away.
@@ -35,7 +35,7 @@
     };
     world.report("a1", started);
     assert_eq!(world.cell.pending("q"), 0);
-    world.end("a1", 1, task(1, 0, 0), 1, How::Done);
+    world.end("a1", 1, task(1, 0, 0), 1, RunOutcome::Done);
     assert_eq!(world.cell.pending("q"), 0);
 }
 
--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/world/mod.rs
@@ -5,8 +5,8 @@
 use crate::fixture::worker;
 use clock::Instant;
 use havenladder_jobs::{
-    Batch, Cell, Decoded, EndRow, Entry, How, JobId, Limits, Order, Report, RunId, RunRow, TaskId,
-    WorkerId, decode_entry,
+    Batch, Cell, Decoded, EndRow, Entry, JobId, Limits, Order, Report, RunId, RunOutcome, RunRow,
+    TaskId, WorkerId, decode_entry,
 };
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
     }
 
     /// A worker lists one end.
-    pub fn end(&mut self, id: &str, number: u64, task: TaskId, run: RunId, how: How) {
+    pub fn end(&mut self, id: &str, number: u64, task: TaskId, run: RunId, how: RunOutcome) {
         let end = EndRow {
             number,
             task,
@@ -121,7 +121,7 @@
     pub fn stops(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
         let stop = |order| match order {
             Order::Stop { worker, task, run } => Some((worker, task, run)),
-            Order::Start { .. } | Order::Pace { .. } | Order::Ask { .. } => None,
+            Order::Start { .. } | Order::Pace { .. } | Order::RequestPermits { .. } => None,
         };
         self.cell
             .take_urgent()
