--- a/crates/jobs/src/account.rs
+++ b/crates/jobs/src/account.rs
@@ -44,7 +44,7 @@
     }
 
     /// A configuration does not name the workspace: it keeps the bound that it had, and has none if it never had one.
-    pub(crate) fn keep_bound(&self) {
+    pub(crate) fn ensure_bound(&self) {
         self.set_bound(self.bound.get().unwrap_or(Bound::NONE));
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Whether what it takes already, of which this is a part, goes beyond the bound in something that this takes.
-    pub(crate) fn is_over(&self, part: Need) -> bool {
+    pub(crate) fn exceeds_bound(&self, part: Need) -> bool {
         let others = self.used.get().without(part);
         !self.bound().allows(others.need(), part)
     }
--- a/crates/jobs/src/arrivals.rs
+++ b/crates/jobs/src/arrivals.rs
@@ -69,7 +69,7 @@
 
 impl Arrivals {
     /// Notes the work of a job.
-    pub(crate) fn note(&mut self, now: WallMs, work: Need) {
+    pub(crate) fn record(&mut self, now: WallMs, work: Need) {
         let since = before(now, LONGEST * 2);
         self.jobs.push_back((now, work));
         while self.jobs.front().is_some_and(|(at, _)| *at < since) {
--- a/crates/jobs/src/cell/crashes.rs
+++ b/crates/jobs/src/cell/crashes.rs
@@ -25,7 +25,7 @@
     ) -> Vec<TaskId> {
         let suspects = suspects(runs);
         let ages = suspects.iter().map(|run| run.age);
-        self.suspicions.note_ages(ages, now);
+        self.suspicions.record_ages(ages, now);
         let fresh = suspects
             .iter()
             .filter(|run| run.involvement.is_fresh())
@@ -47,9 +47,9 @@
             .filter(|task| self.standing(*task, now) == Standing::Failed)
             .collect();
         self.suspicions.tasks.extend(repeats);
-        self.suspicions.note_end(worker, blamed, now);
+        self.suspicions.record_suspects(worker, blamed, now);
         for task in &given_up {
-            self.suspicions.note_proven(now);
+            self.suspicions.record_proven(now);
             self.finish(task.job, Phase::Failed);
         }
         given_up
--- a/crates/jobs/src/cell/demand.rs
+++ b/crates/jobs/src/cell/demand.rs
@@ -115,7 +115,7 @@
         };
         let work = Need::sum(finite.map(work));
         let came = self.came.entry(given.service.clone()).or_default();
-        came.note(self.wall, work);
+        came.record(self.wall, work);
     }
 
     /// How many workers the widest step of a service's live jobs needs whose tasks must be apart, and one
--- a/crates/jobs/src/cell/ledger.rs
+++ b/crates/jobs/src/cell/ledger.rs
@@ -80,7 +80,7 @@
         for (id, account) in &self.ledger.accounts {
             match bounds.get(id) {
                 Some(bound) => account.set_bound(*bound),
-                None => account.keep_bound(),
+                None => account.ensure_bound(),
             }
         }
         self.ledger.bounds = Some(bounds);
@@ -151,7 +151,7 @@
             return false;
         };
         let step = job.find_step(task);
-        step.is_some_and(|step| account.is_over(start_need(step)))
+        step.is_some_and(|step| account.exceeds_bound(start_need(step)))
     }
 
     /// Takes the starts of a task, or of its whole gang, back that have not been sent.
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -29,7 +29,7 @@
     TaskPhase, WorkerId, Workers,
     arrivals::Arrivals,
     incarnations::IncarnationTable,
-    near::Near,
+    near::DataRackWaits,
     permit::{Permits, StepId},
     rank::Rank,
     suspicion::Suspicions,
@@ -135,7 +135,7 @@
     /// How much time in hand the jobs of a queue need at their start.
     margins: Margins,
     /// The tasks that wait for room near their data.
-    pub(crate) near: Near,
+    pub(crate) near: DataRackWaits,
     /// When runs are to be looked at next that may stand still.
     pub(crate) still_due: Option<Instant>,
     /// The lasting tasks of each service that found no room in its last pass.
--- a/crates/jobs/src/disruption.rs
+++ b/crates/jobs/src/disruption.rs
@@ -129,9 +129,8 @@
         };
         let host = self.workers.get(on).filter(|_| Some(&**on) != leaving);
         // One that does not answer may be gone, and one that is doubted may go at any moment.
-        let stays = |host: &&Worker| {
-            host.responsive && !host.disrupted && !host.order_unconfirmed && !host.info.draining
-        };
+        let stays =
+            |w: &&Worker| w.responsive && !w.disrupted && !w.order_unconfirmed && !w.info.draining;
         let Some(host) = host.filter(stays) else {
             return false;
         };
--- a/crates/jobs/src/drain.rs
+++ b/crates/jobs/src/drain.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Cell, Need, RunId, RunPhase, TaskId, Worker,
-    place::{allows, may_join},
+    place::{has_required_label, may_join},
     worker::RunState,
 };
 use clock::Instant;
@@ -71,9 +71,7 @@
     fn may_move(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         let step = job.and_then(|job| job.find_step(task));
-        step.is_some_and(|step| {
-            step.saves_progress && !step.gang && !step.long_running && !step.best_effort
-        })
+        step.is_some_and(|s| s.saves_progress && !s.gang && !s.long_running && !s.best_effort)
     }
 
     /// Another worker of the service with room for a run, beside what others that move take there.
@@ -94,7 +92,7 @@
             host.info.id != from.info.id
                 && host.is_open(now)
                 && run.load.need.fits(used, host.info.capacity)
-                && allows(host, step)
+                && has_required_label(host, step)
                 && may_join(step, || host.siblings(task))
         };
         // One that is empty might be moved itself.
--- a/crates/jobs/src/explain.rs
+++ b/crates/jobs/src/explain.rs
@@ -3,7 +3,7 @@
 use crate::{
     Cell, TaskId, Worker,
     cell::room_of,
-    place::{allows, may_join},
+    place::{has_required_label, may_join},
 };
 use clock::Instant;
 use std::collections::BTreeMap;
@@ -65,7 +65,7 @@
             Obstacle::Emptied
         } else if worker.excluded_until.is_some_and(|until| until > now) {
             Obstacle::Aside
-        } else if !allows(worker, step) {
+        } else if !has_required_label(worker, step) {
             Obstacle::Label
         } else if !may_join(step, || worker.siblings(task)) {
             Obstacle::Apart
--- a/crates/jobs/src/gang.rs
+++ b/crates/jobs/src/gang.rs
@@ -61,7 +61,7 @@
     /// Places all tasks of a gang at once; one of them stands for all in the queue.
     pub(crate) fn place_gang(&mut self, task: TaskId, now: Instant) -> Placing {
         let Some(places) = self.gang_places(task, now) else {
-            return Placing::NoRoom;
+            return Placing::NoFit;
         };
         let Some(job) = self.jobs.get(&task.job) else {
             return Placing::Done;
@@ -69,7 +69,7 @@
         let tasks = &job.rounds[task.round as usize].steps[task.step as usize];
         let run = tasks.iter().map(Task::next_run).max().unwrap_or(1);
         for (index, worker) in (0..).zip(places) {
-            self.order(worker, TaskId { index, ..task }, run, now);
+            self.order_start(worker, TaskId { index, ..task }, run, now);
         }
         Placing::Done
     }
@@ -102,7 +102,7 @@
         let room = room_of(job, task);
         let may = |w: &&Worker| {
             let here = rack.is_none_or(|rack| w.info.rack() == rack);
-            here && self.takes(w, job, task, now)
+            here && self.accepts(w, job, task, now)
         };
         let mut hosts: Vec<Host<'_>> = self
             .workers
--- a/crates/jobs/src/hall.rs
+++ b/crates/jobs/src/hall.rs
@@ -75,7 +75,7 @@
         };
         let room = room_of(job, task);
         let fits = |host: &Worker| {
-            self.takes(host, job, task, now)
+            self.accepts(host, job, task, now)
                 && room.fits(host.used, host.info.capacity)
                 && may_join(step, || host.siblings(task))
         };
--- a/crates/jobs/src/incarnations.rs
+++ b/crates/jobs/src/incarnations.rs
@@ -259,17 +259,12 @@
         asked: Instant,
         now: Instant,
     ) -> AnswerOutcome {
-        let incarnations = self.get_mut(addressee.name());
+        let worker = self.get_mut(addressee.name());
         // An answer that does not say which life gives it is one of the life that is listed.
-        let listed = || {
-            incarnations
-                .listed
-                .clone()
-                .unwrap_or_else(|| addressee.clone())
-        };
+        let listed = || worker.listed.clone().unwrap_or_else(|| addressee.clone());
         let incarnation =
             started_at.map_or_else(listed, |_| WorkerId::new(addressee.name(), started_at));
-        let other = incarnations
+        let other = worker
             .last_answer
             .as_ref()
             .filter(|last_answer| last_answer.incarnation != incarnation);
@@ -278,8 +273,8 @@
         if other.is_some_and(|last_answer| asked < last_answer.at) {
             return AnswerOutcome::Outdated;
         }
-        incarnations.changes += u64::from(began);
-        incarnations.record_answer_of(incarnation.clone(), asked, now);
+        worker.changes += u64::from(began);
+        worker.record_answer_of(incarnation.clone(), asked, now);
         if incarnation == *addressee {
             AnswerOutcome::Same { began }
         } else {
--- a/crates/jobs/src/near.rs
+++ b/crates/jobs/src/near.rs
@@ -13,14 +13,14 @@
 
 /// The tasks that wait for room near their data.
 #[derive(Debug, Default)]
-pub(crate) struct Near {
+pub(crate) struct DataRackWaits {
     /// Since when each task waits.
     since: HashMap<TaskId, Instant>,
     /// The work that waits for each rack in this pass, in thousandths of a core times ms.
     queued: HashMap<RackId, f64>,
 }
 
-impl Near {
+impl DataRackWaits {
     /// A new pass over the waiting tasks begins.
     pub(crate) fn begin_pass(&mut self) {
         self.queued.clear();
@@ -35,7 +35,7 @@
 impl Cell {
     /// Whether a task waits for room near its data rather than run on this worker, the best one that has
     /// room now.
-    pub(crate) fn waits_for_near(&mut self, task: TaskId, worker: &str, now: Instant) -> bool {
+    pub(crate) fn waits_for_data_rack(&mut self, task: TaskId, worker: &str, now: Instant) -> bool {
         let Some((rack, work, cost)) = self.far_cost(task, worker) else {
             return false;
         };
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -19,7 +19,7 @@
 
 /// Whether what is decided now can be recorded.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Log {
+pub(crate) enum LogState {
     /// It can.
     Available,
     /// It cannot, for the time being.
@@ -29,17 +29,17 @@
 impl Cell {
     /// Gives room to waiting tasks, in order, and notes the orders that follow.
     pub fn schedule(&mut self, now: Instant) {
-        self.schedule_all(now, Log::Available);
+        self.schedule_all(now, LogState::Available);
     }
 
     /// The same while the log is away. There may be a newer owner then, which may have met the workers
     /// that this one has lost from sight: what ran there is not tried again.
     pub fn schedule_unrecorded(&mut self, now: Instant) {
-        self.schedule_all(now, Log::Unavailable);
+        self.schedule_all(now, LogState::Unavailable);
     }
 
     /// Gives room to the waiting tasks of all services.
-    fn schedule_all(&mut self, now: Instant, log: Log) {
+    fn schedule_all(&mut self, now: Instant, log: LogState) {
         self.duty.forget_old(now);
         self.settle_unrecorded(now);
         self.unpark();
@@ -51,7 +51,7 @@
     }
 
     /// Gives room to the waiting tasks of a service, in order.
-    fn schedule_service(&mut self, service: &str, now: Instant, log: Log) {
+    fn schedule_service(&mut self, service: &str, now: Instant, log: LogState) {
         self.demote_late(service);
         self.near.begin_pass();
         self.misfits.clear();
@@ -69,14 +69,14 @@
             };
             after = Some(rank);
             match self.try_rank(service, &rank, now, log) {
-                Placing::Held => {}
-                Placing::Bound => self.park(service, &rank),
+                Placing::MustWait => {}
+                Placing::AtBound => self.park(service, &rank),
                 Placing::Done => {
                     self.near.forget(rank.task());
                     self.drop_rank(service, &rank);
                 }
-                Placing::Later if later < MOST_LATER => later += 1,
-                Placing::Later | Placing::NoRoom => {
+                Placing::Deferred if later < MOST_LATER => later += 1,
+                Placing::Deferred | Placing::NoFit => {
                     misfits += 1;
                     self.note_misfit(service, &rank, now);
                 }
@@ -97,28 +97,28 @@
     }
 
     /// Places a waiting task if its turn has come.
-    fn try_rank(&mut self, service: &str, rank: &Rank, now: Instant, log: Log) -> Placing {
+    fn try_rank(&mut self, service: &str, rank: &Rank, now: Instant, log: LogState) -> Placing {
         if self.is_held(service, rank, now, log) || self.needs_quarantine(rank.task(), now) {
-            Placing::Held
+            Placing::MustWait
         } else if self.is_stale(rank.task()) {
             Placing::Done
         } else if self.waits_for_bound(rank) {
-            Placing::Bound
+            Placing::AtBound
         } else {
             self.place(rank.task(), now)
         }
     }
 
     /// Whether a waiting task may run somewhere, or must not start yet for what an earlier owner may have done.
-    pub(crate) fn is_held(&self, service: &str, rank: &Rank, now: Instant, log: Log) -> bool {
+    pub(crate) fn is_held(&self, service: &str, rank: &Rank, now: Instant, log: LogState) -> bool {
         let task = rank.task();
-        let lost = log == Log::Unavailable && self.lost.contains(&task);
+        let lost = log == LogState::Unavailable && self.lost.contains(&task);
         lost || self.is_gated(rank.order(), service, now) || self.has_run(task)
     }
 
     /// Does what brings a task that finds no room nearer to some.
     fn note_misfit(&mut self, service: &str, rank: &Rank, now: Instant) {
-        self.ask_permits(rank.task(), now);
+        self.request_permits(rank.task(), now);
         if rank.is_long_running() {
             self.reserve(rank.task(), now);
             if self.wants_room(rank.task()) {
--- a/crates/jobs/src/permit.rs
+++ b/crates/jobs/src/permit.rs
@@ -97,7 +97,7 @@
     }
 
     /// Asks for permits of a step that found no room, where its queue needs them.
-    pub(crate) fn ask_permits(&mut self, task: TaskId, now: Instant) {
+    pub(crate) fn request_permits(&mut self, task: TaskId, now: Instant) {
         let Some(job) = self
             .jobs
             .get(&task.job)
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -33,13 +33,13 @@
     /// It has got room, or does not wait any more.
     Done,
     /// It has room only far from its data, and waits for better.
-    Later,
+    Deferred,
     /// There is no room.
-    NoRoom,
+    NoFit,
     /// Its turn has not come: it may run somewhere, or must not start yet.
-    Held,
+    MustWait,
     /// Its workspace has as much running as it may.
-    Bound,
+    AtBound,
 }
 
 impl Cell {
@@ -53,7 +53,7 @@
         let room = room_of(job, task);
         let may = |w: &&Worker| {
             room.fits(Need::default(), w.info.capacity)
-                && self.takes(w, job, task, now)
+                && self.accepts(w, job, task, now)
                 && may_join(step, || w.siblings(task))
         };
         let free = |w: &&Worker| w.info.capacity.cpu.saturating_sub(w.used.cpu);
@@ -68,9 +68,9 @@
     }
 
     /// Whether a worker of the task's service may get a run of it at all.
-    pub(crate) fn takes(&self, worker: &Worker, job: &Job, task: TaskId, now: Instant) -> bool {
+    pub(crate) fn accepts(&self, worker: &Worker, job: &Job, task: TaskId, now: Instant) -> bool {
         worker.is_open(now)
-            && allows(worker, job.step(task.step))
+            && has_required_label(worker, job.step(task.step))
             && !self.reserved.contains(&worker.info.id)
             && (!job.submission.requires_permits || self.has_permit(task, &worker.info.id, now))
     }
@@ -88,10 +88,10 @@
     fn place_one(&mut self, task: TaskId, now: Instant) -> Placing {
         let Some(worker) = self.best_worker(task, now) else {
             self.note_no_room(task);
-            return Placing::NoRoom;
+            return Placing::NoFit;
         };
-        if self.waits_for_near(task, &worker, now) {
-            return Placing::Later;
+        if self.waits_for_data_rack(task, &worker, now) {
+            return Placing::Deferred;
         }
         let Some(job) = self.jobs.get(&task.job) else {
             return Placing::Done;
@@ -99,12 +99,12 @@
         let run = job
             .task(task.round, task.step, task.index)
             .map_or(1, Task::next_run);
-        self.order(worker, task, run, now);
+        self.order_start(worker, task, run, now);
         Placing::Done
     }
 
     /// Notes that a run of a task starts on a worker.
-    pub(crate) fn order(&mut self, worker: WorkerId, task: TaskId, run: RunId, now: Instant) {
+    pub(crate) fn order_start(&mut self, worker: WorkerId, task: TaskId, run: RunId, now: Instant) {
         self.note_in_hand(task.job);
         self.pass_time(task.job);
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -166,7 +166,7 @@
         // The cheapest first: in an overload, nearly all workers are full.
         let may = |w: &&Worker| {
             room.fits(w.used, w.info.capacity)
-                && self.takes(w, job, task, now)
+                && self.accepts(w, job, task, now)
                 && may_join(step, || w.siblings(task))
         };
         let racks = if step.long_running {
@@ -242,7 +242,7 @@
 }
 
 /// Whether a worker has the label that a step asks for.
-pub(crate) fn allows(worker: &Worker, step: &Step) -> bool {
+pub(crate) fn has_required_label(worker: &Worker, step: &Step) -> bool {
     step.label
         .as_ref()
         .is_none_or(|label| worker.info.has_label(label))
--- a/crates/jobs/src/quarantine.rs
+++ b/crates/jobs/src/quarantine.rs
@@ -3,7 +3,7 @@
 use crate::{
     Cell, Job, Need, TaskId, Worker, WorkerId,
     cell::room_of,
-    pass::Log,
+    pass::LogState,
     place::{Placing, may_join},
     rank::Rank,
 };
@@ -38,7 +38,7 @@
 
     /// Starts the waiting tasks of a service that are under suspicion, before all others: these would take the places
     /// on which nothing else may begin.
-    pub(crate) fn place_suspects(&mut self, service: &str, now: Instant, log: Log) {
+    pub(crate) fn place_suspects(&mut self, service: &str, now: Instant, log: LogState) {
         for rank in self.waiting_suspects(service) {
             let task = rank.task();
             if self.is_held(service, &rank, now, log) || !self.needs_quarantine(task, now) {
@@ -54,8 +54,8 @@
             }
             match self.place_in_quarantine(task, now) {
                 Placing::Done => self.drop_rank(service, &rank),
-                Placing::Later | Placing::NoRoom | Placing::Held | Placing::Bound => {
-                    self.ask_permits(task, now)
+                Placing::Deferred | Placing::NoFit | Placing::MustWait | Placing::AtBound => {
+                    self.request_permits(task, now)
                 }
             }
         }
@@ -92,11 +92,11 @@
         }
         let Some(worker) = self.quarantine_worker(job, task, now) else {
             self.keep_for_quarantine(task, now);
-            return Placing::NoRoom;
+            return Placing::NoFit;
         };
         let state = job.task(task.round, task.step, task.index);
         let run = state.map_or(1, |state| state.next_run());
-        self.order(worker, task, run, now);
+        self.order_start(worker, task, run, now);
         Placing::Done
     }
 
@@ -106,7 +106,7 @@
         let may = |worker: &&Worker| {
             room.fits(worker.used, worker.info.capacity)
                 && worker.is_settled()
-                && self.takes(worker, job, task, now)
+                && self.accepts(worker, job, task, now)
                 && may_join(job.step(task.step), || worker.siblings(task))
         };
         let fitting = self.workers.of(&job.submission.service).filter(may);
@@ -145,7 +145,7 @@
         }
         let room = room_of(job, task);
         let may = |worker: &&Worker| {
-            room.fits(Need::default(), worker.info.capacity) && self.takes(worker, job, task, now)
+            room.fits(Need::default(), worker.info.capacity) && self.accepts(worker, job, task, now)
         };
         let fitting = self.workers.of(service).filter(may);
         let fewest = fitting.min_by_key(|worker| (worker.runs.len(), worker.used.cpu));
--- a/crates/jobs/src/suspicion.rs
+++ b/crates/jobs/src/suspicion.rs
@@ -178,7 +178,7 @@
 struct Recent(VecDeque<Instant>);
 
 impl Recent {
-    fn note(&mut self, now: Instant) {
+    fn record(&mut self, now: Instant) {
         self.0.push_back(now);
         if self.0.len() > MAX_RECENT {
             self.0.pop_front();
@@ -194,9 +194,9 @@
 
 impl Suspicions {
     /// A worker has ended; one of these tasks may be the cause.
-    pub(crate) fn note_end(&mut self, worker: &str, tasks: BTreeSet<TaskId>, now: Instant) {
+    pub(crate) fn record_suspects(&mut self, worker: &str, tasks: BTreeSet<TaskId>, now: Instant) {
         if tasks.is_empty() {
-            return self.accidents.note(now);
+            return self.accidents.record(now);
         }
         self.by_worker.insert(worker.into(), tasks);
     }
@@ -209,12 +209,12 @@
             solved += usize::from(tasks.remove(&task) && tasks.is_empty());
             !tasks.is_empty()
         });
-        (0..solved).for_each(|_| self.accidents.note(now));
+        (0..solved).for_each(|_| self.accidents.record(now));
     }
 
     /// A task has been proven to end its workers.
-    pub(crate) fn note_proven(&mut self, now: Instant) {
-        self.proven.note(now);
+    pub(crate) fn record_proven(&mut self, now: Instant) {
+        self.proven.record(now);
     }
 
     /// A job is over: of its tasks nothing more will be learned.
@@ -239,7 +239,7 @@
     }
 
     /// A worker has ended on which these runs may have been the cause, by the ages that they had.
-    pub(crate) fn note_ages(
+    pub(crate) fn record_ages(
         &mut self,
         mut ages: impl Iterator<Item = Option<Duration>>,
         now: Instant,
@@ -247,7 +247,7 @@
         // What an earlier owner started may have just begun.
         let prompted = ages.any(|age| age.is_none_or(|age| age <= PROMPT_AGE));
         if !prompted {
-            self.unprompted.note(now);
+            self.unprompted.record(now);
         }
     }
 }
