--- a/crates/jobs/src/incarnations.rs
+++ b/crates/jobs/src/incarnations.rs
@@ -1,90 +1,95 @@
-//! Which life of a worker is behind its id.
+//! Tells the incarnations of a worker apart.
 //!
-//! A worker may start again under the id that it had. Its next life holds and knows nothing of the one before: it numbers
-//! its ends from 1, its clock shows another time, and it has seen no fence. All that is remembered of a worker is
-//! therefore kept for one life of it, a [`WorkerId`]; its name alone stands for where it is listed and called.
+//! A worker may restart under the same name. The new incarnation knows nothing of the one before: it numbers
+//! ends from 1, its clock shows another time, and it has seen no fencing token. Everything remembered of a
+//! worker is therefore kept per incarnation, identified by a [`WorkerId`]; the name alone identifies where
+//! the worker is listed and called.
 //!
-//! Only a worker's own answers tell which of two lives is the later one. Entries of the list may be read seconds late,
-//! and the time at which a life began is no order: a machine's clock may have been put back. But lives follow each
-//! other: an answer to a question that was asked after a life was known, and that another life gives, shows that the
-//! former is over.
+//! Only the worker's own answers tell which of two incarnations is the later one. Entries of the list may be
+//! read seconds late, and start times give no order since a machine's clock may have been set back. But
+//! incarnations follow each other: if one is known and a request sent after that is answered by another, the
+//! former has ended.
 
 use crate::{StartedAtMs, WorkerId, WorkerName, name_of};
 use clock::Instant;
 use std::collections::{HashMap, VecDeque};
 
-/// How many lives of a worker that are over are remembered, so that late entries of theirs are known as such: an entry
-/// is read up to some seconds late, and a worker that crashes as it starts is back after 0.25 s and more.
+/// How many ended incarnations of a worker are remembered, so that late entries of them are recognized. An
+/// entry is read up to some seconds late, and a worker that crashes at its start is back after 0.25 s or
+/// more.
 const MAX_ENDED: usize = 8;
 
-/// How many lives of a worker that only entries name are waited for at a time: another writer could list any number.
+/// How many incarnations of a worker that are only known from entries are kept at a time; another writer
+/// could list any number.
 const MAX_LISTED_ONLY: usize = 2;
 
-/// How many workers may be known: three times as many as the largest fleet has, 16,000. Another writer may list a million;
-/// each would be asked what it runs, over a connection of its own.
+/// How many workers may be known: three times as many as the largest fleet has (16,000). Another writer may
+/// list a million, and each would be polled over a connection of its own.
 const MAX_WORKERS: usize = 50_000;
 
-/// What an answer says of the life that was asked.
+/// What an answer tells about the incarnation that the request was meant for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerOutcome {
-    /// It answered itself.
+    /// This incarnation has answered.
     Same {
-        /// Whether another life had answered before.
+        /// Whether another incarnation had answered before.
         began: bool,
     },
-    /// It is over: another one has answered in its place.
+    /// This incarnation has ended; another one has answered in its place.
     Replaced {
-        /// The life that goes on.
+        /// The incarnation that is running.
         next: WorkerId,
-        /// Whether it is heard of for the first time.
+        /// Whether the running incarnation has answered for the first time.
         began: bool,
     },
-    /// Nothing: it was asked before the life was heard of that answers now, and the answer was overtaken.
+    /// Nothing: the request was sent before the incarnation that now answers was known, and the answer
+    /// arrived late.
     Outdated,
 }
 
-/// What an entry of the list says of a worker's lives.
+/// What an entry of the list tells about a worker's incarnations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Listing {
-    /// It is of this life.
+    /// The entry belongs to this incarnation.
     Incarnation(WorkerId),
-    /// It is of a life that is over: it was read late.
+    /// The entry belongs to an incarnation that has ended; it was read late.
     Ended,
-    /// It names one worker more than there can be: another writer's.
+    /// The entry names a worker beyond the limit, so it comes from another writer.
     LimitReached,
 }
 
-/// The life of a worker that answered last.
+/// The incarnation of a worker that answered last.
 #[derive(Clone, Debug)]
 struct LastAnswer {
     incarnation: WorkerId,
-    /// When its newest answer came.
+    /// When the latest answer arrived.
     at: Instant,
-    /// When its first answer came: what was asked later carries a fence that shuts out calls to the life before.
+    /// When the first answer arrived. Requests sent later carry a fencing token that invalidates calls to the
+    /// previous incarnation.
     since: Instant,
-    /// When that was asked for: each other life that was known by then is over.
-    asked: Instant,
+    /// When the request of the first answer was sent. All other incarnations known by then have ended.
+    requested_at: Instant,
 }
 
-/// A life that may have runs.
+/// An incarnation that may have runs.
 #[derive(Clone, Debug)]
 struct Known {
     incarnation: WorkerId,
-    /// Since when; none if an earlier owner knew it.
+    /// Since when it is known; `None` if an earlier owner knew it.
     since: Option<Instant>,
 }
 
-/// The lives of one worker.
+/// The incarnations of one worker.
 #[derive(Debug, Default)]
 struct Incarnations {
-    /// Those that may have runs, in the order in which they came to be known.
+    /// The incarnations that may have runs, in the order in which they became known.
     known: Vec<Known>,
-    /// The one that the newest entry names.
+    /// The incarnation that the latest entry names.
     listed: Option<WorkerId>,
     last_answer: Option<LastAnswer>,
-    /// The last that are known to be over.
+    /// The last incarnations that are known to have ended.
     ended: VecDeque<WorkerId>,
-    /// How often another life was found to answer.
+    /// How often a different incarnation was found to answer.
     changes: u64,
 }
 
@@ -95,14 +100,14 @@
             .any(|known| known.incarnation == *incarnation)
     }
 
-    /// Whether nothing of the worker needs to be remembered. That calls to it carry a higher fence does: it refuses
-    /// lower ones as long as it lives.
+    /// Returns whether nothing needs to be remembered of the worker. The number of changes does: it raises the
+    /// fencing token of calls to the worker, which refuses lower tokens as long as it runs.
     fn is_empty(&self) -> bool {
         self.known.is_empty() && self.changes == 0 && self.listed.is_none()
     }
 
-    /// Takes note that a life has answered.
-    fn record_answer_of(&mut self, incarnation: WorkerId, asked: Instant, now: Instant) {
+    /// Records an answer of an incarnation.
+    fn record_answer_of(&mut self, incarnation: WorkerId, requested_at: Instant, now: Instant) {
         self.ended.retain(|ended| *ended != incarnation);
         match &mut self.last_answer {
             Some(last_answer) if last_answer.incarnation == incarnation => last_answer.at = now,
@@ -111,19 +116,19 @@
                     incarnation,
                     at: now,
                     since: now,
-                    asked,
+                    requested_at,
                 });
             }
         }
     }
 
-    /// The other lives that were known before a question was asked.
+    /// Returns the other incarnations that were known before a request was sent.
     fn known_before<'a>(
         &'a self,
         incarnation: &'a str,
-        asked: Instant,
+        requested_at: Instant,
     ) -> impl Iterator<Item = &'a WorkerId> {
-        let before = move |known: &&Known| known.since.is_none_or(|since| since < asked);
+        let before = move |known: &&Known| known.since.is_none_or(|since| since < requested_at);
         let others = self
             .known
             .iter()
@@ -131,7 +136,7 @@
         others.filter(before).map(|known| &known.incarnation)
     }
 
-    /// Remembers that a life is over, if another one has answered since.
+    /// Records that an incarnation has ended, if a different one has answered since.
     fn mark_ended(&mut self, incarnation: &str) {
         let replaced = self
             .last_answer
@@ -146,7 +151,7 @@
     }
 }
 
-/// The lives of all workers, by the workers' names.
+/// The incarnations of all workers, by worker name.
 #[derive(Debug, Default)]
 pub(crate) struct IncarnationTable {
     workers: HashMap<WorkerName, Incarnations>,
@@ -165,12 +170,12 @@
         self.workers.get_mut(name).expect("it was inserted above")
     }
 
-    /// The names of all workers that are remembered.
+    /// Returns the names of all remembered workers.
     pub(crate) fn names(&self) -> impl Iterator<Item = &WorkerName> {
         self.workers.keys()
     }
 
-    /// A life is known from now on.
+    /// Adds an incarnation that is known from now on.
     pub(crate) fn add(&mut self, incarnation: &WorkerId, since: Option<Instant>) {
         let incarnations = self.get_mut(incarnation.name());
         if !incarnations.is_known(incarnation) {
@@ -181,7 +186,7 @@
         }
     }
 
-    /// A life is not known any more: it has been given up.
+    /// Removes an incarnation whose worker was abandoned.
     pub(crate) fn forget(&mut self, incarnation: &str) {
         let name = name_of(incarnation);
         let Some(incarnations) = self.workers.get_mut(name) else {
@@ -196,7 +201,7 @@
         }
     }
 
-    /// Takes in which life of a worker the newest entry names, if it says which.
+    /// Records the incarnation that the latest entry names, if the entry tells it.
     pub(crate) fn record_listing(
         &mut self,
         name: &str,
@@ -210,7 +215,7 @@
         if incarnations.ended.contains(&incarnation) {
             return Listing::Ended;
         }
-        // An entry that does not say which life it is of is one of the life that answers.
+        // An entry without a start time is attributed to the incarnation that answers.
         let last_answer = incarnations
             .last_answer
             .as_ref()
@@ -222,7 +227,7 @@
         Listing::Incarnation(incarnation)
     }
 
-    /// The worker has no entry any more.
+    /// Records that the worker has no entry any more.
     pub(crate) fn remove_listing(&mut self, name: &str) {
         let Some(incarnations) = self.workers.get_mut(name) else {
             return;
@@ -233,7 +238,7 @@
         }
     }
 
-    /// The lives of a worker, oldest first, that are known beside the one that answers and the last few.
+    /// Returns the incarnations of a worker, oldest first, that exceed the answering one and the last few.
     pub(crate) fn excess(&self, name: &str) -> Vec<WorkerId> {
         let Some(incarnations) = self.workers.get(name) else {
             return Vec::new();
@@ -251,16 +256,17 @@
         others
     }
 
-    /// Takes in which life has answered at `now` what another, or the same, was asked at `asked`.
+    /// Records which incarnation answered at `now` to a request that was sent to `addressee` at
+    /// `requested_at`.
     pub(crate) fn record_answer(
         &mut self,
         addressee: &WorkerId,
         started_at: Option<StartedAtMs>,
-        asked: Instant,
+        requested_at: Instant,
         now: Instant,
     ) -> AnswerOutcome {
         let worker = self.get_mut(addressee.name());
-        // An answer that does not say which life gives it is one of the life that is listed.
+        // An answer without a start time is attributed to the listed incarnation.
         let listed = || worker.listed.clone().unwrap_or_else(|| addressee.clone());
         let incarnation =
             started_at.map_or_else(listed, |_| WorkerId::new(addressee.name(), started_at));
@@ -269,12 +275,12 @@
             .as_ref()
             .filter(|last_answer| last_answer.incarnation != incarnation);
         let began = other.is_some();
-        // Asked before the other was heard of, either may be the later one.
-        if other.is_some_and(|last_answer| asked < last_answer.at) {
+        // The request was sent before the other incarnation answered, so either may be the later one.
+        if other.is_some_and(|last_answer| requested_at < last_answer.at) {
             return AnswerOutcome::Outdated;
         }
         worker.changes += u64::from(began);
-        worker.record_answer_of(incarnation.clone(), asked, now);
+        worker.record_answer_of(incarnation.clone(), requested_at, now);
         if incarnation == *addressee {
             AnswerOutcome::Same { began }
         } else {
@@ -285,10 +291,10 @@
         }
     }
 
-    /// The other lives of a worker that are over, and whose runs this one lists if it has them: it has answered a
-    /// question that was asked at `asked`, once they were known, with a fence that shuts out calls that were meant for
-    /// them.
-    pub(crate) fn ended_by(&self, incarnation: &str, asked: Instant) -> Vec<WorkerId> {
+    /// Returns the other incarnations of a worker that have ended and whose runs, if they still exist, this
+    /// one lists. This holds once it has answered a request sent at `requested_at`, after the others were
+    /// known, with a fencing token that invalidates calls meant for them.
+    pub(crate) fn ended_by(&self, incarnation: &str, requested_at: Instant) -> Vec<WorkerId> {
         let Some(incarnations) = self
             .get(incarnation)
             .filter(|incarnations| incarnations.known.len() > 1)
@@ -302,16 +308,17 @@
         else {
             return Vec::new();
         };
-        if incarnations.changes > 0 && asked <= last_answer.since {
+        if incarnations.changes > 0 && requested_at <= last_answer.since {
             return Vec::new();
         }
         incarnations
-            .known_before(incarnation, asked)
+            .known_before(incarnation, requested_at)
             .cloned()
             .collect()
     }
 
-    /// The other lives of a worker that are over since this one has answered, whatever it lists.
+    /// Returns the other incarnations of a worker that have ended because this one has answered, whatever it
+    /// lists.
     pub(crate) fn predecessors(&self, incarnation: &str) -> Vec<WorkerId> {
         let Some(incarnations) = self.get(incarnation) else {
             return Vec::new();
@@ -321,19 +328,19 @@
             .as_ref()
             .filter(|last_answer| last_answer.incarnation == *incarnation);
         let predecessors = last_answer
-            .map(|last_answer| incarnations.known_before(incarnation, last_answer.asked));
+            .map(|last_answer| incarnations.known_before(incarnation, last_answer.requested_at));
         predecessors.into_iter().flatten().cloned().collect()
     }
 
-    /// All lives of a worker that are known, by its name.
+    /// Returns all known incarnations of a worker, by its name.
     pub(crate) fn of(&self, name: &str) -> impl Iterator<Item = &WorkerId> {
         let incarnations = self.workers.get(name).into_iter();
         incarnations
             .flat_map(|incarnations| incarnations.known.iter().map(|known| &known.incarnation))
     }
 
-    /// The life of a worker that counts: the one that answered last, else the one that was listed last, else any that is
-    /// known.
+    /// Returns the relevant incarnation of a worker: the one that answered last, or the one listed last, or
+    /// any known one.
     pub(crate) fn current(&self, name: &str) -> Option<&WorkerId> {
         let incarnations = self.workers.get(name)?;
         let last_answer = incarnations
@@ -349,7 +356,7 @@
             .or_else(first)
     }
 
-    /// How often another life of a worker was found to answer.
+    /// Returns how often a different incarnation of a worker was found to answer.
     pub(crate) fn changes(&self, incarnation: &str) -> u64 {
         self.get(incarnation)
             .map_or(0, |incarnations| incarnations.changes)
--- a/crates/jobs/src/worker_id.rs
+++ b/crates/jobs/src/worker_id.rs
@@ -1,65 +1,67 @@
-//! What names a worker, and what names one life of it.
+//! The names of workers and the ids of their incarnations.
 
 use serde::{Deserialize, Serialize};
 use std::{borrow::Borrow, fmt, ops::Deref};
 
-/// The id under which a worker is listed and called; its lives follow each other under it.
+/// The name under which a worker is listed and called. All its incarnations share it.
 pub type WorkerName = String;
 
-/// When a life of a worker began by its machine's clock, in ms since 1970. It tells lives apart, and nothing else.
+/// When an incarnation of a worker started by its machine's clock, in ms since 1970. The value only tells
+/// incarnations apart; it does not order them.
 pub type StartedAtMs = u64;
 
-/// What parts a worker's name from the time of its life's beginning in the text of a [`WorkerId`].
-const PART: char = '@';
+/// The separator between a worker's name and its start time in the text of a [`WorkerId`].
+const SEPARATOR: char = '@';
 
-/// One life of a worker: its name and when that life began, as one text, which is what records and logs hold. Workers
-/// that do not tell when they began have a new name in each life.
+/// An id of one incarnation of a worker: its name and start time as one text, the form used in records and
+/// logs. Workers that do not report a start time have a new name in each incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WorkerId(String);
 
 impl WorkerId {
-    /// The life of a worker that began then, if that is known.
+    /// Creates the id of the incarnation that started at this time, if the time is known.
     ///
     /// # Examples
     ///
     /// ```
     /// use havenladder_jobs::WorkerId;
     ///
-    /// let life = WorkerId::new("w-1", Some(1_700_000_000_000));
-    /// assert_eq!(life.name(), "w-1");
-    /// assert_eq!(life.started_at(), Some(1_700_000_000_000));
+    /// let id = WorkerId::new("w-1", Some(1_700_000_000_000));
+    /// assert_eq!(id.name(), "w-1");
+    /// assert_eq!(id.started_at(), Some(1_700_000_000_000));
     /// assert_eq!(WorkerId::new("w-1", None).name(), "w-1");
     /// ```
     pub fn new(name: &str, started_at: Option<StartedAtMs>) -> Self {
         WorkerId(match started_at {
-            Some(started_at) => format!("{name}{PART}{started_at}"),
-            // A name that holds the sign itself must not be taken for one with a time.
-            None if name.contains(PART) => format!("{name}{PART}"),
+            Some(started_at) => format!("{name}{SEPARATOR}{started_at}"),
+            // A name that contains the separator must not be read as one with a start time.
+            None if name.contains(SEPARATOR) => format!("{name}{SEPARATOR}"),
             None => name.to_owned(),
         })
     }
 
-    /// The id under which it is listed.
+    /// Returns the name under which the worker is listed.
     pub fn name(&self) -> &str {
         name_of(&self.0)
     }
 
-    /// Whether both may be one life: they are of one worker, and are the same or one of them is not known.
+    /// Returns whether both ids may denote the same incarnation: they are equal, or have the same name and at
+    /// least one start time is unknown.
     pub fn may_be(&self, other: &WorkerId) -> bool {
         let unknown = self.started_at().is_none() || other.started_at().is_none();
         self == other || unknown && self.name() == other.name()
     }
 
-    /// When it began, if it tells that.
+    /// Returns the start time, if it is known.
     pub fn started_at(&self) -> Option<StartedAtMs> {
-        self.0.rsplit_once(PART)?.1.parse().ok()
+        self.0.rsplit_once(SEPARATOR)?.1.parse().ok()
     }
 }
 
-/// The name of the worker whose life this text stands for.
-pub fn name_of(life: &str) -> &str {
-    life.rsplit_once(PART).map_or(life, |(name, _)| name)
+/// Returns the name of the worker in the text of a [`WorkerId`].
+pub fn name_of(id: &str) -> &str {
+    id.rsplit_once(SEPARATOR).map_or(id, |(name, _)| name)
 }
 
 impl From<&str> for WorkerId {
