--- a/crates/jobs/src/account.rs
+++ b/crates/jobs/src/account.rs
@@ -1,25 +1,26 @@
-//! What a workspace has running, or may have.
+//! The resources that the runs of a workspace use, or may use.
 //!
-//! Whatever the cell believes that a worker may run holds a [`Charge`]: a run that is ordered, runs, is being stopped or
-//! is not clear, and one that an earlier owner has left. It is given back where the cell drops what it believed, which is
-//! when an end is known or a lease has run out for certain. So the sum cannot go astray, whatever happens in between.
+//! Every run that the cell believes a worker may have holds a [`Charge`]: runs that are ordered, running,
+//! being stopped or in doubt, and those left by an earlier owner. The charge is released when the cell drops
+//! the run, that is when its end is known or its lease has certainly expired. Because the sum is derived from
+//! the charges, it stays correct whatever happens in between.
 
 use crate::{Bound, Need, WorkspaceId};
 use std::{cell, rc::Rc};
 
-/// The account of one workspace.
+/// The resources that one workspace uses, and its bound.
 #[derive(Debug)]
 pub struct Account {
     /// The workspace.
     pub id: WorkspaceId,
-    /// How much it may have running; none as long as no configuration has told.
+    /// The bound on what the workspace may use; `None` until a configuration has set it.
     bound: cell::Cell<Option<Bound>>,
-    /// What it has running, or may have.
+    /// The resources that its runs use or may use.
     used: cell::Cell<Total>,
 }
 
 impl Account {
-    /// The account of a workspace that has nothing running; without a bound as long as none is known.
+    /// Creates the account of a workspace without runs; `bound` is `None` if it is not known yet.
     pub(crate) fn new(id: WorkspaceId, bound: Option<Bound>) -> Rc<Self> {
         Rc::new(Account {
             id,
@@ -28,40 +29,42 @@
         })
     }
 
-    /// How much it may have running: nothing as long as that is not known.
+    /// Returns the bound of the workspace. As long as it is unknown, the bound allows nothing.
     pub fn bound(&self) -> Bound {
         self.bound.get().unwrap_or(Bound::CLOSED)
     }
 
-    /// What it has running, or may have; the highest number where that is more than a number holds.
+    /// Returns the resources in use, saturated at the highest number.
     pub fn used(&self) -> Need {
         self.used.get().need()
     }
 
-    /// Sets how much it may have running; what runs beyond it goes on.
+    /// Sets the bound. Runs that exceed it continue.
     pub(crate) fn set_bound(&self, bound: Bound) {
         self.bound.set(Some(bound));
     }
 
-    /// A configuration does not name the workspace: it keeps the bound that it had, and has none if it never had one.
+    /// Handles a configuration that does not name the workspace: a bound set earlier stays in force, and
+    /// without one the workspace becomes unbounded.
     pub(crate) fn ensure_bound(&self) {
         self.set_bound(self.bound.get().unwrap_or(Bound::NONE));
     }
 
-    /// Whether it may start as much as this.
+    /// Returns whether the bound allows `more` beside what is in use.
     pub(crate) fn allows(&self, more: Need) -> bool {
         self.bound().allows(self.used(), more)
     }
 
-    /// Whether what it takes already, of which this is a part, goes beyond the bound in something that this takes.
+    /// Returns whether the usage, of which `part` is included, exceeds the bound in a resource that `part`
+    /// needs.
     pub(crate) fn exceeds_bound(&self, part: Need) -> bool {
         let others = self.used.get().without(part);
         !self.bound().allows(others.need(), part)
     }
 }
 
-/// A sum of needs that gives back exactly what was taken: callers may ask for as much as a number holds, and a sum that
-/// stopped at the highest number would lose the rest of it with the first that is given back.
+/// A sum of needs that subtracts exactly what was added. Callers may ask for as much as a `u64` holds; a sum
+/// that saturated there would lose the excess when the first part is subtracted.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     cpu: u128,
@@ -96,7 +99,7 @@
     }
 }
 
-/// A part of an account that is taken until this is dropped. A copy takes as much again.
+/// A part of an account that stays in use until this value is dropped. A clone charges the same amount again.
 #[derive(Debug)]
 pub struct Charge {
     account: Rc<Account>,
@@ -104,7 +107,7 @@
 }
 
 impl Charge {
-    /// Takes an amount of an account.
+    /// Charges an amount to an account.
     pub(crate) fn new(account: &Rc<Account>, need: Need) -> Self {
         account.used.set(account.used.get().with(need));
         Charge {
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the owner of its cell sees it: its room, and the runs that it may have.
+//! A worker as seen by the owner of its cell: its capacity and the runs that it may have.
 
 use crate::{
     Charge, LostRun, Need, RunId, ServiceId, Step, TaskId, WorkerId, suspicion::PROVEN_AGE,
@@ -6,63 +6,63 @@
 use clock::Instant;
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-/// What the platform's list says of a worker.
+/// The description of a worker in the platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerInfo {
-    /// This life of it.
+    /// The incarnation of the worker.
     pub id: WorkerId,
-    /// The service that it runs tasks for.
+    /// The service whose tasks it runs.
     pub service: ServiceId,
-    /// Where it takes orders, as IP and port.
+    /// The address where it accepts orders, as IP and port.
     pub address: String,
-    /// Its data centre.
+    /// The data centre of the worker.
     pub hall: String,
-    /// What tasks may require of it; its rack is one of these.
+    /// The labels that tasks may require; the rack is one of them.
     pub labels: Vec<String>,
-    /// Its room.
+    /// The resources of the worker.
     pub capacity: Need,
-    /// Whether it is about to leave.
+    /// Whether the worker is about to leave.
     pub draining: bool,
 }
 
 impl WorkerInfo {
-    /// Whether the worker has this label.
+    /// Returns whether the worker has this label.
     pub fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|own| own == label)
     }
 
-    /// The worker's rack: the last of its labels, the first being its kind.
+    /// Returns the worker's rack, which is the last label; the first one is its kind.
     pub fn rack(&self) -> &str {
         self.labels.last().map_or("", String::as_str)
     }
 }
 
-/// How far a run is on its worker.
+/// The phase of a run on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPhase {
-    /// It has been ordered; the worker has not said that it is there.
+    /// The run has been ordered, and the worker has not confirmed it.
     Ordered,
-    /// The worker has said that it is there.
+    /// The worker has confirmed the run.
     Running,
-    /// It has been told to stop, and its end is not known.
+    /// The run has been ordered to stop, and its end is not known.
     Stopping,
 }
 
-/// What a run is like, as far as it matters to those beside it.
+/// The kind of a run, as far as it matters to the runs beside it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunKind {
-    /// It ends by itself.
+    /// The run ends by itself.
     Finite,
-    /// It lasts, and serves users of its own within a target.
+    /// The run is long-running and serves users within a target latency.
     Serving,
-    /// It lasts.
+    /// The run is long-running.
     LongRunning,
-    /// It takes what the others leave.
+    /// The run uses the processor time that others leave.
     BestEffort,
 }
 
 impl RunKind {
-    /// What the runs of a step are like.
+    /// Returns the kind of a step's runs.
     pub fn of(step: &Step) -> Self {
         match step {
             Step {
@@ -79,56 +79,56 @@
         }
     }
 
-    /// Whether its worker's VM cannot be moved without a thought for it.
+    /// Returns whether the run keeps its worker's VM from being moved freely.
     fn is_anchor(self) -> bool {
         matches!(self, RunKind::Serving | RunKind::LongRunning)
     }
 }
 
-/// What a run takes and is like.
+/// The resources and the kind of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// What it takes of the worker's room.
+    /// The resources that the run needs.
     pub need: Need,
-    /// What it is like.
+    /// The kind of the run.
     pub kind: RunKind,
 }
 
-/// A run that a worker may have.
+/// The state of a run that a worker may have.
 #[derive(Clone, Debug)]
 pub struct RunState {
-    /// What it takes and is like.
+    /// The resources and the kind of the run.
     pub load: Load,
-    /// How far it is.
+    /// The phase of the run.
     pub phase: RunPhase,
-    /// Whether the worker has said at any time that it is there.
+    /// Whether the worker has confirmed the run at any time, by answering its start or by listing it.
     pub confirmed: bool,
-    /// Whether a report of this life of the worker has listed it. That its start was answered does not tell which life
-    /// took it.
+    /// Whether a report of this incarnation has listed the run. An answer to the start does not tell which
+    /// incarnation took it.
     pub reported: bool,
-    /// When it was ordered.
+    /// When the run was ordered.
     pub ordered_at: Instant,
-    /// When its start was first sent; for a run of an earlier owner, when this one learned of it.
+    /// When the start was first sent; for a run of an earlier owner, when this owner learned of it.
     pub sent_at: Option<Instant>,
-    /// Whether an earlier owner started it: it may be older than is known.
+    /// Whether an earlier owner started the run, so that it may be older than is known.
     pub inherited: bool,
-    /// When the worker last answered an order about it: a report that was asked for later and does
-    /// not name the run proves that the run is not there.
+    /// When the worker last answered an order about the run. A report that was requested later and does not
+    /// list the run proves that it does not exist.
     pub answered_at: Option<Instant>,
-    /// How much of its work is done, 0 to 100.
+    /// The progress of the run, in percent.
     pub percent: u64,
-    /// When that last changed.
+    /// When the progress last changed.
     pub progressed_at: Instant,
-    /// The share at which it works, 0 to 100.
+    /// The share of the processor at which the run works, 0 to 100.
     pub pace: u64,
-    /// When that was last changed.
+    /// When the share was last changed.
     pub paced_at: Option<Instant>,
-    /// What it takes of its workspace's account.
+    /// The charge on the account of the run's workspace.
     pub charge: Option<Charge>,
 }
 
 impl RunState {
-    /// A run that is being ordered.
+    /// Creates the state of a run that is being ordered.
     pub fn ordered(load: Load, charge: Option<Charge>, now: Instant) -> Self {
         let phase = RunPhase::Ordered;
         RunState {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// A run that an earlier owner may have started.
+    /// Creates the state of a run that an earlier owner may have started.
     pub fn inherited(load: Load, charge: Option<Charge>, now: Instant) -> Self {
         RunState {
             sent_at: Some(now),
@@ -158,7 +158,7 @@
     }
 }
 
-/// A run in quarantine: nothing else begins on its worker meanwhile, so that the end of the worker names it.
+/// A run in quarantine. No other run starts on its worker meanwhile, so that a crash identifies it.
 #[derive(Clone, Copy, Debug)]
 pub struct Quarantine {
     /// The run.
@@ -167,54 +167,56 @@
     pub threshold: Duration,
 }
 
-/// A worker.
+/// A worker and its state as known to the owner.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What the platform's list says of it.
+    /// The description in the platform's list.
     pub info: Arc<WorkerInfo>,
-    /// Whether it answered this owner when it was last asked; from its first answer on, it refuses all
-    /// earlier owners.
+    /// Whether the worker answered this owner's last poll. From its first answer on, it refuses the orders of
+    /// all earlier owners.
     pub responsive: bool,
-    /// Whether it has answered this owner at any time, or was listed only after others had been met.
+    /// Whether it has answered this owner at any time, or was first listed after all workers had been
+    /// contacted.
     pub contacted: bool,
-    /// Whether it is to get no new runs because its VM is to be taken out.
+    /// Whether it gets no new runs because its VM is to be disrupted.
     pub closed: bool,
-    /// Whether its VM has been told to go down or to move.
+    /// Whether its VM has been ordered to go down or to move.
     pub disrupted: bool,
-    /// Whether its data centre is to be emptied.
+    /// Whether its data centre is to be drained.
     pub hall_drained: bool,
-    /// Whether its newest entry is none of a worker: another writer may have left it.
+    /// Whether its latest entry does not describe a worker; another writer may have left it.
     pub unusable: bool,
-    /// Whether an earlier owner may have told its VM so, and the order may still be under way.
+    /// Whether an earlier owner may have ordered its VM to go down or to move, and the order may still be
+    /// carried out.
     pub order_unconfirmed: bool,
-    /// What its runs take of its room.
+    /// The resources that its runs need.
     pub used: Need,
-    /// How many of its runs last and serve.
+    /// How many of its runs are long-running or serving.
     pub anchors: usize,
     /// The runs that it may have.
     pub runs: BTreeMap<(TaskId, RunId), RunState>,
-    /// The highest end that has been dealt with.
+    /// The highest end that has been processed.
     pub acknowledged: u64,
-    /// How many runs in a row have failed or stood still.
+    /// How many runs in a row have failed or stalled.
     pub failures: u32,
-    /// Until when it gets no new runs.
+    /// Until when it gets no new runs after failures or refusals.
     pub excluded_until: Option<Instant>,
-    /// When the newest question was sent that it has answered: it lived then.
+    /// When the latest poll that it has answered was sent. It was running at that time.
     pub last_answer: Option<Instant>,
-    /// When it was first found to be silent, since it last answered.
+    /// When it was first found to be silent after its last answer.
     pub silent_since: Option<Instant>,
-    /// When its port last refused a connection, since it last answered.
+    /// When its port last refused a connection after its last answer.
     pub refused_at: Option<Instant>,
-    /// When its entry was found to be gone from the list.
+    /// When its entry was found to be missing from the list.
     pub unlisted_at: Option<Instant>,
-    /// The run that is in quarantine there.
+    /// The run that is in quarantine on this worker.
     pub quarantine: Option<Quarantine>,
-    /// The runs that were given up because its lease ran out, while it may only be cut off.
+    /// The runs that were dropped because the worker's lease expired, although it may only be cut off.
     pub lapsed: Vec<LostRun>,
 }
 
 impl Worker {
-    /// A worker that has not answered yet.
+    /// Creates a worker that has not answered yet.
     pub fn new(info: WorkerInfo) -> Self {
         Worker {
             info: Arc::new(info),
@@ -240,27 +242,27 @@
         }
     }
 
-    /// Whether it has answered at any time, or may have runs.
+    /// Returns whether it has answered at any time or may have runs.
     pub fn is_real(&self) -> bool {
         self.last_answer.is_some() || !self.runs.is_empty() || !self.lapsed.is_empty()
     }
 
-    /// For how long a run is known to have been at work: until the newest answer of the worker.
+    /// Returns how long a run is known to have been at work: from its start to the worker's latest answer.
     pub fn known_runtime(&self, state: &RunState) -> Duration {
         match (state.sent_at, self.last_answer) {
-            (Some(sent), Some(heard)) if state.confirmed => heard.saturating_duration_since(sent),
+            (Some(sent), Some(last)) if state.confirmed => last.saturating_duration_since(sent),
             _ => Duration::ZERO,
         }
     }
 
-    /// Whether it has no run that may yet prove to end it.
+    /// Returns whether it has no run young enough to be suspected if the worker crashes.
     pub fn is_settled(&self) -> bool {
         self.runs
             .values()
             .all(|state| self.known_runtime(state) >= PROVEN_AGE)
     }
 
-    /// Ends the quarantine of a run that has outlived what it was to outlive.
+    /// Ends the quarantine if its run has reached the threshold or is gone.
     pub fn end_quarantine(&mut self) {
         let Some(quarantine) = self.quarantine else {
             return;
@@ -271,63 +273,63 @@
         }
     }
 
-    /// Whether it told of its end: it said that it leaves, or served on after its entry had gone. The entry of
-    /// one that has crashed goes as well, some seconds later.
+    /// Returns whether the worker announced its end: it said that it leaves, or still answered after its
+    /// entry was gone. The entry of a crashed worker is removed as well, some seconds later.
     pub fn has_announced(&self) -> bool {
         match self.unlisted_at {
             None => self.info.draining,
-            Some(at) => self.last_answer.is_some_and(|heard| heard > at),
+            Some(at) => self.last_answer.is_some_and(|last| last > at),
         }
     }
 
-    /// Whether it may get new runs.
+    /// Returns whether the worker may get new runs.
     pub fn is_open(&self, now: Instant) -> bool {
-        let aside = self.excluded_until.is_some_and(|until| until > now);
+        let excluded = self.excluded_until.is_some_and(|until| until > now);
         let stays = !self.closed && self.may_start();
-        self.responsive && stays && !aside && self.quarantine.is_none()
+        self.responsive && stays && !excluded && self.quarantine.is_none()
     }
 
-    /// Whether what was decided for it may still be sent.
+    /// Returns whether starts decided earlier may still be sent to it.
     pub fn may_start(&self) -> bool {
         !self.disrupted && !self.hall_drained && !self.unusable && !self.info.draining
     }
 
-    /// Adds a run and what it takes.
+    /// Adds a run and its load.
     pub fn add(&mut self, task: TaskId, run: RunId, state: RunState) {
         self.used.add(state.load.need);
         self.anchors += usize::from(state.load.kind.is_anchor());
         if let Some(old) = self.runs.insert((task, run), state) {
-            self.forget(old.load);
+            self.subtract_load(old.load);
         }
     }
 
-    /// The runs whose starts were sent within the longest lease that a worker grants, and that no report of this life has
-    /// named: they may go on at another life.
+    /// Returns the runs whose starts were sent within the last `hold`, the longest lease that a worker
+    /// grants, and that no report of this incarnation has listed. They may exist at another incarnation.
     pub fn unreported(&self, now: Instant, hold: Duration) -> Vec<(TaskId, RunId)> {
-        let may_go_on = |state: &RunState| {
+        let may_exist = |state: &RunState| {
             let recent = state.sent_at.is_some_and(|sent| now < sent + hold);
             recent && !state.reported
         };
-        let runs = self.runs.iter().filter(|(_, state)| may_go_on(state));
+        let runs = self.runs.iter().filter(|(_, state)| may_exist(state));
         runs.map(|(key, _)| *key).collect()
     }
 
-    /// Removes a run and gives its room back.
+    /// Removes a run and releases its resources.
     pub fn remove(&mut self, task: TaskId, run: RunId) -> Option<RunState> {
         let state = self.runs.remove(&(task, run))?;
         self.quarantine
             .take_if(|quarantine| quarantine.key == (task, run));
-        self.forget(state.load);
+        self.subtract_load(state.load);
         Some(state)
     }
 
-    /// Gives back what a run took.
-    fn forget(&mut self, load: Load) {
+    /// Subtracts the load of a run.
+    fn subtract_load(&mut self, load: Load) {
         self.used.remove(load.need);
         self.anchors -= usize::from(load.kind.is_anchor());
     }
 
-    /// How many runs of a kind it has.
+    /// Returns how many runs of a kind it has.
     pub fn count(&self, kind: RunKind) -> usize {
         self.runs
             .values()
@@ -335,7 +337,7 @@
             .count()
     }
 
-    /// How many runs it has of one step of one round of a job.
+    /// Returns how many runs it has of the same step and round as `task`.
     pub fn siblings(&self, task: TaskId) -> u32 {
         let first = TaskId { index: 0, ..task };
         let last = TaskId {
--- a/crates/jobs/src/workers.rs
+++ b/crates/jobs/src/workers.rs
@@ -1,73 +1,76 @@
-//! The workers of a cell, found by id and by service.
+//! The workers of a cell, indexed by id and by service.
 
 use crate::{ServiceId, Worker, WorkerId, WorkerInfo};
 use std::{collections::HashMap, sync::Arc};
 
-/// Where a worker stands in the table.
+/// An index into the table of workers.
 type Slot = usize;
 
 /// The workers of a cell.
 ///
-/// Each decision looks at the workers of one service only; with 1,100 workers of five services, walking
-/// over all of them for each task took a third of an owner's decisions. The order of a walk is that in which
-/// the workers came, as far as none has gone.
+/// Each decision iterates over the workers of one service only. With 1,100 workers in five services,
+/// iterating over all of them for each task took a third of an owner's decision time. Workers are iterated in
+/// the order in which they were added, as long as none has been removed.
 #[derive(Debug, Default)]
 pub struct Workers {
-    /// The workers; one that has gone leaves a gap for the next that comes.
+    /// The workers. A removed worker leaves a free slot, which the next one takes.
     slots: Vec<Option<Worker>>,
-    /// The gaps.
-    free: Vec<Slot>,
-    /// Where each worker stands.
-    places: HashMap<WorkerId, Slot>,
-    /// Where the workers of each service stand.
-    pools: HashMap<ServiceId, Vec<Slot>>,
+    /// The free slots.
+    free_slots: Vec<Slot>,
+    /// The slot of each worker.
+    slots_by_id: HashMap<WorkerId, Slot>,
+    /// The slots of the workers of each service.
+    slots_by_service: HashMap<ServiceId, Vec<Slot>>,
 }
 
 impl Workers {
-    /// A worker.
+    /// Returns a worker.
     pub fn get(&self, id: &str) -> Option<&Worker> {
-        let slot = *self.places.get(id)?;
+        let slot = *self.slots_by_id.get(id)?;
         self.slots[slot].as_ref()
     }
 
-    /// A worker, to be changed; its service and id must stay as they are.
+    /// Returns a worker for modification; its service and id must not change.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Worker> {
-        let slot = *self.places.get(id)?;
+        let slot = *self.slots_by_id.get(id)?;
         self.slots[slot].as_mut()
     }
 
-    /// Adds a worker, in place of one with the same id.
+    /// Adds a worker and replaces one with the same id.
     pub fn insert(&mut self, worker: Worker) {
         let id = worker.info.id.clone();
         self.remove(&id);
-        let slot = self.free.pop().unwrap_or_else(|| {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.slots.len() - 1
         });
-        let pool = self.pools.entry(worker.info.service.clone()).or_default();
+        let pool = self
+            .slots_by_service
+            .entry(worker.info.service.clone())
+            .or_default();
         pool.push(slot);
         self.slots[slot] = Some(worker);
-        self.places.insert(id, slot);
+        self.slots_by_id.insert(id, slot);
     }
 
-    /// Takes a worker out.
+    /// Removes a worker.
     pub fn remove(&mut self, id: &str) -> Option<Worker> {
-        let slot = self.places.remove(id)?;
+        let slot = self.slots_by_id.remove(id)?;
         let worker = self.slots[slot].take()?;
-        if let Some(pool) = self.pools.get_mut(&worker.info.service) {
+        if let Some(pool) = self.slots_by_service.get_mut(&worker.info.service) {
             pool.retain(|other| *other != slot);
         }
-        self.free.push(slot);
+        self.free_slots.push(slot);
         Some(worker)
     }
 
-    /// Takes in what the list now says of a worker that is there.
+    /// Updates the description of a known worker from the list.
     pub fn update(&mut self, info: WorkerInfo) {
         let Some(worker) = self.get_mut(&info.id) else {
             return;
         };
         if *worker.info == info {
-            // Most entries of the list only say that the worker lives.
+            // Most entries of the list only confirm that the worker is running.
         } else if worker.info.service == info.service {
             worker.info = Arc::new(info);
         } else if let Some(mut worker) = self.remove(&info.id) {
@@ -76,24 +79,24 @@
         }
     }
 
-    /// All workers.
+    /// Returns all workers.
     pub fn values(&self) -> impl Iterator<Item = &Worker> {
         self.slots.iter().flatten()
     }
 
-    /// All workers, to be changed; their services and ids must stay as they are.
+    /// Returns all workers for modification; their services and ids must not change.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
         self.slots.iter_mut().flatten()
     }
 
-    /// The ids of all workers.
+    /// Returns the ids of all workers.
     pub fn keys(&self) -> impl Iterator<Item = &WorkerId> {
         self.values().map(|worker| &worker.info.id)
     }
 
-    /// The workers of a service.
+    /// Returns the workers of a service.
     pub fn of(&self, service: &str) -> impl Iterator<Item = &Worker> {
-        let pool = self.pools.get(service).into_iter().flatten();
+        let pool = self.slots_by_service.get(service).into_iter().flatten();
         pool.filter_map(|slot| self.slots[*slot].as_ref())
     }
 }
--- a/crates/jobs/src/workspace.rs
+++ b/crates/jobs/src/workspace.rs
@@ -1,54 +1,54 @@
-//! Workspaces: which one a job belongs to, and how much it may have running.
+//! Workspaces, and the bound on the resources that each may use.
 
 use crate::Need;
 
-/// A workspace, by its name.
+/// The name of a workspace.
 pub type WorkspaceId = String;
 
-/// How much a workspace may have running across all workers.
+/// The bound on the resources that a workspace may use across all workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound(Need);
 
-/// An amount of one resource that is never reached.
+/// The amount that stands for no bound on a resource.
 const UNLIMITED: u64 = u64::MAX;
 
 impl Bound {
-    /// No bound at all.
+    /// The absence of any bound.
     pub const NONE: Bound = Bound(Need {
         cpu: UNLIMITED,
         memory: UNLIMITED,
         gpu: UNLIMITED,
     });
 
-    /// A bound under which nothing starts: of a workspace whose bound is not known.
+    /// The bound under which nothing starts, used for a workspace whose bound is not known.
     pub const CLOSED: Bound = Bound(Need {
         cpu: 0,
         memory: 0,
         gpu: 0,
     });
 
-    /// A bound by amounts, of which 0 means that there is none for that resource.
-    pub fn new(most: Need) -> Self {
-        let amount = |most: u64| if most == 0 { UNLIMITED } else { most };
+    /// Creates a bound from amounts; 0 means that the resource is not bounded.
+    pub fn new(max: Need) -> Self {
+        let amount = |max: u64| if max == 0 { UNLIMITED } else { max };
         Bound(Need {
-            cpu: amount(most.cpu),
-            memory: amount(most.memory),
-            gpu: amount(most.gpu),
+            cpu: amount(max.cpu),
+            memory: amount(max.memory),
+            gpu: amount(max.gpu),
         })
     }
 
-    /// The amounts; [`u64::MAX`] where there is no bound.
+    /// Returns the amounts; [`u64::MAX`] stands for no bound.
     pub fn amounts(self) -> Need {
         self.0
     }
 
-    /// Whether `more` may start beside `used`. A resource of which it takes nothing does not matter, however far a
-    /// bound that was lowered has been passed there.
+    /// Returns whether `more` may start beside `used`. Resources that `more` does not need are ignored, even
+    /// if their use exceeds a bound that was lowered.
     pub fn allows(self, used: Need, more: Need) -> bool {
-        let fits = |used: u64, more: u64, most: u64| more == 0 || used.saturating_add(more) <= most;
-        let Bound(most) = self;
-        fits(used.cpu, more.cpu, most.cpu)
-            && fits(used.memory, more.memory, most.memory)
-            && fits(used.gpu, more.gpu, most.gpu)
+        let fits = |used: u64, more: u64, max: u64| more == 0 || used.saturating_add(more) <= max;
+        let Bound(max) = self;
+        fits(used.cpu, more.cpu, max.cpu)
+            && fits(used.memory, more.memory, max.memory)
+            && fits(used.gpu, more.gpu, max.gpu)
     }
 }
