--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,80 +1,80 @@
-//! A job's state: its rounds, steps and tasks.
+//! The state of a job: its rounds, steps and tasks.
 
 use crate::{Account, CrashHistory, RunId, Step, Submission, TaskId, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// How far a job is.
+/// The phase of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// No task has begun.
+    /// No task has started.
     Pending,
-    /// A task has begun.
+    /// A task has started.
     Running,
-    /// Every task has ended well.
+    /// All tasks have succeeded.
     Succeeded,
     /// A task has failed too often.
     Failed,
-    /// The caller has cancelled it.
+    /// The caller has cancelled the job.
     Cancelled,
 }
 
 impl Phase {
-    /// Whether nothing of the job is to run any more.
+    /// Returns whether the job is over, so that nothing of it is to run any more.
     pub fn is_over(self) -> bool {
         matches!(self, Phase::Succeeded | Phase::Failed | Phase::Cancelled)
     }
 }
 
-/// How far a task is.
+/// The phase of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
-    /// It waits for its step's turn or for room.
+    /// The task waits for other steps or for capacity.
     Waiting,
-    /// A run of it has been ordered on this worker and is not known to have ended.
+    /// A run has been ordered on this worker and is not known to have ended.
     Placed(WorkerId),
-    /// It has ended well.
+    /// The task has succeeded.
     Done,
 }
 
-/// One task.
+/// The state of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// How far it is.
+    /// The phase of the task.
     pub phase: TaskPhase,
-    /// The number of its last run; 0 before the first.
+    /// The number of the last run; 0 before the first.
     pub run: RunId,
-    /// The highest run that a worker has listed: an earlier owner may not have recorded it.
+    /// The highest run number that a worker has reported. An earlier owner may not have recorded that run.
     pub top: RunId,
-    /// The runs that have failed, each once however often and in whatever order workers list them.
+    /// The runs that have failed. Each is listed once, however often and in whatever order workers report it.
     pub failed: Vec<RunId>,
-    /// The newest saved progress; empty if none.
+    /// The latest saved progress; empty if there is none.
     pub saved: String,
-    /// What the ends of workers say for and against it. Older records lack it.
+    /// The worker crashes that count for and against the task. Older records lack the field.
     #[serde(default)]
     pub history: CrashHistory,
 }
 
 impl Task {
-    /// The number of its next run.
+    /// Returns the number of the next run.
     pub fn next_run(&self) -> RunId {
         self.run.max(self.top) + 1
     }
 }
 
-/// One repeat of a job.
+/// One round (repeat) of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Round {
-    /// Tasks by step and index.
+    /// The tasks, by step and index.
     pub steps: Vec<Vec<Task>>,
-    /// How many tasks of each step have not ended well.
+    /// The number of tasks of each step that have not succeeded.
     pub open: Vec<u32>,
-    /// Whether its time has come.
+    /// Whether the round is due.
     pub due: bool,
 }
 
 impl Round {
-    /// A round in which nothing has begun.
+    /// Creates a round in which nothing has started.
     pub fn new(steps: &[Step]) -> Self {
         let fresh = Task {
             phase: TaskPhase::Waiting,
@@ -92,45 +92,45 @@
         }
     }
 
-    /// Whether all steps that `step` waits for have ended well.
+    /// Returns whether the round is due and all steps that `step` depends on have succeeded.
     pub fn is_ready(&self, step: &Step) -> bool {
         let ended = |number: &u32| self.open.get(*number as usize) == Some(&0);
         self.due && step.after.iter().all(ended)
     }
 
-    /// Whether every task has ended well.
+    /// Returns whether all tasks have succeeded.
     pub fn is_done(&self) -> bool {
         self.open.iter().all(|open| *open == 0)
     }
 }
 
-/// One job.
+/// A job and its state.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What was handed in.
+    /// The job as it was submitted.
     pub submission: Submission,
-    /// How far it is.
+    /// The phase of the job.
     pub phase: Phase,
-    /// How far it may be said to be: what has been recorded. None before the job itself is.
+    /// The phase that is durable and may be reported to callers; `None` until the job itself is durable.
     pub durable_phase: Option<Phase>,
-    /// Its repeats.
+    /// The rounds of the job.
     pub rounds: Vec<Round>,
-    /// Its place in the order of arrival.
+    /// The position of the job in the order of arrival.
     pub order: u64,
-    /// For each step, the longest chain of estimated work that begins with it, in ms.
+    /// For each step, the length of the longest chain of estimated work that starts with it, in ms.
     pub critical_paths: Vec<u64>,
-    /// When it begins in the virtual time of its service.
+    /// The start of the job in the virtual time of its service.
     pub virtual_start: f64,
-    /// Whether it is beyond what its workspace may have of a service that is full.
+    /// Whether the job exceeds its workspace's share of a service that is full.
     pub over_share: bool,
-    /// How much time it had in hand as it began, as a part of its work; none before.
+    /// The slack of the job when it started, as a fraction of its work; `None` before.
     pub slack_ratio: Option<f64>,
-    /// The account of its workspace; none if it belongs to none.
+    /// The account of its workspace; `None` if it belongs to no workspace.
     pub account: Option<Rc<Account>>,
 }
 
 impl Job {
-    /// A job of which nothing has begun.
+    /// Creates a job of which nothing has started.
     pub fn new(submission: Submission, order: u64) -> Self {
         let fresh = Round::new(&submission.spec.steps);
         let rounds = vec![fresh; submission.spec.rounds() as usize];
@@ -149,13 +149,13 @@
         }
     }
 
-    /// When a round falls due, in ms since 1970; none if at once.
+    /// Returns when a round is due, in ms since 1970; `None` if it is due at once.
     pub fn due_at(&self, round: u32) -> Option<u64> {
         let schedule = self.submission.spec.schedule?;
         Some(schedule.first + u64::from(round) * schedule.interval)
     }
 
-    /// Until when a round is in time, in ms since 1970, if its work takes `pace` times as long as was
+    /// Returns until when a round is in time, in ms since 1970, if its work takes `pace` times as long as
     /// estimated.
     pub fn target_time(&self, round: u32, pace: f64) -> f64 {
         let begin = self.due_at(round).unwrap_or(self.submission.submitted_at);
@@ -163,7 +163,7 @@
         begin as f64 + self.submission.stretch * chain * pace + self.submission.slack as f64
     }
 
-    /// Whether these are rounds of this job: as many, each with the job's steps and their tasks.
+    /// Returns whether `rounds` match this job: their number, and the steps and tasks of each.
     pub fn fits(&self, rounds: &[Round]) -> bool {
         let steps = &self.submission.spec.steps;
         let is_step = |(step, tasks): (&Step, &Vec<Task>)| tasks.len() == step.count as usize;
@@ -175,17 +175,18 @@
         rounds.len() == self.submission.spec.rounds() as usize && rounds.iter().all(is_round)
     }
 
-    /// What the tasks of a step are.
+    /// Returns the specification of a step.
     pub fn step(&self, step: u32) -> &Step {
         &self.submission.spec.steps[step as usize]
     }
 
-    /// What the tasks of a task's step are, if the job has the step: one that is over may have lost it.
+    /// Returns the specification of a task's step, if the job has it; the steps of a job that is over may
+    /// have been dropped.
     pub fn find_step(&self, task: TaskId) -> Option<&Step> {
         self.submission.spec.steps.get(task.step as usize)
     }
 
-    /// A task, if the job has it.
+    /// Returns a task, if the job has it.
     pub fn task(&self, round: u32, step: u32, index: u32) -> Option<&Task> {
         self.rounds
             .get(round as usize)?
@@ -194,7 +195,7 @@
             .get(index as usize)
     }
 
-    /// The same task in all repeats.
+    /// Returns the same task of all rounds.
     pub(crate) fn repeats_mut(&mut self, step: u32, index: u32) -> impl Iterator<Item = &mut Task> {
         let tasks = self.rounds.iter_mut();
         tasks.filter_map(move |round| {
@@ -203,7 +204,7 @@
         })
     }
 
-    /// All tasks of all repeats.
+    /// Returns all tasks of all rounds.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = (TaskId, &Task)> {
         let job = self.submission.id;
         (0..).zip(&self.rounds).flat_map(move |(round, state)| {
@@ -221,14 +222,14 @@
         })
     }
 
-    /// A task, if the job has it, to be changed.
+    /// Returns a task for modification, if the job has it.
     pub fn task_mut(&mut self, round: u32, step: u32, index: u32) -> Option<&mut Task> {
         let round = self.rounds.get_mut(round as usize)?;
         round.steps.get_mut(step as usize)?.get_mut(index as usize)
     }
 }
 
-/// The estimated work of a job that ends by itself: thousandths of a core times ms.
+/// Returns the estimated work of the steps that end by themselves, in thousandths of a core times ms.
 pub(crate) fn work_of_steps(steps: &[Step]) -> f64 {
     let finite = steps.iter().filter(|step| !step.long_running);
     let work = finite.map(|step| {
@@ -238,12 +239,12 @@
     work.sum()
 }
 
-/// The longest chain of estimated work of a job, in ms.
+/// Returns the length of the longest chain of estimated work of a job, in ms.
 pub(crate) fn longest_chain(steps: &[Step]) -> u64 {
     critical_paths(steps).into_iter().max().unwrap_or(0)
 }
 
-/// For each step, the longest chain of estimated work that begins with it.
+/// Returns for each step the length of the longest chain of estimated work that starts with it, in ms.
 fn critical_paths(steps: &[Step]) -> Vec<u64> {
     let mut critical_paths: Vec<u64> = steps.iter().map(|step| step.estimate_ms).collect();
     for number in (0..steps.len()).rev() {
--- a/crates/jobs/src/rank.rs
+++ b/crates/jobs/src/rank.rs
@@ -1,11 +1,12 @@
-//! The order in which waiting tasks get room.
+//! The order in which waiting tasks are placed.
 
 use crate::{Job, JobId, TaskId};
 
-/// The place of a waiting task, or of a whole gang by its first task: the smallest goes first.
+/// The rank of a waiting task, or of a whole gang by its first task; the smallest is placed first.
 ///
-/// Lasting tasks come first, since a service is away while one of them waits; then those that can
-/// still be in time; then what is within its workspace's part; then the queue's priority, then the order of arrival.
+/// Long-running tasks come first, since a service is unavailable while one of them waits. Then come tasks
+/// that can still be in time, then those within their workspace's share, then the queue's priority, then the
+/// order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     finite: bool,
@@ -20,7 +21,7 @@
 }
 
 impl Rank {
-    /// The place of a task of a job.
+    /// Creates the rank of a task of a job.
     pub fn new(task: TaskId, long_running: bool, job: &Job) -> Self {
         let TaskId {
             job: id,
@@ -41,27 +42,27 @@
         }
     }
 
-    /// Whether the task runs until its job is cancelled.
+    /// Returns whether the task runs until its job is cancelled.
     pub fn is_long_running(&self) -> bool {
         !self.finite
     }
 
-    /// Its job's place in the order of arrival.
+    /// Returns the position of the job in the order of arrival.
     pub fn order(&self) -> u64 {
         self.order
     }
 
-    /// Whether it is known that the task cannot be in time.
+    /// Returns whether the task is known to be too late.
     pub fn is_late(&self) -> bool {
         self.late
     }
 
-    /// The place of the same task among those that cannot be in time.
+    /// Returns the rank of the same task among those that are too late.
     pub fn to_late(self) -> Self {
         Rank { late: true, ..self }
     }
 
-    /// The task that has this place.
+    /// Returns the task that has this rank.
     pub fn task(&self) -> TaskId {
         TaskId {
             job: self.job,
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -1,5 +1,5 @@
-//! The form in which jobs are kept in the log: for each job what was handed in, written once, and
-//! its state, written at each change.
+//! The records of jobs in the log: for each job the submission, written once, and the state, written at each
+//! change.
 
 use crate::{Holder, Job, JobId, Phase, Round, Submission, WorkspaceId};
 use serde::{Deserialize, Serialize};
@@ -8,71 +8,72 @@
 /// A record of the log by its key; without a value it removes the key's earlier records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// What the record is about.
+    /// The key of the record.
     pub key: String,
-    /// What it says; none to remove it.
+    /// The encoded value; `None` to remove the record.
     pub value: Option<Vec<u8>>,
 }
 
-/// Why a record cannot be read.
+/// The reason why a record cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The key is none of ours.
+    /// The key is unknown.
     #[error("unknown key {0:?}")]
     Key(String),
-    /// The value is not what the key promises.
+    /// The value does not match the kind of record that the key names.
     #[error("record {key:?}: {source}")]
     Value {
         /// The key.
         key: String,
-        /// What is wrong.
+        /// The error of the decoder.
         source: rmp_serde::decode::Error,
     },
 }
 
-/// What a record says.
+/// A decoded record.
 #[derive(Debug)]
 pub enum Decoded {
-    /// What was handed in, with its place in the order of arrival.
+    /// A submission, with its position in the order of arrival.
     Submission(u64, Submission),
-    /// How far a job is.
+    /// The state of a job.
     State(JobId, State),
-    /// Which VMs have had their upkeep in a wave.
+    /// The VMs that were maintained in a wave.
     Maintained(u64, BTreeSet<String>),
-    /// Which VMs an owner may have given orders about.
+    /// The VMs that an owner may have given orders about.
     VmOrders(BTreeMap<String, Holder>),
 }
 
-/// How far a job is, as it is kept.
+/// The state of a job as it is stored.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct State {
-    /// How far it is.
+    /// The phase of the job.
     pub phase: Phase,
-    /// Its repeats; empty once it is over.
+    /// The rounds of the job; empty once the job is over.
     pub rounds: Vec<Round>,
-    /// The workspace that handed it in, once it is over and the record that says so is gone. Older records lack it.
+    /// The workspace that submitted the job, set once the job is over and the record of its submission is
+    /// removed. Older records lack the field.
     #[serde(default)]
     pub workspace: Option<WorkspaceId>,
 }
 
-/// The first letter of the key of what was handed in.
+/// The first letter of the key of a submission.
 const SUBMISSION: char = 'g';
 
 /// The first letter of the key of a job's state.
 const STATE: char = 's';
 
-/// The first letter of the key of a wave's record.
+/// The first letter of the key of a wave's maintained VMs.
 const MAINTAINED: char = 'w';
 
-/// The first letter of the key of the VMs that orders were given about.
+/// The first letter of the key of the VM orders.
 const VM_ORDERS: char = 'o';
 
-/// The key of a job's record of one kind.
+/// Returns the key of one kind of record.
 fn encode_key(kind: char, id: JobId) -> String {
     format!("{kind}{id:016x}")
 }
 
-/// The record of what was handed in.
+/// Returns the record of a job's submission.
 pub fn encode_submission(job: &Job) -> Entry {
     let value = rmp_serde::to_vec(&(job.order, &job.submission))
         .expect("plain data has a form in MessagePack");
@@ -82,7 +83,7 @@
     }
 }
 
-/// The record that says that what was handed in is no longer needed.
+/// Returns the record that removes a submission.
 pub fn forget_submission(id: JobId) -> Entry {
     Entry {
         key: encode_key(SUBMISSION, id),
@@ -90,7 +91,7 @@
     }
 }
 
-/// The record of a job's state.
+/// Returns the record of a job's state.
 pub fn encode_state(job: &Job) -> Entry {
     let (rounds, workspace) = if job.phase.is_over() {
         (Vec::new(), job.submission.workspace.clone())
@@ -109,7 +110,7 @@
     }
 }
 
-/// The record of the VMs that an owner is about to give orders about.
+/// Returns the record of the VMs that an owner is about to give orders about.
 pub fn encode_vm_orders(vms: &BTreeMap<String, Holder>) -> Entry {
     let value = rmp_serde::to_vec(vms).expect("plain data has a form in MessagePack");
     Entry {
@@ -118,7 +119,7 @@
     }
 }
 
-/// The record of the VMs that have had their upkeep in a wave.
+/// Returns the record of the VMs that were maintained in a wave.
 pub fn encode_maintained(wave: u64, vms: &BTreeSet<String>) -> Entry {
     let value = rmp_serde::to_vec(vms).expect("plain data has a form in MessagePack");
     Entry {
@@ -127,11 +128,11 @@
     }
 }
 
-/// Reads a record.
+/// Decodes a record.
 ///
 /// # Errors
 ///
-/// Fails on a key or value that this version does not know.
+/// Returns an error if the key or the value is not known to this version.
 pub fn decode_entry(key: &str, value: &[u8]) -> Result<Decoded, RecordError> {
     let unknown = || RecordError::Key(key.to_owned());
     let kind = key.chars().next().ok_or_else(unknown)?;
--- a/crates/jobs/src/report.rs
+++ b/crates/jobs/src/report.rs
@@ -1,78 +1,78 @@
-//! What workers say: which runs go on, which have ended, why an order was refused.
+//! The reports of workers: running runs, ended runs, and reasons for refused orders.
 
 use crate::{RunId, TaskId};
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It did its work.
+    /// The run succeeded.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// The run failed, by its own fault or the worker's.
     Failed,
-    /// It was stopped by an order.
+    /// An order stopped the run.
     Stopped,
-    /// Its lease ran out.
+    /// The run's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come in time.
+    /// The other members of its gang did not arrive in time.
     Alone,
 }
 
-/// A run that goes on.
+/// A running run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunRow {
     /// The task.
     pub task: TaskId,
     /// The run.
     pub run: RunId,
-    /// Its newest saved progress; empty if none.
+    /// The latest saved progress; empty if there is none.
     pub saved: String,
-    /// How much of its work is done; for a lasting task, 100 once it is at work.
+    /// How much of the work is done, in percent; for a long-running task 100 once it is operational.
     pub percent: u64,
-    /// For a task that serves, the tail of its answer times in ms; else the processor in use.
+    /// The tail latency in ms for a serving task, else the processor time in use.
     pub figure: u64,
 }
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndRow {
-    /// The end's number within the worker's life.
+    /// The number of the end, counted per incarnation of the worker.
     pub number: u64,
     /// The task.
     pub task: TaskId,
     /// The run.
     pub run: RunId,
-    /// How it ended.
+    /// How the run ended.
     pub how: RunOutcome,
-    /// Its last saved progress; empty if none.
+    /// The last saved progress; empty if there is none.
     pub saved: String,
 }
 
-/// What a worker runs and what has ended there.
+/// The runs of a worker and the ends that it lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// The runs that go on.
+    /// The running runs.
     pub running: Vec<RunRow>,
-    /// The ends that were not yet noted, oldest first; at most a page of them.
+    /// The ends that are not yet acknowledged, oldest first; at most one page.
     pub ended: Vec<EndRow>,
 }
 
-/// Why a worker refused to start a run.
+/// The reason why a worker refused to start a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen an order of a newer owner.
+    /// The worker has seen an order of a newer owner.
     Fenced,
-    /// It has met this run, or a later one, before.
+    /// The worker has already seen this run or a later one.
     Old,
     /// The order's deadline has passed.
     Late,
-    /// The run does not fit.
+    /// The run does not fit on the worker.
     Room,
-    /// The permission to run here is missing or too old.
+    /// The permit to run on this worker is missing or has expired.
     Ticket,
-    /// The worker is not well; nothing was done.
+    /// The worker is unhealthy; nothing was done.
     Unwell,
-    /// The order makes no sense to the worker.
+    /// The worker considers the order invalid.
     Invalid,
 }
--- a/crates/jobs/src/spec.rs
+++ b/crates/jobs/src/spec.rs
@@ -1,44 +1,44 @@
-//! What a caller hands in, and what is wrong with it.
+//! The specification of a job as submitted by a caller, and its validation.
 
 use crate::{JobId, Need, QueueId, ServiceId, WorkspaceId};
 use serde::{Deserialize, Serialize};
 
-/// The longest text of a job, in bytes; the workers' interface takes no longer one.
+/// The longest text of a job, in bytes, which is the limit of the workers' interface.
 const MAX_TEXT_BYTES: usize = 4_000;
 
-/// The most tasks that one job may have; far above what a pool could hold, it keeps a slip of the
-/// pen from filling the owner's memory.
+/// The most tasks of one job. It is far more than a pool could run, and keeps a caller's mistake from filling
+/// the owner's memory.
 const MAX_TASKS: u64 = 20_000;
 
 /// The most repeats of one job.
 const MAX_REPEATS: u32 = 10_000;
 
-/// What the tasks of a step are and need.
+/// The specification of a step and its tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks the step has.
+    /// The number of tasks of the step.
     pub count: u32,
-    /// What each of them needs.
+    /// The resources that each task needs.
     pub need: Need,
-    /// The caller's guess of a task's run time in ms; 0 if none was made.
+    /// The caller's estimate of a task's run time in ms; 0 if there is none.
     #[serde(rename = "estimate")]
     pub estimate_ms: u64,
-    /// Earlier steps that must have ended before this one begins.
+    /// The earlier steps that must have ended before this one starts.
     pub after: Vec<u32>,
     /// Whether the tasks run only all together.
     pub gang: bool,
-    /// Whether the tasks are slow unless they share a rack.
+    /// Whether the tasks are slow unless they run in the same rack.
     #[serde(rename = "together")]
     pub same_rack: bool,
     /// A label that the worker must have.
     pub label: Option<String>,
-    /// The rack where the data lies.
+    /// The rack that holds the data.
     #[serde(rename = "near")]
     pub data_rack: Option<String>,
-    /// How many tasks of the step one worker may have at most.
+    /// The limit of tasks of the step on one worker.
     #[serde(rename = "apart")]
     pub max_per_worker: Option<u32>,
-    /// Whether two runs of a task may go on side by side.
+    /// Whether two runs of a task may be active at the same time.
     #[serde(rename = "copies")]
     pub allow_duplicates: bool,
     /// Whether the tasks save their progress.
@@ -47,72 +47,73 @@
     /// Whether the tasks run until the job is cancelled.
     #[serde(rename = "lasting")]
     pub long_running: bool,
-    /// What the tasks run; those of one image behave alike.
+    /// The image that the tasks run; tasks of one image behave alike.
     pub image: Option<String>,
-    /// The tail of the answer times that a lasting task is to stay under, in ms.
+    /// The tail latency in ms that a long-running task should not exceed.
     #[serde(rename = "target")]
     pub target_latency_ms: Option<u64>,
-    /// Whether the tasks take only the processor that others leave.
+    /// Whether the tasks use only the processor time that others leave.
     #[serde(rename = "fills")]
     pub best_effort: bool,
-    /// How many tasks of a lasting step may be away at once by the system's own doing.
+    /// How many tasks of a long-running step the system may disrupt at once.
     #[serde(rename = "budget")]
     pub disruption_budget: Option<u32>,
 }
 
-/// When a job's repeats fall due, by the time of day in ms since 1970.
+/// The schedule of a job's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// When the first falls due.
+    /// When the first repeat is due, in ms since 1970.
     pub first: u64,
-    /// How much later each next one does.
+    /// The time between two repeats, in ms.
     pub interval: u64,
-    /// How many there are.
+    /// The number of repeats.
     pub repeats: u32,
 }
 
-/// What a job is to do.
+/// The specification of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// The text that each run is started with.
     pub text: String,
-    /// The steps, each naming only earlier ones as those that it waits for.
+    /// The steps, each of which may depend on earlier ones only.
     pub steps: Vec<Step>,
-    /// When its repeats fall due; none for a job that runs once, at once.
+    /// The schedule of the repeats; `None` for a job that runs once, at once.
     pub schedule: Option<Schedule>,
 }
 
-/// A job as it is handed in, with what its queue says at that moment.
+/// A submitted job, with the settings of its queue at that moment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// The job.
+    /// The id of the job.
     pub id: JobId,
-    /// Its queue.
+    /// The queue of the job.
     pub queue: QueueId,
-    /// The service whose workers run it.
+    /// The service whose workers run the job.
     pub service: ServiceId,
-    /// Its priority; 0 goes first.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// How often a task may fail before the job has failed.
+    /// How often a task may fail before the job fails.
     pub attempts: u32,
-    /// Whether only workers with a permit may run it.
+    /// Whether only workers with a permit may run the job.
     #[serde(rename = "permits")]
     pub requires_permits: bool,
-    /// When it was handed in, by the time of day in ms since 1970.
+    /// When the job was submitted, in ms since 1970.
     #[serde(rename = "at")]
     pub submitted_at: u64,
-    /// How many times its longest chain of work it may take to be in time.
+    /// The factor by which the job may exceed its longest chain of work and still be in time.
     pub stretch: f64,
-    /// What it may take beyond that, in ms.
+    /// The time that it may take beyond that, in ms.
     pub slack: u64,
-    /// What it is to do.
+    /// The specification of the job.
     pub spec: JobSpec,
-    /// The workspace that handed it in; none for a queue that is open to all. Older records lack it.
+    /// The workspace that submitted the job; `None` for a queue that is open to all. Older records lack the
+    /// field.
     #[serde(default)]
     pub workspace: Option<WorkspaceId>,
 }
 
-/// Why a job is not taken.
+/// The reason why a job is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpecError {
     /// The text is too long.
@@ -124,28 +125,28 @@
     /// A step has no tasks.
     #[error("step {0} has no tasks")]
     NoTasks(usize),
-    /// A step waits for itself, a later or a missing step.
+    /// A step depends on itself, a later or a missing step.
     #[error("step {step} waits for step {after}, which is not before it")]
     After {
         /// The step.
         step: usize,
-        /// What it waits for.
+        /// The step that it depends on.
         after: u32,
     },
     /// The job has too many tasks.
     #[error("the job has {0} tasks; {MAX_TASKS} is the limit")]
     TooMany(u64),
-    /// The job repeats too often.
+    /// The job has too many repeats.
     #[error("the job repeats {0} times; {MAX_REPEATS} is the limit")]
     Repeats(u32),
 }
 
 impl JobSpec {
-    /// Checks what a caller handed in.
+    /// Validates the specification.
     ///
     /// # Errors
     ///
-    /// Names the first thing that is wrong, with the step that holds it.
+    /// Returns the first error, with the number of the step where it occurs.
     pub fn check(&self) -> Result<(), SpecError> {
         if self.text.len() > MAX_TEXT_BYTES {
             return Err(SpecError::Text(self.text.len()));
@@ -166,18 +167,18 @@
         }
     }
 
-    /// How often the steps run.
+    /// Returns how often the steps run.
     pub fn rounds(&self) -> u32 {
         self.schedule.map_or(1, |s| s.repeats.max(1))
     }
 
-    /// Whether any step runs until the job is cancelled.
+    /// Returns whether any step runs until the job is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|s| s.long_running)
     }
 }
 
-/// Checks a step: it has tasks, and waits only for steps before it.
+/// Checks that a step has tasks and depends only on steps before it.
 fn check_step(number: usize, step: &Step) -> Result<(), SpecError> {
     if step.count == 0 {
         return Err(SpecError::NoTasks(number));
