--- a/crates/jobs/src/need.rs
+++ b/crates/jobs/src/need.rs
@@ -1,19 +1,19 @@
-//! What a task needs of a worker, and what a worker has.
+//! The resources that a task needs and that a worker has.
 
 use serde::{Deserialize, Serialize};
 
 /// An amount of processor, memory and accelerators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Need {
-    /// Thousandths of a core.
+    /// Processor time, in thousandths of a core.
     pub cpu: u64,
     /// Memory in MB.
     pub memory: u64,
-    /// Accelerators.
+    /// The number of accelerators.
     pub gpu: u64,
 }
 
-/// One of the things that a worker has an amount of.
+/// One of the resources of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
     /// Processor.
@@ -25,12 +25,12 @@
 }
 
 impl Resource {
-    /// All of them; the processor first, which counts where nothing else is scarcer.
+    /// All resources. The processor comes first, so it is chosen unless another one is scarcer.
     const ALL: [Resource; 3] = [Resource::Cpu, Resource::Memory, Resource::Gpu];
 }
 
 impl Need {
-    /// The amount of one resource.
+    /// Returns the amount of one resource.
     pub fn of(self, resource: Resource) -> u64 {
         match resource {
             Resource::Cpu => self.cpu,
@@ -39,26 +39,27 @@
         }
     }
 
-    /// How many workers with this room an amount of one resource fills; none where a worker has none of it.
-    pub fn workers_of(self, resource: Resource, room: Need) -> f64 {
-        match room.of(resource) {
+    /// Returns how many workers of the given capacity this amount of one resource fills; 0 if a worker has
+    /// none of it.
+    pub fn workers_of(self, resource: Resource, capacity: Need) -> f64 {
+        match capacity.of(resource) {
             0 => 0.0,
             there => self.of(resource) as f64 / there as f64,
         }
     }
 
-    /// The resource of which this fills the most workers with such room.
-    pub fn scarcest(self, room: Need) -> Resource {
+    /// Returns the resource of which this amount fills the most workers of the given capacity.
+    pub fn scarcest(self, capacity: Need) -> Resource {
         let mut scarcest = Resource::Cpu;
         for resource in Resource::ALL {
-            if self.workers_of(resource, room) > self.workers_of(scarcest, room) {
+            if self.workers_of(resource, capacity) > self.workers_of(scarcest, capacity) {
                 scarcest = resource;
             }
         }
         scarcest
     }
 
-    /// The larger of two amounts, of each resource.
+    /// Returns the larger amount of each resource.
     pub fn max(self, other: Need) -> Need {
         Need {
             cpu: self.cpu.max(other.cpu),
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The smaller of both, resource by resource.
+    /// Returns the smaller amount of each resource.
     pub fn min(self, other: Need) -> Need {
         Need {
             cpu: self.cpu.min(other.cpu),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// So many times this amount.
+    /// Returns this amount multiplied by a factor.
     pub fn times(self, factor: f64) -> Need {
         let times = |amount: u64| (amount as f64 * factor) as u64;
         Need {
@@ -86,33 +87,33 @@
         }
     }
 
-    /// Whether this still fits into `capacity` beside `used`.
+    /// Returns whether this amount fits into `capacity` beside `used`.
     pub fn fits(self, used: Need, capacity: Need) -> bool {
         let mut all = used;
         all.add(self);
         all.is_within(capacity)
     }
 
-    /// Whether this asks for no more than another amount, in anything.
+    /// Returns whether this amount exceeds another in no resource.
     pub fn is_within(self, other: Need) -> bool {
         self.cpu <= other.cpu && self.memory <= other.memory && self.gpu <= other.gpu
     }
 
-    /// Adds another amount; callers may ask for as much as a number holds.
+    /// Adds another amount, saturating since callers may ask for as much as a `u64` holds.
     pub fn add(&mut self, other: Need) {
         self.cpu = self.cpu.saturating_add(other.cpu);
         self.memory = self.memory.saturating_add(other.memory);
         self.gpu = self.gpu.saturating_add(other.gpu);
     }
 
-    /// The sum of amounts.
+    /// Returns the sum of amounts.
     pub fn sum(amounts: impl IntoIterator<Item = Need>) -> Need {
         let mut sum = Need::default();
         amounts.into_iter().for_each(|amount| sum.add(amount));
         sum
     }
 
-    /// Takes another amount away.
+    /// Subtracts another amount, stopping at 0.
     pub fn remove(&mut self, other: Need) {
         self.cpu = self.cpu.saturating_sub(other.cpu);
         self.memory = self.memory.saturating_sub(other.memory);
--- a/crates/jobs/src/outbox.rs
+++ b/crates/jobs/src/outbox.rs
@@ -1,65 +1,65 @@
-//! What a cell wants done, and what must be durable before it is.
+//! The actions that a cell requests, and the records that must be durable before them.
 
 use crate::{Entry, JobId, RunId, TaskId, WorkerId};
 
-/// Something to tell a worker.
+/// An order to a worker, or a request for permits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Start a run.
+    /// Starts a run.
     Start {
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// Which task.
+        /// The task.
         task: TaskId,
-        /// Which run of it.
+        /// The run.
         run: RunId,
     },
-    /// Stop a run.
+    /// Stops a run.
     Stop {
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// Which task.
+        /// The task.
         task: TaskId,
-        /// Which run of it.
+        /// The run.
         run: RunId,
     },
-    /// Ask which workers may run a step.
+    /// Asks the permit service which workers may run a step.
     RequestPermits {
         /// A task of the step.
         task: TaskId,
-        /// The workers.
+        /// The workers in question.
         workers: Vec<WorkerId>,
     },
-    /// Change the share at which a run works.
+    /// Changes the share of the processor at which a run works.
     Pace {
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// Which task.
+        /// The task.
         task: TaskId,
-        /// Which run of it.
+        /// The run.
         run: RunId,
         /// The share, 0 to 100.
         percent: u64,
     },
 }
 
-/// Records, and what may be done once they are durable.
+/// Records, and the actions that are allowed once they are durable.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// What must be kept, by key.
+    /// The records to be stored, by key.
     pub entries: Vec<Entry>,
-    /// What may then be started.
+    /// The starts that may then be sent.
     pub starts: Vec<Order>,
-    /// Up to which number the ends of each worker are then noted.
+    /// The number up to which the ends of each worker are then acknowledged.
     pub acknowledged: Vec<(WorkerId, u64)>,
-    /// Up to which version the VMs that orders are given about are then durable.
+    /// The version up to which the record of VM orders is then durable.
     pub vm_orders: u64,
-    /// The jobs whose state may then be shown, with the state.
+    /// The jobs whose phase may then be reported to callers, with the phase.
     pub phases: Vec<(JobId, crate::Phase)>,
 }
 
 impl Batch {
-    /// Whether there is nothing in it.
+    /// Returns whether the batch contains nothing to store, start or acknowledge.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty() && self.starts.is_empty() && self.acknowledged.is_empty()
     }
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -1,4 +1,4 @@
-//! A pass over the waiting tasks of a service: whose turn has come, in which order, and when it ends.
+//! A pass over the waiting tasks of a service: which tasks may start, in which order, and when the pass ends.
 
 use crate::{
     Cell, RunId, TaskId, TaskPhase, Worker,
@@ -9,36 +9,36 @@
 use clock::Instant;
 use std::ops::Bound;
 
-/// How many tasks that find no room are tried in one pass of a service before the rest wait for the
-/// next: enough to find small ones behind large ones, few enough to bound a pass in an overload.
-const MISFITS: usize = 32;
+/// How many tasks that do not fit are tried in one pass over a service. Enough to find small tasks behind
+/// large ones, few enough to bound the pass in an overload.
+const MAX_MISFITS: usize = 32;
 
-/// How many tasks that wait for room near their data are passed over in one pass; beyond that, they count
-/// as tasks that find no room.
-const MOST_LATER: usize = 256;
+/// How many tasks that wait for capacity near their data are skipped in one pass; further ones count as tasks
+/// that do not fit.
+const MAX_DEFERRED: usize = 256;
 
-/// Whether what is decided now can be recorded.
+/// Whether decisions can be recorded at present.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LogState {
-    /// It can.
+    /// Decisions can be recorded.
     Available,
-    /// It cannot, for the time being.
+    /// Decisions cannot be recorded for the time being.
     Unavailable,
 }
 
 impl Cell {
-    /// Gives room to waiting tasks, in order, and notes the orders that follow.
+    /// Places waiting tasks in order and queues the resulting orders.
     pub fn schedule(&mut self, now: Instant) {
         self.schedule_all(now, LogState::Available);
     }
 
-    /// The same while the log is away. There may be a newer owner then, which may have met the workers
-    /// that this one has lost from sight: what ran there is not tried again.
+    /// Does the same while the log is unavailable. There may be a newer owner, which may be in contact with
+    /// workers that this one has lost, so tasks that ran on those are not started again.
     pub fn schedule_unrecorded(&mut self, now: Instant) {
         self.schedule_all(now, LogState::Unavailable);
     }
 
-    /// Gives room to the waiting tasks of all services.
+    /// Places the waiting tasks of all services.
     fn schedule_all(&mut self, now: Instant, log: LogState) {
         self.duty.forget_old(now);
         self.settle_unrecorded(now);
@@ -50,41 +50,41 @@
         self.reserved.clear();
     }
 
-    /// Gives room to the waiting tasks of a service, in order.
+    /// Places the waiting tasks of a service, in order.
     fn schedule_service(&mut self, service: &str, now: Instant, log: LogState) {
         self.demote_late(service);
         self.near.begin_pass();
         self.misfits.clear();
         self.place_suspects(service, now, log);
-        if let Some(roomless) = self.roomless.get_mut(service) {
-            roomless.clear();
+        if let Some(unschedulable) = self.roomless.get_mut(service) {
+            unschedulable.clear();
         }
         let mut misfits = 0;
-        let mut later = 0;
+        let mut deferred = 0;
         let mut after: Option<Rank> = None;
-        while misfits < MISFITS {
-            // What is placed leaves the queue: the next is the first behind the one before.
+        while misfits < MAX_MISFITS {
+            // Placed tasks leave the queue, so the next one is the first after the previous rank.
             let Some(rank) = self.next_rank(service, after) else {
                 break;
             };
             after = Some(rank);
-            match self.try_rank(service, &rank, now, log) {
+            match self.try_place(service, &rank, now, log) {
                 Placing::MustWait => {}
                 Placing::AtBound => self.park(service, &rank),
                 Placing::Done => {
                     self.near.forget(rank.task());
                     self.drop_rank(service, &rank);
                 }
-                Placing::Deferred if later < MOST_LATER => later += 1,
+                Placing::Deferred if deferred < MAX_DEFERRED => deferred += 1,
                 Placing::Deferred | Placing::NoFit => {
                     misfits += 1;
-                    self.note_misfit(service, &rank, now);
+                    self.handle_misfit(service, &rank, now);
                 }
             }
         }
     }
 
-    /// The first of a service's waiting tasks behind one; the first of all without one.
+    /// Returns the first waiting task of a service after a rank, or the first of all if there is none.
     fn next_rank(&self, service: &str, after: Option<Rank>) -> Option<Rank> {
         let queue = self.waiting.get(service)?;
         match after {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Places a waiting task if its turn has come.
-    fn try_rank(&mut self, service: &str, rank: &Rank, now: Instant, log: LogState) -> Placing {
+    /// Places a waiting task if it may start now.
+    fn try_place(&mut self, service: &str, rank: &Rank, now: Instant, log: LogState) -> Placing {
         if self.is_held(service, rank, now, log) || self.needs_quarantine(rank.task(), now) {
             Placing::MustWait
         } else if self.is_stale(rank.task()) {
@@ -109,37 +109,38 @@
         }
     }
 
-    /// Whether a waiting task may run somewhere, or must not start yet for what an earlier owner may have done.
+    /// Returns whether a waiting task must not start yet, because a run of it may exist or because of what an
+    /// earlier owner may have done.
     pub(crate) fn is_held(&self, service: &str, rank: &Rank, now: Instant, log: LogState) -> bool {
         let task = rank.task();
         let lost = log == LogState::Unavailable && self.lost.contains(&task);
         lost || self.is_gated(rank.order(), service, now) || self.has_run(task)
     }
 
-    /// Does what brings a task that finds no room nearer to some.
-    fn note_misfit(&mut self, service: &str, rank: &Rank, now: Instant) {
+    /// Takes the steps that help a task that does not fit: requests permits and reserves a worker.
+    fn handle_misfit(&mut self, service: &str, rank: &Rank, now: Instant) {
         self.request_permits(rank.task(), now);
         if rank.is_long_running() {
             self.reserve(rank.task(), now);
-            if self.wants_room(rank.task()) {
-                let roomless = self.roomless.entry(service.to_owned()).or_default();
-                roomless.push(rank.task());
+            if self.needs_capacity(rank.task()) {
+                let unschedulable = self.roomless.entry(service.to_owned()).or_default();
+                unschedulable.push(rank.task());
             }
         }
     }
 
-    /// Whether more workers would do for a task: a permit, or a label, may be what it lacks.
-    fn wants_room(&self, task: TaskId) -> bool {
+    /// Returns whether more workers would help a task; it may instead lack a permit or a label.
+    fn needs_capacity(&self, task: TaskId) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
         };
         !job.submission.requires_permits && job.step(task.step).label.is_none()
     }
 
-    /// Puts the tasks that cannot be in time any more behind those that can.
+    /// Moves the tasks that cannot be in time any more behind those that can.
     fn demote_late(&mut self, service: &str) {
         let mut late: Vec<Rank> = Vec::new();
-        // The tasks of a step stand one after the other and are late together.
+        // The tasks of a step are adjacent in the queue and late together.
         let mut last: Option<(StepId, bool)> = None;
         for rank in &self.waiting[service] {
             if rank.is_late() {
@@ -164,14 +165,14 @@
         }
     }
 
-    /// Whether a worker may still have a run of a task of which there must not be two.
+    /// Returns whether a worker may still have a run of a task that must not run twice.
     fn has_run(&self, task: TaskId) -> bool {
         let Some(job) = self.jobs.get(&task.job).filter(|job| !job.phase.is_over()) else {
             return false;
         };
         let step = job.step(task.step);
         let state = job.task(task.round, task.step, task.index);
-        // A worker's run of a task that is none of a gang is known to the task once it is reported.
+        // A run of a task outside of gangs is recorded in the task once it is reported.
         if !step.gang && state.is_some_and(|state| state.run == 0 && state.top == 0) {
             return false;
         }
@@ -188,18 +189,18 @@
                 },
                 RunId::MAX,
             );
-        let there = |w: &Worker| w.runs.range(span.clone()).next().is_some();
-        !step.allow_duplicates && self.workers.of(&job.submission.service).any(there)
+        let has_run = |w: &Worker| w.runs.range(span.clone()).next().is_some();
+        !step.allow_duplicates && self.workers.of(&job.submission.service).any(has_run)
     }
 
-    /// Takes a task out of those that wait.
+    /// Removes a task from the queue.
     pub(crate) fn drop_rank(&mut self, service: &str, rank: &Rank) {
         if let Some(queue) = self.waiting.get_mut(service) {
             queue.remove(rank);
         }
     }
 
-    /// Whether a task does not wait any more.
+    /// Returns whether a task does not wait any more.
     pub(crate) fn is_stale(&self, task: TaskId) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return true;
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -1,4 +1,4 @@
-//! Which waiting task gets room where.
+//! Chooses the worker on which a waiting task starts.
 
 use crate::{
     Cell, Job, Need, Order, Phase, RunId, Step, Task, TaskId, TaskPhase, Worker, WorkerId,
@@ -8,51 +8,53 @@
 use clock::Instant;
 use std::collections::HashMap;
 
-/// What placing a task elsewhere than near its data weighs against a worker's free share, which
-/// lies between 0 and 1: data that is near always goes first.
-const FAR: f64 = 4.0;
+/// The penalty for a worker that is far from the task's data. The worker's used share lies between 0 and 1,
+/// so nearby data always wins.
+const FAR_PENALTY: f64 = 4.0;
 
-/// What another lasting task of the same step on the worker weighs: one VM that goes must not take two.
-const SAME_WORKER: f64 = 8.0;
+/// The penalty for another task of the same long-running step on the worker, so that the loss of one VM does
+/// not stop two.
+const SAME_WORKER_PENALTY: f64 = 8.0;
 
-/// What a worker weighs that has lasting tasks: its VM stays in any case, and the fewer others are
-/// used, the more VMs are idle and can be moved.
-const ANCHORED: f64 = 1.0;
+/// The bonus for a worker with long-running tasks. Its VM is not moved in any case, and the fewer other VMs
+/// are used, the more are idle and can be moved.
+const LONG_RUNNING_BONUS: f64 = 1.0;
 
-/// What another task of the same step in the rack weighs: lasting tasks are spread over racks, so
-/// that a rack that is lost takes as few of them as can be.
-const SAME_RACK: f64 = 2.0;
+/// The penalty for another task of the same step in the rack. Long-running tasks are spread over racks, so
+/// that the loss of a rack affects as few of them as possible.
+const SAME_RACK_PENALTY: f64 = 2.0;
 
-/// What a serving task on the worker weighs for a task that takes what others leave, and the other
-/// way round: they disturb each other.
-const DISTURBS: f64 = 1.0;
+/// The penalty for each run of another kind that the new one disturbs: best-effort and serving tasks slow
+/// each other down.
+const INTERFERENCE_PENALTY: f64 = 1.0;
 
-/// What became of a waiting task in a pass.
+/// The outcome for a waiting task in a pass.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Placing {
-    /// It has got room, or does not wait any more.
+    /// The task was placed or does not wait any more.
     Done,
-    /// It has room only far from its data, and waits for better.
+    /// The task fits only far from its data and waits for capacity near it.
     Deferred,
-    /// There is no room.
+    /// The task does not fit on any worker.
     NoFit,
-    /// Its turn has not come: it may run somewhere, or must not start yet.
+    /// The task must not start yet: it may still run somewhere, it waits for what an earlier owner started,
+    /// or it starts in quarantine.
     MustWait,
-    /// Its workspace has as much running as it may.
+    /// The task's workspace has reached its bound.
     AtBound,
 }
 
 impl Cell {
-    /// Keeps the worker that has the most room free for a task that fits nowhere: smaller tasks
-    /// would fill each gap before it is large enough.
+    /// Reserves the worker with the most free capacity for a task that does not fit, since smaller tasks
+    /// would otherwise fill each gap before it is large enough.
     pub(crate) fn reserve(&mut self, task: TaskId, now: Instant) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
         let step = job.step(task.step);
-        let room = room_of(job, task);
-        let may = |w: &&Worker| {
-            room.fits(Need::default(), w.info.capacity)
+        let need = room_of(job, task);
+        let is_eligible = |w: &&Worker| {
+            need.fits(Need::default(), w.info.capacity)
                 && self.accepts(w, job, task, now)
                 && may_join(step, || w.siblings(task))
         };
@@ -60,14 +62,14 @@
         let freest = self
             .workers
             .of(&job.submission.service)
-            .filter(may)
+            .filter(is_eligible)
             .max_by_key(free);
         if let Some(id) = freest.map(|w| w.info.id.clone()) {
             self.reserved.insert(id);
         }
     }
 
-    /// Whether a worker of the task's service may get a run of it at all.
+    /// Returns whether a worker of the task's service may get a run of it at all.
     pub(crate) fn accepts(&self, worker: &Worker, job: &Job, task: TaskId, now: Instant) -> bool {
         worker.is_open(now)
             && has_required_label(worker, job.step(task.step))
@@ -84,10 +86,10 @@
         }
     }
 
-    /// Places a task that is none of a gang.
+    /// Places a task that is not part of a gang.
     fn place_one(&mut self, task: TaskId, now: Instant) -> Placing {
         let Some(worker) = self.best_worker(task, now) else {
-            self.note_no_room(task);
+            self.record_misfit(task);
             return Placing::NoFit;
         };
         if self.waits_for_data_rack(task, &worker, now) {
@@ -103,7 +105,7 @@
         Placing::Done
     }
 
-    /// Notes that a run of a task starts on a worker.
+    /// Records that a run of a task starts on a worker, and queues the order.
     pub(crate) fn order_start(&mut self, worker: WorkerId, task: TaskId, run: RunId, now: Instant) {
         self.note_in_hand(task.job);
         self.pass_time(task.job);
@@ -132,40 +134,40 @@
         self.starts.push(Order::Start { worker, task, run });
     }
 
-    /// Whether a task finds no room for certain: a plain one that needs no more found none in this pass, in
-    /// which room only becomes less.
-    fn is_misfit(&self, room: Need) -> bool {
-        self.misfits.iter().any(|found| found.is_within(room))
+    /// Returns whether a task with this need certainly does not fit: in this pass, whose free capacity only
+    /// shrinks, an unconstrained task that needs no more did not fit.
+    fn is_misfit(&self, need: Need) -> bool {
+        self.misfits.iter().any(|misfit| misfit.is_within(need))
     }
 
-    /// Notes what a plain task needs that found no room; a label, or tasks that must be apart, may be why
-    /// others did not.
-    fn note_no_room(&mut self, task: TaskId) {
+    /// Records the need of an unconstrained task that did not fit. Tasks with a label, a limit per worker or
+    /// permits may fail for those reasons instead.
+    fn record_misfit(&mut self, task: TaskId) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
         let step = job.step(task.step);
-        let bound = step.label.is_some()
+        let is_constrained = step.label.is_some()
             || step.max_per_worker.is_some()
             || job.submission.requires_permits;
-        if !bound {
-            let room = room_of(job, task);
-            self.misfits.retain(|found| !room.is_within(*found));
-            self.misfits.push(room);
+        if !is_constrained {
+            let need = room_of(job, task);
+            self.misfits.retain(|misfit| !need.is_within(*misfit));
+            self.misfits.push(need);
         }
     }
 
-    /// The worker that suits a task best, of those that have room for it.
+    /// Returns the best worker for a task among those where it fits.
     fn best_worker(&self, task: TaskId, now: Instant) -> Option<WorkerId> {
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task.step);
-        let room = room_of(job, task);
-        if self.is_misfit(room) {
+        let need = room_of(job, task);
+        if self.is_misfit(need) {
             return None;
         }
-        // The cheapest first: in an overload, nearly all workers are full.
-        let may = |w: &&Worker| {
-            room.fits(w.used, w.info.capacity)
+        // The cheapest condition is tested first: in an overload, nearly all workers are full.
+        let is_eligible = |w: &&Worker| {
+            need.fits(w.used, w.info.capacity)
                 && self.accepts(w, job, task, now)
                 && may_join(step, || w.siblings(task))
         };
@@ -176,27 +178,28 @@
         };
         let is_suspect = self.suspicions.tasks.contains(&task);
         let mut best: Option<(f64, &Worker)> = None;
-        for worker in self.workers.of(&job.submission.service).filter(may) {
-            let crowd = racks.get(worker.info.rack()).copied().unwrap_or(0);
+        for worker in self.workers.of(&job.submission.service).filter(is_eligible) {
+            let in_rack = racks.get(worker.info.rack()).copied().unwrap_or(0);
             let siblings = if step.long_running {
                 worker.siblings(task)
             } else {
                 0
             };
             let score = if is_suspect {
-                // As little as may be is lost with it, and others under suspicion are elsewhere.
+                // A suspected task goes where the fewest other runs would be lost, and away from other
+                // suspected ones.
                 -(worker.runs.len() as f64)
             } else {
-                score(worker, step, room, crowd, siblings)
+                score(worker, step, need, in_rack, siblings)
             };
-            if best.is_none_or(|(top, _)| score > top) {
+            if best.is_none_or(|(highest, _)| score > highest) {
                 best = Some((score, worker));
             }
         }
         best.map(|(_, worker)| worker.info.id.clone())
     }
 
-    /// How many tasks of the same step each rack has on workers of a service.
+    /// Returns how many tasks of the same step each rack has on workers of a service.
     fn racks_of(&self, service: &str, task: TaskId) -> HashMap<&str, u32> {
         let mut racks = HashMap::new();
         for worker in self.workers.of(service) {
@@ -206,28 +209,28 @@
     }
 }
 
-/// How well a worker suits a run; the highest is best.
-fn score(worker: &Worker, step: &Step, room: Need, crowd: u32, siblings: u32) -> f64 {
+/// Returns how well a worker suits a run; the highest score is best.
+fn score(worker: &Worker, step: &Step, need: Need, in_rack: u32, siblings: u32) -> f64 {
     let capacity = worker.info.capacity.cpu.max(1) as f64;
-    let used = (worker.used.cpu + room.cpu) as f64;
+    let used = (worker.used.cpu + need.cpu) as f64;
     let kind = RunKind::of(step);
     let mut score = used / capacity;
     if worker.anchors > 0 {
-        score += ANCHORED;
+        score += LONG_RUNNING_BONUS;
     }
-    let near = step.data_rack.as_ref();
-    if near.is_some_and(|rack| !worker.info.has_label(rack)) {
-        score -= FAR;
+    let data_rack = step.data_rack.as_ref();
+    if data_rack.is_some_and(|rack| !worker.info.has_label(rack)) {
+        score -= FAR_PENALTY;
     }
-    score -= SAME_RACK * f64::from(crowd);
+    score -= SAME_RACK_PENALTY * f64::from(in_rack);
     if step.long_running {
-        score -= SAME_WORKER * f64::from(siblings);
+        score -= SAME_WORKER_PENALTY * f64::from(siblings);
     }
-    score - DISTURBS * disturbing(worker, kind) as f64
+    score - INTERFERENCE_PENALTY * count_interfering(worker, kind) as f64
 }
 
-/// How many runs on the worker a new one would disturb, or be disturbed by.
-fn disturbing(worker: &Worker, kind: RunKind) -> usize {
+/// Returns how many runs on the worker would disturb the new one or be disturbed by it.
+fn count_interfering(worker: &Worker, kind: RunKind) -> usize {
     match kind {
         RunKind::BestEffort => worker.count(RunKind::Serving),
         RunKind::Serving => worker.count(RunKind::BestEffort),
@@ -235,13 +238,13 @@
     }
 }
 
-/// Whether a worker that has this many tasks of a step may get one more, as far as these must be apart; they
-/// are counted only where that matters.
+/// Returns whether a worker may get one more task of a step under the step's limit per worker. `siblings` is
+/// only called where there is a limit.
 pub(crate) fn may_join(step: &Step, siblings: impl FnOnce() -> u32) -> bool {
-    step.max_per_worker.is_none_or(|most| siblings() < most)
+    step.max_per_worker.is_none_or(|limit| siblings() < limit)
 }
 
-/// Whether a worker has the label that a step asks for.
+/// Returns whether a worker has the label that a step requires.
 pub(crate) fn has_required_label(worker: &Worker, step: &Step) -> bool {
     step.label
         .as_ref()
