--- a/crates/jobs/src/gang.rs
+++ b/crates/jobs/src/gang.rs
@@ -1,4 +1,4 @@
-//! Finds room for all tasks of a gang at once.
+//! Places all tasks of a gang at once.
 
 use crate::{
     Cell, Need, Step, Task, TaskId, Worker, WorkerId,
@@ -7,58 +7,59 @@
 };
 use clock::Instant;
 
-/// A worker while the members of a gang are placed, with those that it has got already.
-struct Host<'w> {
+/// A worker while the members of a gang are placed, including those already assigned to it.
+struct Candidate<'w> {
     worker: &'w Worker,
     used: Need,
     /// How many tasks of the step it has.
     siblings: u32,
-    /// Whether it has got members of the gang already.
-    joined: bool,
-    /// Whether it has got one that is under suspicion: no other begins there.
+    /// Whether a member of the gang has been assigned to it.
+    has_member: bool,
+    /// Whether a suspected member has been assigned to it, so that no other may start there.
     closed: bool,
 }
 
-impl<'w> Host<'w> {
-    /// A worker before members of the gang of `task` are placed there.
+impl<'w> Candidate<'w> {
+    /// Creates the candidate for a worker before any member of the gang of `task` is placed.
     fn new(worker: &'w Worker, task: TaskId) -> Self {
-        Host {
+        Candidate {
             worker,
             used: worker.used,
             siblings: worker.siblings(task),
-            joined: false,
+            has_member: false,
             closed: false,
         }
     }
 
-    /// Gives it a member of the gang.
-    fn join(&mut self, room: Need, alone: bool) {
-        self.used.add(room);
+    /// Assigns a member of the gang to the worker.
+    fn assign(&mut self, need: Need, alone: bool) {
+        self.used.add(need);
         self.siblings += 1;
-        self.joined = true;
+        self.has_member = true;
         self.closed = alone;
     }
 
-    /// Whether its end would name a member of the gang: no other run there has just begun.
+    /// Returns whether a crash of the worker would identify the member, since no other run has just begun
+    /// there.
     fn suits_quarantine(&self) -> bool {
-        !self.joined && self.worker.is_settled()
+        !self.has_member && self.worker.is_settled()
     }
 
-    /// The room that is left, in thousandths of a core.
+    /// Returns the free capacity, in thousandths of a core.
     fn free(&self) -> u64 {
         self.worker.info.capacity.cpu.saturating_sub(self.used.cpu)
     }
 
-    /// Whether one more member, which needs this room, finds it.
-    fn fits(&self, room: Need, step: &Step) -> bool {
+    /// Returns whether one more member with this need fits.
+    fn fits(&self, need: Need, step: &Step) -> bool {
         !self.closed
-            && room.fits(self.used, self.worker.info.capacity)
+            && need.fits(self.used, self.worker.info.capacity)
             && may_join(step, || self.siblings)
     }
 }
 
 impl Cell {
-    /// Places all tasks of a gang at once; one of them stands for all in the queue.
+    /// Places all tasks of a gang at once. In the queue, one task stands for the whole gang.
     pub(crate) fn place_gang(&mut self, task: TaskId, now: Instant) -> Placing {
         let Some(places) = self.gang_places(task, now) else {
             return Placing::NoFit;
@@ -74,7 +75,7 @@
         Placing::Done
     }
 
-    /// A worker for each member of a gang, or none if not all find room at once.
+    /// Returns a worker for each member of a gang, or `None` if they don't all fit at once.
     fn gang_places(&self, task: TaskId, now: Instant) -> Option<Vec<WorkerId>> {
         let job = self.jobs.get(&task.job)?;
         if !job.step(task.step).same_rack {
@@ -90,7 +91,7 @@
         within.or_else(|| self.gang_places_in(task, None, now))
     }
 
-    /// The same within one rack, or anywhere.
+    /// Does the same within one rack, or on all workers if `rack` is `None`.
     fn gang_places_in(
         &self,
         task: TaskId,
@@ -99,37 +100,38 @@
     ) -> Option<Vec<WorkerId>> {
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task.step);
-        let room = room_of(job, task);
-        let may = |w: &&Worker| {
+        let need = room_of(job, task);
+        let is_eligible = |w: &&Worker| {
             let here = rack.is_none_or(|rack| w.info.rack() == rack);
             here && self.accepts(w, job, task, now)
         };
-        let mut hosts: Vec<Host<'_>> = self
+        let mut candidates: Vec<Candidate<'_>> = self
             .workers
             .of(&job.submission.service)
-            .filter(may)
-            .map(|worker| Host::new(worker, task))
+            .filter(is_eligible)
+            .map(|worker| Candidate::new(worker, task))
             .collect();
-        let workers = hosts.len();
+        let workers = candidates.len();
         let needs_own = |index| self.needs_own_worker(TaskId { index, ..task }, workers, now);
         let members = (0..step.count).map(|index| (needs_own(index), index));
         let mut members: Vec<(bool, u32)> = members.collect();
-        // Those that need a worker of their own choose first.
+        // Members that need a worker of their own are placed first.
         members.sort_by_key(|(alone, _)| !alone);
         let mut places = vec![WorkerId::default(); members.len()];
         for (alone, index) in members {
-            let fitting = hosts
+            let fitting = candidates
                 .iter_mut()
-                .filter(|host| host.fits(room, step) && (!alone || host.suits_quarantine()));
+                .filter(|host| host.fits(need, step) && (!alone || host.suits_quarantine()));
             let freest = fitting.max_by_key(|host| host.free())?;
-            freest.join(room, alone);
+            freest.assign(need, alone);
             places[index as usize].clone_from(&freest.worker.info.id);
         }
         Some(places)
     }
 
-    /// Whether a member of a gang is to be the only one that begins on its worker, so that the end of the worker names
-    /// it. Where the gang has more such members than there are workers, none is: it would never start.
+    /// Returns whether a member of a gang must be the only one that starts on its worker, so that a crash
+    /// identifies it. If the gang has more such members than there are workers, none is placed alone, since
+    /// the gang would never start.
     fn needs_own_worker(&self, member: TaskId, workers: usize, now: Instant) -> bool {
         if self.quarantine_bar(member, now).is_none() {
             return false;
--- a/crates/jobs/src/loss.rs
+++ b/crates/jobs/src/loss.rs
@@ -1,70 +1,71 @@
-//! Why a worker is given up, and what that says of the runs that it had.
+//! Why a worker is abandoned, and what that tells about its runs.
 
 use crate::{RunId, TaskId, Worker, suspicion::PROVEN_AGE, worker::RunState};
 use clock::Instant;
 use std::time::Duration;
 
-/// What is known of a worker that is given up.
+/// The reason why a worker is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// This owner had its VM moved or kept up.
+    /// This owner had its VM moved or maintained.
     Ordered,
-    /// It has ended: another life has its address, or no VM has it any more.
+    /// The worker has ended: another incarnation uses its address, or no VM has it any more.
     Ended,
-    /// Its lease has run out: it may have ended, or be cut off and have ended its runs only.
+    /// Its lease has expired: it may have ended, or it may be cut off and have ended only its runs.
     Lapsed,
 }
 
-/// How a worker came to its end.
+/// How a worker ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// An owner had its VM moved or kept up.
+    /// An owner had its VM moved or maintained.
     Ordered,
-    /// It had said that it leaves, or answered on after its entry was gone.
+    /// The worker announced that it leaves, or still answered after its entry was gone.
     Announced,
-    /// It ended without notice.
+    /// The worker ended without notice.
     Crashed,
-    /// It may have ended, or be cut off.
+    /// The worker may have ended or be cut off.
     Unclear,
 }
 
-/// A run that a worker had when it was given up.
+/// A run that a worker had when it was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostRun {
     /// The task.
     pub task: TaskId,
     /// The run.
     pub run: RunId,
-    /// How long after its start was sent the worker fell silent; none if that is not known.
+    /// The time from sending the start until the worker fell silent; `None` if it is not known.
     pub age: Option<Duration>,
-    /// For how long it is known to have been at work.
+    /// How long the run is known to have been at work.
     pub known_runtime: Duration,
-    /// What it may have had to do with the worker's end.
+    /// How the run may be involved in the worker's end.
     pub involvement: Involvement,
 }
 
-/// What a run may have had to do with the end of its worker.
+/// How a run may be involved in the end of its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Involvement {
-    /// Nothing: its start was not sent.
+    /// Not involved: its start was not sent.
     Unsent,
-    /// Little: the worker has answered for a while after its start, or an earlier owner may have started it long ago.
+    /// Hardly involved: the worker answered for a while after the start, or an earlier owner may have started
+    /// the run long ago.
     Older,
-    /// It had just begun.
+    /// The run had just begun.
     Fresh,
-    /// It was in quarantine there, beside none that had just begun.
+    /// The run was in quarantine, beside none that had just begun.
     Quarantined,
 }
 
 impl Involvement {
-    /// Whether the run had just begun.
+    /// Returns whether the run had just begun.
     pub(crate) fn is_fresh(self) -> bool {
         matches!(self, Involvement::Fresh | Involvement::Quarantined)
     }
 }
 
 impl LostRun {
-    /// A run that only the records of an earlier owner name.
+    /// Creates a lost run that only an earlier owner's records name.
     pub(crate) fn of_earlier(task: TaskId, run: RunId) -> Self {
         LostRun {
             task,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// A run that is known of a worker that is given up now.
+    /// Creates a lost run of a worker that is being abandoned.
     pub(crate) fn of(
         worker: &Worker,
         key: (TaskId, RunId),
@@ -94,8 +95,9 @@
             Some(_) if known_runtime >= PROVEN_AGE || state.inherited => Involvement::Older,
             Some(_) => Involvement::Fresh,
         };
-        // A start without an answer may have been carried out much later than it was sent, or never, where its worker had
-        // ended before: it is no proof. Of a task that ends its workers before they answer, four ends are.
+        // A start without an answer may have been carried out much later than it was sent, or never if the
+        // worker had ended before, so it is no proof. A task that ends its workers before they answer is
+        // proven by four such ends.
         let is_known = !state.inherited && state.confirmed;
         let sent = state
             .sent_at
@@ -110,23 +112,24 @@
     }
 }
 
-/// A worker that has been given up.
+/// A worker that was abandoned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostWorker {
-    /// How it came to its end.
+    /// How the worker ended.
     pub ending: Ending,
-    /// The runs that it may have had, the youngest first.
+    /// The runs that it may have had, youngest first.
     pub runs: Vec<LostRun>,
-    /// The tasks that are given up for it, and their jobs with them.
+    /// The tasks that fail because of it, and with them their jobs.
     pub failed: Vec<TaskId>,
 }
 
 impl Ending {
-    /// How a worker came to its end that is given up for this reason; there is none where only
-    /// records name it.
+    /// Returns how a worker ended that is abandoned for this reason. `worker` is `None` if only records name
+    /// it.
     pub(crate) fn of(loss: Loss, worker: Option<&Worker>) -> Self {
-        // That an earlier owner may have told its VM to go is no order: after a slow store all VMs are doubted for
-        // seconds, in which tasks that end their workers were started six times.
+        // Only confirmed orders count, not those that an earlier owner may have given. After slow calls of
+        // the store, the orders of all VMs are unconfirmed for seconds; when they counted, tasks that crash
+        // their workers were started six times.
         let ordered = worker.is_some_and(|worker| worker.disrupted);
         let announced = worker.is_some_and(Worker::has_announced);
         match loss {
--- a/crates/jobs/src/quarantine.rs
+++ b/crates/jobs/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Starts tasks that may have ended a worker: one at a time on a worker, where little is lost if it ends again.
+//! Starts suspected tasks in quarantine: one at a time on a worker, where little is lost if it crashes again.
 
 use crate::{
     Cell, Job, Need, TaskId, Worker, WorkerId,
@@ -10,12 +10,12 @@
 use clock::Instant;
 use std::collections::BTreeSet;
 
-/// Which part of a service's workers may be kept for quarantine while they have other runs: the rest goes on with what
-/// is not under suspicion. Idle ones cost nothing.
-const QUARANTINE_PART: usize = 4;
+/// The fraction of a service's workers that may be kept for quarantine while they have other runs is one in
+/// this many, so that the rest continues with unsuspected tasks. Idle workers are not counted.
+const QUARANTINE_FRACTION: usize = 4;
 
 impl Cell {
-    /// Whether a task, or a member of its gang, is to be started in quarantine.
+    /// Returns whether a task, or a member of its gang, must be started in quarantine.
     pub(crate) fn needs_quarantine(&self, task: TaskId, now: Instant) -> bool {
         if self.suspicions.tasks.is_empty() {
             return false;
@@ -26,7 +26,7 @@
             .any(|member| self.quarantine_bar(member, now).is_some())
     }
 
-    /// The tasks that start together with one: itself, or all of its gang.
+    /// Returns the tasks that start together with a task: itself, or its whole gang.
     pub(crate) fn members(&self, task: TaskId) -> Vec<TaskId> {
         match self.jobs.get(&task.job).and_then(|job| job.find_step(task)) {
             Some(step) if step.gang => (0..step.count)
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Starts the waiting tasks of a service that are under suspicion, before all others: these would take the places
-    /// on which nothing else may begin.
+    /// Starts the suspected waiting tasks of a service. They go before all others, which would take the
+    /// workers where nothing else may start.
     pub(crate) fn place_suspects(&mut self, service: &str, now: Instant, log: LogState) {
         for rank in self.waiting_suspects(service) {
             let task = rank.task();
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The places in the queue of the tasks of a service that are under suspicion and wait, in order.
+    /// Returns the ranks of a service's suspected waiting tasks, in order.
     fn waiting_suspects(&self, service: &str) -> BTreeSet<Rank> {
         let tasks = self.suspicions.tasks.iter();
         tasks
@@ -69,7 +69,7 @@
             .collect()
     }
 
-    /// The place in a service's queue of a task, or of its gang; none if it does not wait there.
+    /// Returns the rank of a task, or of its gang, in a service's queue; `None` if it does not wait there.
     fn waiting_rank(&self, service: &str, task: TaskId) -> Option<Rank> {
         let job = self.jobs.get(&task.job)?;
         let queue = self.waiting.get(service)?;
@@ -82,7 +82,7 @@
             .find(|rank| queue.contains(rank))
     }
 
-    /// Starts a task in quarantine, or a gang whose members are under suspicion.
+    /// Starts a task in quarantine, or a gang with suspected members.
     fn place_in_quarantine(&mut self, task: TaskId, now: Instant) -> Placing {
         let Some(job) = self.jobs.get(&task.job) else {
             return Placing::Done;
@@ -91,7 +91,7 @@
             return self.place_gang(task, now);
         }
         let Some(worker) = self.quarantine_worker(job, task, now) else {
-            self.keep_for_quarantine(task, now);
+            self.reserve_for_quarantine(task, now);
             return Placing::NoFit;
         };
         let state = job.task(task.round, task.step, task.index);
@@ -100,25 +100,27 @@
         Placing::Done
     }
 
-    /// The worker on which least is lost if a task ends it, of those that have room, and no run that has just begun.
+    /// Returns the worker on which the least is lost if the task crashes it, among those where it fits and no
+    /// run has just begun.
     fn quarantine_worker(&self, job: &Job, task: TaskId, now: Instant) -> Option<WorkerId> {
-        let room = room_of(job, task);
-        let may = |worker: &&Worker| {
-            room.fits(worker.used, worker.info.capacity)
+        let need = room_of(job, task);
+        let is_eligible = |worker: &&Worker| {
+            need.fits(worker.used, worker.info.capacity)
                 && worker.is_settled()
                 && self.accepts(worker, job, task, now)
                 && may_join(job.step(task.step), || worker.siblings(task))
         };
-        let fitting = self.workers.of(&job.submission.service).filter(may);
-        let near = job.step(task.step).data_rack.as_ref();
-        let is_far = |worker: &Worker| near.is_some_and(|rack| !worker.info.has_label(rack));
+        let fitting = self.workers.of(&job.submission.service).filter(is_eligible);
+        let data_rack = job.step(task.step).data_rack.as_ref();
+        let is_far = |worker: &Worker| data_rack.is_some_and(|rack| !worker.info.has_label(rack));
         let worker =
             fitting.min_by_key(|worker| (worker.runs.len(), is_far(worker), worker.used.cpu))?;
         let is_free = worker.runs.is_empty() || self.may_keep(&job.submission.service);
         is_free.then(|| worker.info.id.clone())
     }
 
-    /// Whether one more worker that has other runs may be kept for a quarantine: as long as nothing else waits, any.
+    /// Returns whether one more worker with other runs may be kept for quarantine. There is no limit while
+    /// only suspected tasks wait.
     fn may_keep(&self, service: &str) -> bool {
         let waiting = self.waiting.get(service).map_or(0, BTreeSet::len);
         if waiting <= self.waiting_suspects(service).len() {
@@ -129,13 +131,12 @@
             let in_quarantine = worker.quarantine.is_some() && worker.runs.len() > 1;
             in_quarantine || self.reserved.contains(&worker.info.id)
         };
-        let most = (workers().count() / QUARANTINE_PART).max(1);
-        workers().filter(is_kept).count() < most
+        let max_kept = (workers().count() / QUARANTINE_FRACTION).max(1);
+        workers().filter(is_kept).count() < max_kept
     }
 
-    /// Keeps the worker with the fewest runs free of new ones, in this pass, so that it soon has none that has just
-    /// begun.
-    fn keep_for_quarantine(&mut self, task: TaskId, now: Instant) {
+    /// Reserves the worker with the fewest runs for this pass, so that it soon has none that has just begun.
+    fn reserve_for_quarantine(&mut self, task: TaskId, now: Instant) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -143,11 +144,11 @@
         if !self.may_keep(service) {
             return;
         }
-        let room = room_of(job, task);
-        let may = |worker: &&Worker| {
-            room.fits(Need::default(), worker.info.capacity) && self.accepts(worker, job, task, now)
+        let need = room_of(job, task);
+        let is_eligible = |worker: &&Worker| {
+            need.fits(Need::default(), worker.info.capacity) && self.accepts(worker, job, task, now)
         };
-        let fitting = self.workers.of(service).filter(may);
+        let fitting = self.workers.of(service).filter(is_eligible);
         let fewest = fitting.min_by_key(|worker| (worker.runs.len(), worker.used.cpu));
         if let Some(id) = fewest.map(|worker| worker.info.id.clone()) {
             self.reserved.insert(id);
--- a/crates/jobs/src/suspicion.rs
+++ b/crates/jobs/src/suspicion.rs
@@ -1,9 +1,10 @@
-//! What the ends of workers without notice say against the tasks that ran there.
+//! Attributes crashes of workers (ends without notice) to the tasks that ran there.
 //!
-//! A task may end each worker that starts it, and with it a dozen runs of others. A worker that has ended lists no
-//! end, so each such end counts against the tasks that may be its cause: first those that had just begun. These are
-//! started again in quarantine: one at a time on a worker with little to lose, until the run has outlived the age at
-//! which the worker ended. The next end then names one of them, and all others are cleared.
+//! A task may crash each worker that starts it, and a dozen other runs with it. A crashed worker lists no
+//! ends, so each crash counts against the tasks that may be its cause, first of all those that had just
+//! begun. These are started again in quarantine: one at a time on a worker with little to lose, until the run
+//! has outlived the age at which the worker crashed. The next crash then identifies one task, and all others
+//! are cleared.
 
 use crate::{JobId, TaskId, WorkerId};
 use clock::Instant;
@@ -13,115 +14,118 @@
     time::Duration,
 };
 
-/// Until a worker has answered for so long after a start, that run may be what ends it. Users saw workers end 2 to
-/// 10 ms after the start; 25 times that leaves room for slow workers. A quarantine takes as long, so that longer ones
-/// would keep room from others.
+/// How long a worker must answer after a start before that run is no longer suspected of crashing it. Users
+/// saw crashes 2 to 10 ms after the start; 25 times that leaves a margin for slow workers. A quarantine takes
+/// as long, so a higher value would hold capacity back from other tasks.
 pub(crate) const PROVEN_AGE: Duration = Duration::from_millis(250);
 
-/// Once a run has been at work for longer, the end of its worker counts against no task: it is not the start that ended
-/// it. 100 times what users saw. A lasting task would else be given up after some days for ends that have nothing to do
-/// with it.
+/// The runtime beyond which a crash no longer counts against a task, since the start did not cause it; 100
+/// times what users saw. Without this limit, a long-running task would fail after some days because of
+/// unrelated crashes.
 pub(crate) const MAX_SUSPECT_RUNTIME: Duration = Duration::from_millis(1_000);
 
-/// Within this time after its start, the end of a worker is most likely the run's doing: users saw 2 to 10 ms, and an
-/// owner that is full learns of it 76 ms later.
+/// The age up to which a run is the most likely cause of a crash. Users saw 2 to 10 ms, and an owner at full
+/// load learns of the crash 76 ms later.
 const PROMPT_AGE: Duration = Duration::from_millis(100);
 
-/// How many ends of workers are proof, the last of them in quarantine, where all came promptly and accidents are rare:
-/// the first makes suspects, the quarantine names one.
+/// How many crashes prove the cause if all came promptly, the last one in quarantine, and accidents are rare.
+/// The first crash makes tasks suspects, the quarantine identifies one.
 const PROOF_CRASHES: usize = 2;
 
-/// How many are where the run was older, or workers may end by accident: where each of 20 ended every 8 s, two prompt
-/// ends met some of 3,000 harmless tasks within a minute.
+/// How many crashes prove the cause if the run was older or workers may crash by accident. When each of 20
+/// workers crashed every 8 s, two prompt crashes hit some of 3,000 harmless tasks within a minute.
 const PROOF_CRASHES_LATER: usize = 3;
 
-/// How many ends of workers are proof in any case. The users allow two starts after the third; one end in five may
-/// meet a start that no record names, and is not known.
+/// How many crashes prove the cause in any case. Users allow two starts after the third, and one crash in
+/// five may hit a start that no record names and so goes uncounted.
 const MAX_CRASHES: usize = 4;
 
-/// How many ends of workers that no task has caused make accidents common, and within which time; and more than have
-/// been proven to be the doing of tasks. Where tasks end workers all the time, a few accidents beside them would else
-/// ask for four ends of each: with 40 such tasks in 20 s on 8 workers, harmless suspects waited 18 s for their turn.
+/// How many crashes not caused by a task, within [`ACCIDENT_SPAN`], make accidents common; they must also be
+/// at least as many as the tasks proven to be a cause. Where tasks crash workers all the time, a few accidents would
+/// otherwise require four crashes of each task: with 40 such tasks in 20 s on 8 workers, harmless suspects
+/// waited 18 s to start.
 const COMMON_ACCIDENTS: usize = 2;
 
-/// See [`COMMON_ACCIDENTS`].
+/// The time span over which [`COMMON_ACCIDENTS`] are counted.
 const ACCIDENT_SPAN: Duration = Duration::from_secs(30);
 
-/// How many of the last such ends are remembered: more than that say no more.
+/// How many recent events of a kind are remembered; more would add no information.
 const MAX_RECENT: usize = 64;
 
-/// The end of a worker without notice under a run of a task.
+/// A crash of a worker while it had a run of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// How long after the start the worker was found to be silent, in ms; none if an earlier owner sent the start.
+    /// The time from sending the start until the worker was found silent, in ms; `None` if an earlier owner
+    /// sent the start.
     pub age: Option<u64>,
     /// Whether the run had just begun.
     pub fresh: bool,
-    /// Whether it was the only one there that had just begun, or was in quarantine.
+    /// Whether the run was the only one that had just begun, or was in quarantine.
     pub alone: bool,
 }
 
 impl Crash {
-    /// Whether the end came promptly after the start.
+    /// Returns whether the crash came promptly after the start.
     fn is_prompt(&self) -> bool {
         self.age
             .is_some_and(|age| age <= PROMPT_AGE.as_millis() as u64)
     }
 
-    /// Whether a run that was at work for so long, in ms, shows that the task did not cause this end: one that ends its
-    /// workers does so at about the same age each time.
-    fn is_disproved_by(&self, lived: u64) -> bool {
+    /// Returns whether a run that was at work for `runtime_ms` shows that the task did not cause this crash:
+    /// a task that crashes its workers does so at about the same age each time.
+    fn is_disproved_by(&self, runtime_ms: u64) -> bool {
         self.age
-            .is_some_and(|age| lived > 2 * age + PROVEN_AGE.as_millis() as u64)
+            .is_some_and(|age| runtime_ms > 2 * age + PROVEN_AGE.as_millis() as u64)
     }
 }
 
-/// How a task stands, by the ends of workers under it.
+/// The standing of a task after the crashes of workers that ran it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Standing {
-    /// It is started like others.
+    /// The task is started like others.
     Clear,
-    /// It is started in quarantine, which ends when the run has outlived this age.
+    /// The task is started in quarantine, which ends when the run has outlived this age.
     Quarantined(Duration),
-    /// Its job is given up.
+    /// The task fails, and its job with it.
     Failed,
 }
 
-/// The record of a task: what speaks against it, and what for it.
+/// The crashes that count against a task, and the runtime that counts for it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashHistory {
-    /// The ends of workers that may have been caused by it.
+    /// The crashes that the task may have caused.
     pub crashes: Vec<Crash>,
-    /// For how long a run of it has been at work at the most, in ms.
+    /// The longest time that a run of it is known to have been at work, in ms.
     pub outlived: u64,
 }
 
 impl CrashHistory {
-    /// Takes note of the end of a worker under a run that had been at work for so long, in ms. True if it counts.
-    pub(crate) fn record_crash(&mut self, crash: Crash, lived: u64) -> bool {
-        let is_late = lived > MAX_SUSPECT_RUNTIME.as_millis() as u64;
+    /// Records a crash of a worker during a run that had been at work for `runtime_ms`. Returns whether it
+    /// counts against the task.
+    pub(crate) fn record_crash(&mut self, crash: Crash, runtime_ms: u64) -> bool {
+        let is_late = runtime_ms > MAX_SUSPECT_RUNTIME.as_millis() as u64;
         let counts = !is_late && !crash.is_disproved_by(self.outlived);
         self.crashes
-            .retain(|earlier| !earlier.is_disproved_by(lived));
-        self.outlived = self.outlived.max(lived);
+            .retain(|earlier| !earlier.is_disproved_by(runtime_ms));
+        self.outlived = self.outlived.max(runtime_ms);
         if counts {
             self.crashes.push(crash);
         }
         counts
     }
 
-    /// How old a run must become to show that the task is not the cause: twice the least age at which a worker ended,
-    /// since a task does its work at about the same pace everywhere.
+    /// Returns the age that a run must reach to show that the task is not the cause: twice the lowest age at
+    /// which a worker crashed, since a task does its work at about the same pace everywhere.
     pub(crate) fn threshold(&self) -> Duration {
         let ages = self.crashes.iter().filter_map(|crash| crash.age);
         let least = Duration::from_millis(ages.min().unwrap_or(0));
         PROVEN_AGE.max(least * 2)
     }
 
-    /// How the task stands.
+    /// Returns the standing of the task.
     pub(crate) fn standing(&self, accidents: Accidents) -> Standing {
         let count = self.crashes.len();
-        // Where accidents are common, one end of a worker says next to nothing of a dozen tasks there.
+        // Where accidents are common, one crash is no evidence against any of a dozen tasks on the worker.
         let one_is_enough = accidents != Accidents::Common;
         if self.is_proven(accidents) || count >= MAX_CRASHES {
             Standing::Failed
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Whether the ends of workers prove that the task is the cause.
+    /// Returns whether the crashes prove that the task is the cause.
     fn is_proven(&self, accidents: Accidents) -> bool {
         let is_prompt = self.crashes.iter().all(Crash::is_prompt);
         let last_alone = self.crashes.last().is_some_and(|crash| crash.alone);
@@ -147,33 +151,33 @@
     }
 }
 
-/// How often workers end that no task has ended.
+/// How often workers crash without a task being the cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Accidents {
     /// Hardly ever.
     Rare,
-    /// Workers have ended on which no run had just begun: by accident, or by a task that does it later.
+    /// Workers have crashed on which no run had just begun, by accident or by a task that causes it later.
     Suspected,
-    /// Now and then: one more end of a worker says little of a task.
+    /// Often enough that one more crash is little evidence against a task.
     Common,
 }
 
-/// Who is under suspicion, and for the end of which worker.
+/// The suspected tasks, and the crashes for which they are suspected.
 #[derive(Debug, Default)]
 pub(crate) struct Suspicions {
-    /// The tasks with ends of workers against them, in all repeats of their jobs.
+    /// The tasks with crashes against them, in all rounds of their jobs.
     pub(crate) tasks: BTreeSet<TaskId>,
-    /// Which tasks may have ended a worker.
+    /// The tasks that may have crashed each worker.
     by_worker: BTreeMap<WorkerId, BTreeSet<TaskId>>,
-    /// When ends of workers were found to have been caused by no task.
+    /// When crashes were found to have been caused by no task.
     accidents: Recent,
-    /// When workers ended on which no run had just begun.
-    unprompted: Recent,
-    /// When tasks were proven to end their workers.
+    /// When workers crashed on which no run had just begun.
+    late_crashes: Recent,
+    /// When tasks were proven to crash their workers.
     proven: Recent,
 }
 
-/// The last few times at which something happened.
+/// The times of the last few events of a kind.
 #[derive(Debug, Default)]
 struct Recent(VecDeque<Instant>);
 
@@ -185,7 +189,7 @@
         }
     }
 
-    /// How often it happened of late.
+    /// Returns how often the event happened within [`ACCIDENT_SPAN`].
     fn count(&self, now: Instant) -> usize {
         let recent = |at: &&Instant| now < **at + ACCIDENT_SPAN;
         self.0.iter().filter(recent).count()
@@ -193,7 +197,7 @@
 }
 
 impl Suspicions {
-    /// A worker has ended; one of these tasks may be the cause.
+    /// Records a crash that one of these tasks may have caused, or an accident if there are none.
     pub(crate) fn record_suspects(&mut self, worker: &str, tasks: BTreeSet<TaskId>, now: Instant) {
         if tasks.is_empty() {
             return self.accidents.record(now);
@@ -201,23 +205,23 @@
         self.by_worker.insert(worker.into(), tasks);
     }
 
-    /// A task is not the cause of what it was under suspicion for; where nothing else can be, nothing was.
+    /// Clears a task of suspicion. A crash for which no suspect is left was an accident.
     pub(crate) fn clear(&mut self, task: TaskId, now: Instant) {
         self.tasks.remove(&task);
-        let mut solved = 0;
+        let mut accidents = 0;
         self.by_worker.retain(|_, tasks| {
-            solved += usize::from(tasks.remove(&task) && tasks.is_empty());
+            accidents += usize::from(tasks.remove(&task) && tasks.is_empty());
             !tasks.is_empty()
         });
-        (0..solved).for_each(|_| self.accidents.record(now));
+        (0..accidents).for_each(|_| self.accidents.record(now));
     }
 
-    /// A task has been proven to end its workers.
+    /// Records that a task has been proven to crash its workers.
     pub(crate) fn record_proven(&mut self, now: Instant) {
         self.proven.record(now);
     }
 
-    /// A job is over: of its tasks nothing more will be learned.
+    /// Removes the tasks of a job that is over, about which nothing more will be learned.
     pub(crate) fn drop_job(&mut self, job: JobId) {
         if self.tasks.iter().any(|task| task.job == job) {
             self.tasks.retain(|task| task.job != job);
@@ -226,28 +230,28 @@
         }
     }
 
-    /// How often workers end that no task has ended.
+    /// Returns how often workers crash without a task being the cause.
     pub(crate) fn accidents(&self, now: Instant) -> Accidents {
         let enough = COMMON_ACCIDENTS.max(self.proven.count(now));
         if self.accidents.count(now) >= enough {
             Accidents::Common
-        } else if self.unprompted.count(now) >= enough {
+        } else if self.late_crashes.count(now) >= enough {
             Accidents::Suspected
         } else {
             Accidents::Rare
         }
     }
 
-    /// A worker has ended on which these runs may have been the cause, by the ages that they had.
+    /// Records a crash as late if none of the runs that may have caused it had just begun, by their ages.
     pub(crate) fn record_ages(
         &mut self,
         mut ages: impl Iterator<Item = Option<Duration>>,
         now: Instant,
     ) {
-        // What an earlier owner started may have just begun.
+        // A run that an earlier owner started may have just begun.
         let prompted = ages.any(|age| age.is_none_or(|age| age <= PROMPT_AGE));
         if !prompted {
-            self.unprompted.record(now);
+            self.late_crashes.record(now);
         }
     }
 }
