--- a/crates/jobs/src/disruption.rs
+++ b/crates/jobs/src/disruption.rs
@@ -1,20 +1,20 @@
-//! Whether a worker's VM may be taken out for upkeep or a move without breaking a budget.
+//! Decides whether a worker's VM may be disrupted for maintenance or a move without exceeding a budget.
 
 use crate::{Cell, RunPhase, Task, TaskId, TaskPhase, Worker};
 
-/// Whether a worker may be taken out now.
+/// The effect that disrupting a worker would have now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disruption {
-    /// Nothing that would be lost runs there.
+    /// No run would be lost.
     Free,
-    /// So many runs that end by themselves would be thrown away.
+    /// This many runs that end by themselves would be lost.
     Busy(usize),
-    /// A lasting step would have more tasks away than its budget allows.
+    /// A long-running step would have more tasks away than its budget allows.
     Guarded,
 }
 
 impl Cell {
-    /// What taking a worker out would cost now.
+    /// Returns the effect that disrupting a worker would have now.
     pub fn disruption(&self, id: &str) -> Disruption {
         let Some(worker) = self.workers.get(id) else {
             return self.disruption_of_unknown(id);
@@ -29,8 +29,8 @@
         }
     }
 
-    /// What taking out a worker would cost that no list of workers has named: nothing is known of what it
-    /// runs before the list has been read, or where an earlier owner has used it.
+    /// Returns the effect of disrupting a worker that no list of workers has named. What it runs is unknown
+    /// until the list has been read, or if an earlier owner has used it.
     fn disruption_of_unknown(&self, id: &str) -> Disruption {
         if self.gate.listed && !self.is_orphan(id) {
             Disruption::Free
@@ -39,37 +39,38 @@
         }
     }
 
-    /// Keeps new runs off a worker, or lets them come again.
+    /// Sets whether a worker gets no new runs.
     pub fn close_worker(&mut self, id: &str, closed: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.closed = closed;
         }
     }
 
-    /// The worker's VM is being told to go: all that runs there counts as away.
+    /// Sets whether a worker's VM is being disrupted, in which case all its runs count as away.
     pub fn set_disrupted(&mut self, id: &str, disrupted: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.disrupted = disrupted;
         }
     }
 
-    /// Whether an earlier owner may have told the worker's VM to go, and the order may still be under way.
+    /// Sets whether an earlier owner may have ordered a disruption of the worker's VM that may still be
+    /// carried out.
     pub fn set_order_unconfirmed(&mut self, id: &str, unconfirmed: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.order_unconfirmed = unconfirmed;
         }
     }
 
-    /// Whether a task runs until its job is cancelled.
+    /// Returns whether a task runs until its job is cancelled.
     fn is_long_running(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         let step = job.and_then(|job| job.find_step(task));
         step.is_some_and(|step| step.long_running)
     }
 
-    /// Stops a lasting task on a worker that is to be taken out, where it has more of a step than the
-    /// step's budget allows to go at once: they start again elsewhere, one after the other. Returns how
-    /// many were stopped, 0 or 1.
+    /// Stops one long-running task on a worker that is to be disrupted, if the worker has more tasks of the
+    /// step than its budget allows to be away at once. The tasks restart elsewhere one after the other.
+    /// Returns how many were stopped, 0 or 1.
     pub fn shed(&mut self, id: &str) -> usize {
         let Some(worker) = self.workers.get(id) else {
             return 0;
@@ -88,13 +89,13 @@
         usize::from(chosen.is_some())
     }
 
-    /// Whether too many of a task's step would be away if a worker that has it left.
+    /// Returns whether too many tasks of a task's step would be away if a worker that has the task left.
     fn exceeds_budget(&self, worker: &Worker, task: TaskId) -> bool {
         let budget = self.budget(task);
         budget.is_some_and(|budget| self.away(task, Some(&worker.info.id)) >= budget)
     }
 
-    /// How many tasks of a task's step may be away; none if that is not limited.
+    /// Returns how many tasks of a task's step may be away; `None` if there is no limit.
     fn budget(&self, task: TaskId) -> Option<u32> {
         let job = self
             .jobs
@@ -103,7 +104,7 @@
         job.find_step(task)?.disruption_budget
     }
 
-    /// How many other tasks of a task's step are not at work, or on the worker that leaves.
+    /// Returns how many other tasks of a task's step are not operational, or are on the worker that leaves.
     pub(crate) fn away(&self, task: TaskId, leaving: Option<&str>) -> u32 {
         let round = self
             .jobs
@@ -122,13 +123,13 @@
         (0..).zip(tasks).filter(is_away).count() as u32
     }
 
-    /// Whether a task is at work on a worker that stays, other than the one that leaves.
+    /// Returns whether a task is operational on a worker that stays, other than the one that leaves.
     fn works(&self, task: TaskId, state: &Task, leaving: Option<&str>) -> bool {
         let TaskPhase::Placed(on) = &state.phase else {
             return false;
         };
         let host = self.workers.get(on).filter(|_| Some(&**on) != leaving);
-        // One that does not answer may be gone, and one that is doubted may go at any moment.
+        // A worker that does not answer may be gone, and one with an unconfirmed order may go at any moment.
         let stays =
             |w: &&Worker| w.responsive && !w.disrupted && !w.order_unconfirmed && !w.info.draining;
         let Some(host) = host.filter(stays) else {
--- a/crates/jobs/src/drain.rs
+++ b/crates/jobs/src/drain.rs
@@ -1,4 +1,5 @@
-//! Empties a worker whose VM is to go: what saves its progress goes on elsewhere, the rest runs out.
+//! Drains a worker whose VM is to be stopped: runs that save their progress continue elsewhere, the others
+//! finish there.
 
 use crate::{
     Cell, Need, RunId, RunPhase, TaskId, Worker,
@@ -8,17 +9,17 @@
 use clock::Instant;
 use std::{collections::HashMap, time::Duration};
 
-/// From how much of a run's work on, in hundredths, its progress foretells its end better than estimates
-/// do, which are off by up to ten times.
-const TELLING_PERCENT: u64 = 10;
+/// The progress, in percent, from which on it predicts the end of a run better than estimates, which are off
+/// by a factor of up to ten.
+const MIN_PREDICTIVE_PERCENT: u64 = 10;
 
-/// What a move of a run costs in time: the stop, a report of it, a record, a start, and the way back to
-/// the saved progress, some 0.4 to 0.7 s. A run that ends within that is left to end.
-const MOVED: Duration = Duration::from_millis(600);
+/// The time that a move costs a run: the stop, its report, a record, the start, and the way back to the saved
+/// progress, about 0.4 to 0.7 s. A run that ends within this time is left to end.
+const MOVE_COST: Duration = Duration::from_millis(600);
 
 impl Cell {
-    /// How long until the worker could be empty: runs that can go on elsewhere take 0.6 s at the
-    /// most, the others until their end.
+    /// Returns how long it takes until the worker could be drained. Runs that can continue elsewhere count
+    /// with at most 0.6 s, the others until their end.
     pub fn time_left(&self, id: &str, now: Instant) -> Duration {
         let Some(worker) = self.workers.get(id) else {
             return Duration::ZERO;
@@ -27,7 +28,7 @@
         let left = worker.runs.iter().map(|(key, run)| {
             let left = self.run_left(key.0, run, now);
             if movable.contains(key) {
-                left.min(MOVED)
+                left.min(MOVE_COST)
             } else {
                 left
             }
@@ -35,8 +36,8 @@
         left.max().unwrap_or(Duration::ZERO)
     }
 
-    /// Stops the runs on a worker that can go on elsewhere from the progress that they have saved.
-    /// Returns how many.
+    /// Stops the runs on a worker that can continue elsewhere from their saved progress. Returns how many
+    /// were stopped.
     pub fn drain_worker(&mut self, id: &str, now: Instant) -> usize {
         let Some(worker) = self.workers.get(id) else {
             return 0;
@@ -48,14 +49,14 @@
         movable.len()
     }
 
-    /// The runs of a worker that save their progress, will still take a while, and find room on another
-    /// worker of the service.
+    /// Returns the runs of a worker that save their progress, are expected to go on for a while, and fit on
+    /// another worker of the service.
     fn movable_runs(&self, worker: &Worker, now: Instant) -> Vec<(TaskId, RunId)> {
         let mut taken: HashMap<&str, Need> = HashMap::new();
         let mut movable = Vec::new();
         for ((task, run), state) in &worker.runs {
             let running = state.phase == RunPhase::Running;
-            if !running || !self.may_move(*task) || self.run_left(*task, state, now) <= MOVED {
+            if !running || !self.may_move(*task) || self.run_left(*task, state, now) <= MOVE_COST {
                 continue;
             }
             let Some(host) = self.other_host(worker, *task, state, &taken, now) else {
@@ -67,14 +68,15 @@
         movable
     }
 
-    /// Whether a task ends by itself, alone, and saves its progress.
+    /// Returns whether a task ends by itself, is not part of a gang, and saves its progress.
     fn may_move(&self, task: TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         let step = job.and_then(|job| job.find_step(task));
         step.is_some_and(|s| s.saves_progress && !s.gang && !s.long_running && !s.best_effort)
     }
 
-    /// Another worker of the service with room for a run, beside what others that move take there.
+    /// Returns another worker of the service with free capacity for a run, beside what other moving runs take
+    /// there.
     fn other_host(
         &self,
         from: &Worker,
@@ -95,21 +97,21 @@
                 && has_required_label(host, step)
                 && may_join(step, || host.siblings(task))
         };
-        // One that is empty might be moved itself.
+        // An idle worker might be moved itself.
         let others = self.workers.of(&from.info.service);
         let mut candidates = others.filter(|host| !host.runs.is_empty());
         candidates.find(fits)
     }
 
-    /// How long one run will still take: by its progress, or by what runs of its queue have taken against
-    /// their estimates.
+    /// Returns how long a run is expected to continue, by its progress or else by how long runs of its queue
+    /// take compared with their estimates.
     pub(crate) fn run_left(&self, task: TaskId, run: &RunState, now: Instant) -> Duration {
         let elapsed = now.saturating_duration_since(run.ordered_at);
-        if run.percent >= TELLING_PERCENT {
-            // The figure is as old as the last change of it.
-            let worked = run.progressed_at.saturating_duration_since(run.ordered_at);
-            let whole = worked.mul_f64(100.0 / run.percent as f64);
-            return whole.saturating_sub(elapsed);
+        if run.percent >= MIN_PREDICTIVE_PERCENT {
+            // The progress is as old as its last change.
+            let runtime = run.progressed_at.saturating_duration_since(run.ordered_at);
+            let total = runtime.mul_f64(100.0 / run.percent as f64);
+            return total.saturating_sub(elapsed);
         }
         let expected = self.jobs.get(&task.job).and_then(|job| {
             let estimate = job.find_step(task)?.estimate_ms as f64;
--- a/crates/jobs/src/hall.rs
+++ b/crates/jobs/src/hall.rs
@@ -1,7 +1,7 @@
-//! Data centres that operators want emptied: nothing new begins there, and what can go on elsewhere leaves.
+//! Drains data centres: no run starts there, and runs that can continue elsewhere are moved.
 //!
-//! Runs that end by themselves and save no progress are left to end. Lasting tasks leave one by one, so that a step has
-//! no more of them away than its budget allows.
+//! Runs that end by themselves and save no progress are left to end. Long-running tasks leave one by one, so
+//! that a step never has more of them away than its budget allows.
 
 use crate::{Cell, RunId, RunPhase, TaskId, Worker, WorkerId, cell::room_of, place::may_join};
 use clock::Instant;
@@ -10,11 +10,11 @@
 /// The name of a data centre.
 pub type HallId = String;
 
-/// How many lasting tasks of a step without a budget may be on their way at once.
-const DEFAULT_AWAY: u32 = 1;
+/// How many long-running tasks of a step without a budget may be away at once.
+const DEFAULT_MAX_AWAY: u32 = 1;
 
 impl Cell {
-    /// Sets which data centres are to be emptied.
+    /// Sets which data centres are to be drained.
     pub fn set_drained_halls(&mut self, halls: BTreeSet<HallId>) {
         self.emptied = halls;
         for worker in self.workers.values_mut() {
@@ -22,18 +22,19 @@
         }
     }
 
-    /// Whether a data centre is to be emptied.
+    /// Returns whether a data centre is to be drained.
     pub fn is_hall_drained(&self, hall: &str) -> bool {
         self.emptied.contains(hall)
     }
 
-    /// How many runs are left in the data centres that are to be emptied.
+    /// Returns how many runs are left in the data centres that are to be drained.
     pub fn count_runs_in_drained_halls(&self) -> usize {
         let leaving = self.workers.values().filter(|worker| worker.hall_drained);
         leaving.map(|worker| worker.runs.len()).sum()
     }
 
-    /// Stops what can go on elsewhere on the workers of data centres that are to be emptied. Returns how many runs.
+    /// Stops the runs that can continue elsewhere on workers of drained data centres. Returns how many were
+    /// stopped.
     pub fn drain_halls(&mut self, now: Instant) -> usize {
         if self.emptied.is_empty() {
             return 0;
@@ -52,7 +53,7 @@
         stopped
     }
 
-    /// A lasting task of a worker that may leave now and finds room elsewhere.
+    /// Returns a run of a long-running task of a worker that may leave now and fits elsewhere.
     fn next_long_running(&self, id: &str, now: Instant) -> Option<(TaskId, RunId)> {
         let worker = self.workers.get(id)?;
         let mut runs = worker.runs.iter();
@@ -62,7 +63,7 @@
         found.map(|(key, _)| *key)
     }
 
-    /// Whether a task lasts, may be away now, and has room on another worker.
+    /// Returns whether a task is long-running, may be away now, and fits on another worker.
     fn may_leave(&self, worker: &Worker, task: TaskId, now: Instant) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
@@ -73,13 +74,13 @@
         else {
             return false;
         };
-        let room = room_of(job, task);
+        let need = room_of(job, task);
         let fits = |host: &Worker| {
             self.accepts(host, job, task, now)
-                && room.fits(host.used, host.info.capacity)
+                && need.fits(host.used, host.info.capacity)
                 && may_join(step, || host.siblings(task))
         };
-        let budget = step.disruption_budget.unwrap_or(DEFAULT_AWAY);
+        let budget = step.disruption_budget.unwrap_or(DEFAULT_MAX_AWAY);
         self.away(task, None) < budget && self.workers.of(&worker.info.service).any(fits)
     }
 }
--- a/crates/jobs/src/hall_drains.rs
+++ b/crates/jobs/src/hall_drains.rs
@@ -1,22 +1,22 @@
-//! Which data centres operators want emptied, as far as what they publish is known.
+//! The data centres that operators want drained, as far as their published orders are known.
 
 use crate::HallId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// A place in what operators publish.
+/// A position in the log of published orders.
 pub type Offset = u64;
 
-/// An order of operators about a data centre.
+/// An operators' order about a data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HallOrder {
-    /// Empty it.
+    /// The data centre is to be drained.
     Drain(HallId),
-    /// It is taken back.
+    /// An earlier order to drain the data centre is revoked.
     Undrain(HallId),
 }
 
-/// The data centres to be emptied, as of an offset of what operators publish.
+/// The data centres to be drained, as of an offset in the published orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallDrains {
     halls: BTreeSet<HallId>,
@@ -24,23 +24,23 @@
 }
 
 impl HallDrains {
-    /// Those that stand where all that was published before an offset is known.
+    /// Creates the state that results from everything published before an offset.
     pub fn new(halls: BTreeSet<HallId>, as_of: Offset) -> Self {
         HallDrains { halls, as_of }
     }
 
-    /// The data centres to be emptied.
+    /// Returns the data centres to be drained.
     pub fn halls(&self) -> &BTreeSet<HallId> {
         &self.halls
     }
 
-    /// Up to which offset what was published is known; 0 if nothing is.
+    /// Returns the offset up to which the published orders are known; 0 if none are.
     pub fn as_of(&self) -> Offset {
         self.as_of
     }
 
-    /// Takes in what stands at an offset, an order or something else; true if it changes anything. What is known already
-    /// does not.
+    /// Applies what was published at an offset, an order or something else. Returns whether this changes the
+    /// data centres to be drained; offsets that are already known change nothing.
     pub fn apply(&mut self, order: Option<HallOrder>, offset: Offset) -> bool {
         if offset < self.as_of {
             return false;
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Takes over what is known elsewhere, unless it is older; true if that changes anything.
+    /// Replaces this state by one from elsewhere unless that is older. Returns whether the data centres to be
+    /// drained change.
     pub fn adopt(&mut self, other: HallDrains) -> bool {
         if other.as_of < self.as_of {
             return false;
--- a/crates/jobs/src/vm_orders.rs
+++ b/crates/jobs/src/vm_orders.rs
@@ -1,9 +1,9 @@
-//! Which VMs an owner may give orders about: two holders must not give orders about one VM in turn
+//! Records about which VMs an owner gives orders, so that two owners don't give orders about the same VM
 //! within a short time.
 //!
-//! An owner records the VMs that it is about to give orders about, and gives the orders once that is
-//! durable. A new owner reads them: for a while it leaves those VMs alone, and only those, unless the
-//! process that gave the orders is known to have ended.
+//! An owner records the VMs that it is about to give orders about, and gives the orders once the record is
+//! durable. A new owner reads the record and leaves those VMs alone for a while, unless the process that gave
+//! the orders is known to have ended.
 
 use crate::Cell;
 use clock::Instant;
@@ -16,23 +16,23 @@
 /// The process that gave an order about a VM.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Holder {
-    /// This life of the process.
+    /// The incarnation of the process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Where it took the calls of other entries.
+    /// The address where it accepted calls of other entries.
     pub address: String,
 }
 
-/// What an owner remembers of its orders.
+/// The VM orders of this owner and of earlier ones.
 #[derive(Debug, Default)]
 pub(crate) struct VmOrders {
-    /// The VMs that it gave orders about of late, in whose name, and until when that matters.
+    /// The VMs that this owner recently gave orders about, on whose behalf, and until when that is relevant.
     recent: BTreeMap<String, (Holder, Instant)>,
     /// The VMs that earlier owners may have given orders about.
     pub(crate) inherited: BTreeMap<String, Holder>,
-    /// Whether an earlier owner may have given orders about any VM, without a record.
+    /// Whether an earlier owner may have given orders about any VM without a record.
     unrecorded: bool,
-    /// How often the record has changed.
+    /// The version of the record, raised at each change.
     pub(crate) version: u64,
     /// The version that was last put into a batch.
     pub(crate) batched: u64,
@@ -41,20 +41,20 @@
 }
 
 impl VmOrders {
-    /// The VMs to be recorded, if the record has changed.
+    /// Returns the VMs to be recorded if the record has changed since the last call.
     pub(crate) fn take_change(&mut self) -> Option<BTreeMap<String, Holder>> {
         if self.batched == self.version {
             return None;
         }
         self.batched = self.version;
-        // Owners may follow each other within moments: what one inherited is passed on.
+        // Owners may change within moments, so inherited orders are recorded again.
         let mut vms = self.inherited.clone();
         let own = self.recent.iter();
         vms.extend(own.map(|(vm, (holder, _))| (vm.clone(), holder.clone())));
         Some(vms)
     }
 
-    /// Forgets the orders that do not matter any more, so that the next owner need not spare their VMs.
+    /// Removes the orders that are no longer relevant, so that the next owner need not skip their VMs.
     pub(crate) fn forget_old(&mut self, now: Instant) {
         let before = self.recent.len();
         self.recent.retain(|_, (_, until)| now < *until);
@@ -65,39 +65,40 @@
 }
 
 impl Cell {
-    /// The earlier owner that may have given orders about a VM shortly before it ended.
+    /// Returns the earlier owner that may have given orders about a VM shortly before it ended.
     pub fn earlier_holder(&self, vm: &str) -> Option<&Holder> {
         self.duty.inherited.get(vm)
     }
 
-    /// All earlier owners that may have given orders about VMs shortly before they ended.
+    /// Returns all earlier owners that may have given orders about VMs shortly before they ended.
     pub fn earlier_holders(&self) -> BTreeSet<Holder> {
         self.duty.inherited.values().cloned().collect()
     }
 
-    /// An earlier owner may have given orders about any VM without a record of them.
+    /// Notes that an earlier owner may have given orders about any VM without a record of them.
     pub fn mark_all_vms_unconfirmed(&mut self) {
         self.duty.unrecorded = true;
     }
 
-    /// Whether an earlier owner may have given orders about VMs without a record of them.
+    /// Returns whether an earlier owner may have given orders about VMs without a record of them.
     pub fn are_all_vms_unconfirmed(&self) -> bool {
         self.duty.unrecorded
     }
 
-    /// Whether an earlier owner may have just given an order about a VM.
+    /// Returns whether an earlier owner may have recently given an order about a VM.
     pub fn may_be_ordered(&self, vm: &str) -> bool {
         self.duty.unrecorded || self.duty.inherited.contains_key(vm)
     }
 
-    /// Whether the owner leaves a VM alone, since an earlier one that may still run may have just given an order
-    /// about it; `ended` are those that do not run any more. Who gave orders without a record is not known.
+    /// Returns whether this owner must leave a VM alone because an earlier owner, which may still run, may
+    /// have recently given an order about it. `ended` holds the incarnations known to have ended; it does not
+    /// help with unrecorded orders, whose author is unknown.
     pub fn must_skip(&self, vm: &str, ended: &HashSet<u64>) -> bool {
         let holder = self.duty.inherited.get(vm);
         self.duty.unrecorded || holder.is_some_and(|holder| !ended.contains(&holder.incarnation))
     }
 
-    /// The orders of earlier owners do not matter any more.
+    /// Removes the orders of earlier owners once they are no longer relevant.
     pub fn forget_earlier_holders(&mut self) {
         self.duty.unrecorded = false;
         if !self.duty.inherited.is_empty() {
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Notes the VMs that orders are to be given about; returns what has to be durable before.
+    /// Records the VMs that orders are to be given about. Returns the version that must be durable before the
+    /// orders are given.
     pub fn record_vm_orders<'a>(
         &mut self,
         vms: impl IntoIterator<Item = &'a str>,
@@ -124,7 +126,7 @@
         self.duty.version
     }
 
-    /// Whether what was noted up to a version is durable.
+    /// Returns whether the record is durable up to a version.
     pub fn are_vm_orders_durable(&self, version: u64) -> bool {
         self.duty.durable >= version
     }
