--- a/crates/jobs/src/explain.rs
+++ b/crates/jobs/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a task gets no room: what speaks against each worker of its service.
+//! Explains why a task is not placed: the obstacle at each worker of its service.
 
 use crate::{
     Cell, TaskId, Worker,
@@ -8,38 +8,38 @@
 use clock::Instant;
 use std::collections::BTreeMap;
 
-/// What speaks against a worker.
+/// The reason why a worker cannot take a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Obstacle {
-    /// It has not answered this owner.
+    /// The worker has not answered this owner.
     Silent,
-    /// Its VM is to be taken out.
+    /// The worker's VM is to be disrupted.
     Leaving,
-    /// Its data centre is to be emptied.
+    /// The worker's data centre is to be drained.
     Emptied,
-    /// It is set aside after bad ends.
+    /// The worker is excluded for a while after failed runs or refused starts.
     Aside,
-    /// It lacks a label.
+    /// The worker lacks a required label.
     Label,
-    /// It has as many tasks of the step as it may have.
+    /// The worker has as many tasks of the step as it may have.
     Apart,
-    /// The task does not fit beside what runs there.
+    /// The task does not fit beside the other runs of the worker.
     Room,
-    /// Nothing: the task is placed at the next look.
+    /// There is no obstacle; the task is placed in the next pass.
     Nothing,
 }
 
 impl Cell {
-    /// The lasting tasks of a service that wait, in order.
+    /// Returns the long-running tasks of all services that wait, in order.
     pub fn waiting_long_running(&self) -> Vec<TaskId> {
-        let ranks = self.waiting.values().flatten();
-        ranks
+        let waiting = self.waiting.values().flatten();
+        waiting
             .filter(|rank| rank.is_long_running())
             .map(|rank| rank.task())
             .collect()
     }
 
-    /// How many workers of its service each obstacle keeps a task from.
+    /// Returns how many workers of its service each obstacle keeps a task from.
     pub fn obstacles(&self, task: TaskId, now: Instant) -> BTreeMap<Obstacle, usize> {
         let mut counts = BTreeMap::new();
         let Some(job) = self.jobs.get(&task.job) else {
@@ -51,7 +51,7 @@
         counts
     }
 
-    /// The first thing that speaks against a worker, in the order in which they are named.
+    /// Returns the first obstacle at a worker, in the order of the variants.
     fn obstacle(&self, worker: &Worker, task: TaskId, now: Instant) -> Obstacle {
         let Some(job) = self.jobs.get(&task.job) else {
             return Obstacle::Nothing;
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,9 +1,9 @@
 //! Jobs, their steps, tasks and runs, and the decisions about where and when a run starts.
 //!
-//! A job has steps, a step has tasks, and a task is tried by runs, one after the other, each on one
-//! worker. A [`Cell`] holds the jobs and workers that one owner decides about. Nothing in here knows
-//! a socket, a clock or a thread: time is an argument, and what has to be done next is returned as
-//! values that the caller carries out once the records that belong to them are durable.
+//! A job has steps and a step has tasks. A task is tried by one run after another, each on one worker. A
+//! [`Cell`] holds the jobs and workers that one owner decides about. This crate uses no sockets, clocks or
+//! threads: the current time is an argument, and the next actions are returned as values. The caller carries
+//! them out once the records that belong to them are durable.
 
 mod account;
 mod arrivals;
@@ -60,31 +60,31 @@
 
 use std::fmt;
 
-/// A job, chosen by its caller: 64 bits, shown as 16 hex digits.
+/// An identifier of a job, chosen by its caller: 64 bits, written as 16 hex digits.
 pub type JobId = u64;
 
-/// A rack, by the label that its workers have.
+/// The name of a rack, which is one of the labels of its workers.
 pub type RackId = String;
 
-/// A queue of jobs.
+/// The name of a queue of jobs.
 pub type QueueId = String;
 
-/// A service, whose workers run the jobs of its queues.
+/// The name of a service, whose workers run the jobs of its queues.
 pub type ServiceId = String;
 
-/// A number that counts the starts of a task, rising from 1.
+/// The number of a run among the runs of its task, counted from 1.
 pub type RunId = u32;
 
-/// One task of a job: which repeat of the job, which step, which task of the step.
+/// An identifier of one task: the job, its round, the step and the task's index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// The repeat of the job, from 0.
+    /// The round (repeat) of the job, from 0.
     pub round: u32,
     /// The step, from 0.
     pub step: u32,
-    /// The task of the step, from 0.
+    /// The index of the task within its step, from 0.
     pub index: u32,
 }
 
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -1,5 +1,4 @@
-//! What a worker's report changes: ends, progress, runs that are not there, and how fast what fills
-//! beside others may work.
+//! Applies a worker's report: ends, progress, missing runs, and the pace of best-effort runs.
 
 use crate::{
     Cell, EndRow, Need, Order, Report, RunId, RunOutcome, RunPhase, RunRow, Task, TaskId,
@@ -11,33 +10,33 @@
 use clock::Instant;
 use std::time::Duration;
 
-/// Part of a task's target above which what fills beside it is slowed down. Tails shift within
-/// seconds, and the figure is half a second old: a third of the target is kept as a margin.
-const TIGHT: f64 = 0.65;
+/// The part of a target latency above which best-effort runs beside the task are slowed down. Tail latencies
+/// change within seconds and the figure is half a second old, so a third of the target is kept as a margin.
+const SLOW_DOWN_ABOVE: f64 = 0.65;
 
-/// Part of a task's target under which what fills beside it is let go faster again.
-const LOOSE: f64 = 0.4;
+/// The part of a target latency below which best-effort runs beside the task are sped up again.
+const SPEED_UP_BELOW: f64 = 0.4;
 
-/// Time between two changes of a run's pace: the figures cover the last half second.
-const PACE_GAP: Duration = Duration::from_millis(500);
+/// The minimum time between two changes of a run's pace; reported figures cover the last half second.
+const PACE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Weight of one run in what is learned of its queue: about the last 50 count.
-const LEARNING: f64 = 0.02;
+/// The weight of one run in the pace learned for its queue; about the last 50 runs count.
+const LEARNING_RATE: f64 = 0.02;
 
-/// Time between two looks for runs that stand still: a tenth of the time after which a run does.
-const STILL_GAP: Duration = Duration::from_millis(200);
+/// The time between two checks for stalled runs: a tenth of the time after which a run counts as stalled.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// By how much a pace is raised at a time, in hundredths.
-const PACE_UP: u64 = 20;
+/// The step by which a pace is raised, in percent.
+const PACE_STEP: u64 = 20;
 
 impl Cell {
-    /// Takes in what a worker said to a question that was sent at `asked`. Returns the runs that it had said to be
-    /// there and that are gone without an end.
+    /// Applies a worker's report on a poll that was sent at `sent_at`. Returns the runs that the worker had
+    /// reported before and that are gone without an end.
     pub fn report(
         &mut self,
         worker: &str,
         report: &Report,
-        asked: Instant,
+        sent_at: Instant,
         now: Instant,
     ) -> Vec<(TaskId, RunId)> {
         let Some(host) = self.workers.get_mut(worker) else {
@@ -48,78 +47,78 @@
         host.silent_since = None;
         host.refused_at = None;
         host.lapsed.clear();
-        host.last_answer = host.last_answer.max(Some(asked));
+        host.last_answer = host.last_answer.max(Some(sent_at));
         self.gate.expected.remove(name_of(worker));
-        let noted = host.acknowledged;
+        let acknowledged = host.acknowledged;
         self.carry_over(worker, report, now);
-        for end in report.ended.iter().filter(|end| end.number > noted) {
-            self.take_end(worker, end, now);
+        for end in report.ended.iter().filter(|end| end.number > acknowledged) {
+            self.apply_end(worker, end, now);
         }
         for row in &report.running {
-            self.take_row(worker, row, asked, now);
+            self.apply_row(worker, row, sent_at, now);
         }
-        let vanished = self.drop_missing(worker, report, asked);
+        let vanished = self.remove_missing(worker, report, sent_at);
         self.clear_proven(worker, now);
         self.pace(worker, report, now);
         vanished
     }
 
-    /// Stops runs that show no progress, so that they are tried elsewhere.
+    /// Stops runs without progress, so that their tasks are tried elsewhere.
     pub fn stop_stalled(&mut self, now: Instant) {
         if self.still_due.is_some_and(|due| now < due) {
             return;
         }
-        self.still_due = Some(now + STILL_GAP);
-        let still = self.limits.still;
-        let mut stuck = Vec::new();
+        self.still_due = Some(now + STALL_CHECK_INTERVAL);
+        let stalled_after = self.limits.still;
+        let mut stalled = Vec::new();
         for worker in self.workers.values() {
             let rows = worker.runs.iter().filter(|(_, state)| {
                 state.phase == RunPhase::Running
-                    && now > state.progressed_at + still
+                    && now > state.progressed_at + stalled_after
                     && state.pace == 100
             });
-            stuck.extend(rows.map(|((task, run), _)| (worker.info.id.clone(), *task, *run)));
+            stalled.extend(rows.map(|((task, run), _)| (worker.info.id.clone(), *task, *run)));
         }
-        for (id, task, run) in stuck {
-            let lasting = self
+        for (id, task, run) in stalled {
+            let is_long_running = self
                 .jobs
                 .get(&task.job)
                 .is_none_or(|job| job.submission.spec.is_long_running());
-            if lasting {
+            if is_long_running {
                 continue;
             }
-            self.blame(&id, now);
+            self.count_worker_failure(&id, now);
             self.stop_run(&id, task, run);
         }
     }
 
-    /// Takes in an end that a worker listed for the first time.
-    fn take_end(&mut self, worker: &str, end: &EndRow, now: Instant) {
-        let mut took = None;
+    /// Applies an end that a worker has listed for the first time.
+    fn apply_end(&mut self, worker: &str, end: &EndRow, now: Instant) {
+        let mut runtime = None;
         if let Some(host) = self.workers.get_mut(worker) {
             host.acknowledged = end.number;
-            took = host
+            runtime = host
                 .remove(end.task, end.run)
                 .map(|state| now - state.ordered_at);
             if end.how == RunOutcome::Done {
                 host.failures = 0;
             }
         }
-        if let (Some(took), RunOutcome::Done) = (took, end.how) {
-            self.learn_pace(worker, end.task, took);
+        if let (Some(runtime), RunOutcome::Done) = (runtime, end.how) {
+            self.learn_pace(worker, end.task, runtime);
         }
         if end.how == RunOutcome::Failed {
-            self.blame(worker, now);
+            self.count_worker_failure(worker, now);
         }
         self.note(worker, end.number);
         if end.how == RunOutcome::Done {
-            self.clear(end.task, took.unwrap_or_default(), now);
+            self.clear(end.task, runtime.unwrap_or_default(), now);
         }
         self.end_run(worker, end.task, end.run, end.how, &end.saved);
     }
 
-    /// Learns how long the runs of a queue take, against what their callers estimate.
-    fn learn_pace(&mut self, worker: &str, task: TaskId, took: Duration) {
+    /// Learns how long the runs of a queue take compared with the callers' estimates.
+    fn learn_pace(&mut self, worker: &str, task: TaskId, runtime: Duration) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -129,14 +128,14 @@
         if step.estimate_ms == 0 || step.long_running {
             return;
         }
-        let near = took.as_millis() as f64 / self.far_factor(worker, step);
-        let seen = near / step.estimate_ms as f64;
+        let near_runtime = runtime.as_millis() as f64 / self.far_factor(worker, step);
+        let ratio = near_runtime / step.estimate_ms as f64;
         let pace = self.pace.entry(job.submission.queue.clone()).or_insert(1.0);
-        *pace += (seen.min(10.0) - *pace) * LEARNING;
+        *pace += (ratio.min(10.0) - *pace) * LEARNING_RATE;
     }
 
-    /// Counts a bad end against a worker and sets it aside after several in a row.
-    fn blame(&mut self, worker: &str, now: Instant) {
+    /// Counts a failed run of a worker and excludes the worker for a while after several in a row.
+    fn count_worker_failure(&mut self, worker: &str, now: Instant) {
         let limits = self.limits.clone();
         let Some(host) = self.workers.get_mut(worker) else {
             return;
@@ -147,11 +146,11 @@
         }
         let service = host.info.service.clone();
         let of_service = || self.workers.of(&service);
-        let aside = of_service()
+        let excluded = of_service()
             .filter(|w| w.excluded_until.is_some_and(|until| until > now))
             .count();
-        // At most a third of a pool: where all fail, the fault is not the workers'.
-        if (aside + 1) * 3 > of_service().count() {
+        // At most a third of a pool is excluded: if all workers fail, the fault is not theirs.
+        if (excluded + 1) * 3 > of_service().count() {
             return;
         }
         if let Some(host) = self.workers.get_mut(worker) {
@@ -160,16 +159,16 @@
         }
     }
 
-    /// Takes in what a worker said of a run that it has, to a question that was sent at `asked`.
-    fn take_row(&mut self, worker: &str, row: &RunRow, asked: Instant, now: Instant) {
+    /// Applies what a worker reports of a running run; the poll was sent at `sent_at`.
+    fn apply_row(&mut self, worker: &str, row: &RunRow, sent_at: Instant, now: Instant) {
         self.note_begun(row.task.job);
         if self.run_mut(worker, row.task, row.run).is_none() {
-            self.adopt(worker, row, now);
+            self.add_unknown_run(worker, row, now);
         } else if !self.is_current(worker, row.task, row.run) {
-            // Its job may have been cancelled before the worker was met.
+            // The job may have been cancelled before the worker was contacted.
             self.stop_run(worker, row.task, row.run);
         }
-        self.stop_again(worker, row, asked);
+        self.retry_stop(worker, row, sent_at);
         let Some(state) = self.run_mut(worker, row.task, row.run) else {
             return;
         };
@@ -194,21 +193,21 @@
         }
     }
 
-    /// Has a run stopped once more that goes on although the worker has taken a stop and had its time for it:
-    /// what nobody asked for any more is told to stop until a report shows it gone.
-    fn stop_again(&mut self, worker: &str, row: &RunRow, asked: Instant) {
+    /// Stops a run again that continues although the worker accepted a stop and had time to carry it out.
+    /// This is repeated until a report no longer lists the run.
+    fn retry_stop(&mut self, worker: &str, row: &RunRow, sent_at: Instant) {
         let Some(state) = self.run_mut(worker, row.task, row.run) else {
             return;
         };
-        let goes_on = state.answered_at.is_some_and(|at| asked > at);
-        if state.phase == RunPhase::Stopping && goes_on {
+        let continues = state.answered_at.is_some_and(|at| sent_at > at);
+        if state.phase == RunPhase::Stopping && continues {
             self.order_stop(worker, row.task, row.run);
         }
     }
 
-    /// A run that was not known to be there: one of ours that was given up too early, or one that
-    /// nobody wants any more.
-    fn adopt(&mut self, worker: &str, row: &RunRow, now: Instant) {
+    /// Adds a run that was not known: one of a task that was dropped too early, or one that is no longer
+    /// needed and is stopped.
+    fn add_unknown_run(&mut self, worker: &str, row: &RunRow, now: Instant) {
         let job = self.jobs.get(&row.task.job);
         let free = Load {
             need: Need::default(),
@@ -227,14 +226,14 @@
             host.add(row.task, row.run, RunState::inherited(load, charge, now));
         }
         if newer {
-            self.reclaim(worker, row.task, row.run);
+            self.make_current(worker, row.task, row.run);
         } else if !self.is_current(worker, row.task, row.run) {
             self.stop_run(worker, row.task, row.run);
         }
     }
 
-    /// Takes a run for the current one of its task.
-    fn reclaim(&mut self, worker: &str, task: TaskId, run: RunId) {
+    /// Makes a run the current one of its task.
+    fn make_current(&mut self, worker: &str, task: TaskId, run: RunId) {
         let job = self.jobs.get_mut(&task.job);
         let state = job.and_then(|job| job.task_mut(task.round, task.step, task.index));
         if let Some(state) = state {
@@ -244,13 +243,13 @@
         }
     }
 
-    /// Runs that the worker no longer has and whose end it has not listed: they never came there. Returns those that
-    /// it had said to be there.
-    fn drop_missing(
+    /// Removes runs that the worker no longer reports and whose end it has not listed, since their starts
+    /// never arrived. Returns those that it had reported before.
+    fn remove_missing(
         &mut self,
         worker: &str,
         report: &Report,
-        asked: Instant,
+        sent_at: Instant,
     ) -> Vec<(TaskId, RunId)> {
         let Some(host) = self.workers.get(worker) else {
             return Vec::new();
@@ -261,15 +260,15 @@
                 .iter()
                 .any(|row| row.task == task && row.run == run)
         };
-        let gone: Vec<(TaskId, RunId)> = host
+        let missing: Vec<(TaskId, RunId)> = host
             .runs
             .iter()
-            .filter(|(_, state)| state.answered_at.is_some_and(|at| asked > at))
+            .filter(|(_, state)| state.answered_at.is_some_and(|at| sent_at > at))
             .map(|(key, _)| *key)
             .filter(|(task, run)| !listed(*task, *run))
             .collect();
         let mut vanished = Vec::new();
-        for (task, run) in gone {
+        for (task, run) in missing {
             let state = self
                 .workers
                 .get_mut(worker)
@@ -284,10 +283,10 @@
         vanished
     }
 
-    /// Slows down what fills beside tasks whose answers take too long, and lets it go again.
+    /// Slows down best-effort runs beside tasks that exceed their target latency, and speeds them up again.
     fn pace(&mut self, worker: &str, report: &Report, now: Instant) {
-        let mut tightest: f64 = 0.0;
-        let mut fillers = Vec::new();
+        let mut max_ratio: f64 = 0.0;
+        let mut best_effort_runs = Vec::new();
         for row in &report.running {
             let Some(job) = self.jobs.get(&row.task.job) else {
                 continue;
@@ -296,29 +295,29 @@
                 continue;
             };
             if let Some(target) = step.target_latency_ms {
-                tightest = tightest.max(row.figure as f64 / target.max(1) as f64);
+                max_ratio = max_ratio.max(row.figure as f64 / target.max(1) as f64);
             }
             if step.best_effort {
-                fillers.push((row.task, row.run));
+                best_effort_runs.push((row.task, row.run));
             }
         }
-        for (task, run) in fillers {
-            self.pace_run(worker, task, run, tightest, now);
+        for (task, run) in best_effort_runs {
+            self.pace_run(worker, task, run, max_ratio, now);
         }
     }
 
-    /// Sets the pace of a run by how tight the tightest task beside it is: 1 is at its target.
-    fn pace_run(&mut self, worker: &str, task: TaskId, run: RunId, tightest: f64, now: Instant) {
+    /// Sets the pace of a run by the highest ratio of latency to target among the tasks beside it.
+    fn pace_run(&mut self, worker: &str, task: TaskId, run: RunId, max_ratio: f64, now: Instant) {
         let Some(state) = self.run_mut(worker, task, run) else {
             return;
         };
-        if state.paced_at.is_some_and(|at| now < at + PACE_GAP) {
+        if state.paced_at.is_some_and(|at| now < at + PACE_INTERVAL) {
             return;
         }
         let percent = match state.pace {
-            pace if tightest > 1.0 => pace / 4,
-            pace if tightest > TIGHT => pace / 2,
-            pace if tightest < LOOSE => (pace + PACE_UP).min(100),
+            pace if max_ratio > 1.0 => pace / 4,
+            pace if max_ratio > SLOW_DOWN_ABOVE => pace / 2,
+            pace if max_ratio < SPEED_UP_BELOW => (pace + PACE_STEP).min(100),
             pace => pace,
         };
         if percent == state.pace {
@@ -336,8 +335,8 @@
     }
 }
 
-/// Whether a run was started after what is known of its task: an earlier owner that could not record
-/// it starts a next run only once the end of the one before was listed.
+/// Returns whether a run is newer than what is known of its task. An earlier owner without access to the log
+/// starts the next run only after the end of the one before was listed.
 fn is_newer(task: &Task, run: RunId) -> bool {
     match task.phase {
         TaskPhase::Waiting => run >= task.run,
