--- a/crates/havenladder/src/entry/upkeep.rs
+++ b/crates/havenladder/src/entry/upkeep.rs
@@ -173,8 +173,7 @@
     };
     let cell = owner.cell.borrow();
     let worker = down.worker.as_ref().and_then(|id| cell.workers.get(id));
-    let heard =
-        worker.is_none_or(|worker| worker.last_answer.is_some_and(|heard| heard > answered));
+    let heard = worker.is_none_or(|worker| worker.last_seen.is_some_and(|heard| heard > answered));
     heard || answered.elapsed() >= ORDER_LOST
 }
 
--- a/crates/jobs/src/disruption.rs
+++ b/crates/jobs/src/disruption.rs
@@ -77,7 +77,7 @@
         };
         let may_go = |task: &TaskId| {
             self.budget(*task).is_some_and(|budget| {
-                worker.siblings(*task) > budget && self.away(*task, None) < budget
+                worker.siblings(*task) > budget && self.count_away(*task, None) < budget
             })
         };
         let mut runs = worker.runs.iter();
@@ -92,7 +92,7 @@
     /// Returns whether too many tasks of a task's step would be away if a worker that has the task left.
     fn exceeds_budget(&self, worker: &Worker, task: TaskId) -> bool {
         let budget = self.budget(task);
-        budget.is_some_and(|budget| self.away(task, Some(&worker.info.id)) >= budget)
+        budget.is_some_and(|budget| self.count_away(task, Some(&worker.info.id)) >= budget)
     }
 
     /// Returns how many tasks of a task's step may be away; `None` if there is no limit.
@@ -105,7 +105,7 @@
     }
 
     /// Returns how many other tasks of a task's step are not operational, or are on the worker that leaves.
-    pub(crate) fn away(&self, task: TaskId, leaving: Option<&str>) -> u32 {
+    pub(crate) fn count_away(&self, task: TaskId, leaving: Option<&str>) -> u32 {
         let round = self
             .jobs
             .get(&task.job)
@@ -118,13 +118,13 @@
                 index: *index,
                 ..task
             };
-            sibling != task && !self.works(sibling, state, leaving)
+            sibling != task && !self.is_operational(sibling, state, leaving)
         };
         (0..).zip(tasks).filter(is_away).count() as u32
     }
 
     /// Returns whether a task is operational on a worker that stays, other than the one that leaves.
-    fn works(&self, task: TaskId, state: &Task, leaving: Option<&str>) -> bool {
+    fn is_operational(&self, task: TaskId, state: &Task, leaving: Option<&str>) -> bool {
         let TaskPhase::Placed(on) = &state.phase else {
             return false;
         };
--- a/crates/jobs/src/hall.rs
+++ b/crates/jobs/src/hall.rs
@@ -81,6 +81,6 @@
                 && may_join(step, || host.siblings(task))
         };
         let budget = step.disruption_budget.unwrap_or(DEFAULT_MAX_AWAY);
-        self.away(task, None) < budget && self.workers.of(&worker.info.service).any(fits)
+        self.count_away(task, None) < budget && self.workers.of(&worker.info.service).any(fits)
     }
 }
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -47,7 +47,7 @@
         host.silent_since = None;
         host.refused_at = None;
         host.lapsed.clear();
-        host.last_answer = host.last_answer.max(Some(sent_at));
+        host.last_seen = host.last_seen.max(Some(sent_at));
         self.gate.expected.remove(name_of(worker));
         let acknowledged = host.acknowledged;
         self.carry_over(worker, report, now);
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -98,7 +98,7 @@
 
     /// Places a waiting task if it may start now.
     fn try_place(&mut self, service: &str, rank: &Rank, now: Instant, log: LogState) -> Placing {
-        if self.is_held(service, rank, now, log) || self.needs_quarantine(rank.task(), now) {
+        if self.must_wait(service, rank, now, log) || self.needs_quarantine(rank.task(), now) {
             Placing::MustWait
         } else if self.is_stale(rank.task()) {
             Placing::Done
@@ -111,7 +111,13 @@
 
     /// Returns whether a waiting task must not start yet, because a run of it may exist or because of what an
     /// earlier owner may have done.
-    pub(crate) fn is_held(&self, service: &str, rank: &Rank, now: Instant, log: LogState) -> bool {
+    pub(crate) fn must_wait(
+        &self,
+        service: &str,
+        rank: &Rank,
+        now: Instant,
+        log: LogState,
+    ) -> bool {
         let task = rank.task();
         let lost = log == LogState::Unavailable && self.lost.contains(&task);
         lost || self.is_gated(rank.order(), service, now) || self.has_run(task)
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -202,7 +202,7 @@
     /// Until when it gets no new runs after failures or refusals.
     pub excluded_until: Option<Instant>,
     /// When the latest poll that it has answered was sent. It was running at that time.
-    pub last_answer: Option<Instant>,
+    pub last_seen: Option<Instant>,
     /// When it was first found to be silent after its last answer.
     pub silent_since: Option<Instant>,
     /// When its port last refused a connection after its last answer.
@@ -233,7 +233,7 @@
             acknowledged: 0,
             failures: 0,
             excluded_until: None,
-            last_answer: None,
+            last_seen: None,
             silent_since: None,
             refused_at: None,
             unlisted_at: None,
@@ -244,12 +244,12 @@
 
     /// Returns whether it has answered at any time or may have runs.
     pub fn is_real(&self) -> bool {
-        self.last_answer.is_some() || !self.runs.is_empty() || !self.lapsed.is_empty()
+        self.last_seen.is_some() || !self.runs.is_empty() || !self.lapsed.is_empty()
     }
 
     /// Returns how long a run is known to have been at work: from its start to the worker's latest answer.
     pub fn known_runtime(&self, state: &RunState) -> Duration {
-        match (state.sent_at, self.last_answer) {
+        match (state.sent_at, self.last_seen) {
             (Some(sent), Some(last)) if state.confirmed => last.saturating_duration_since(sent),
             _ => Duration::ZERO,
         }
@@ -278,7 +278,7 @@
     pub fn has_announced(&self) -> bool {
         match self.unlisted_at {
             None => self.info.draining,
-            Some(at) => self.last_answer.is_some_and(|last| last > at),
+            Some(at) => self.last_seen.is_some_and(|last| last > at),
         }
     }
 
