--- a/crates/havenladder/src/entry/moves/demands.rs
+++ b/crates/havenladder/src/entry/moves/demands.rs
@@ -112,10 +112,10 @@
         let cell = owner.cell.borrow();
         let worker = cell.workers.get(vm.worker.as_ref()?)?;
         let draining = self.draining.contains_key(&vm.name);
-        if worker.anchors > 0 || !(draining || worker.is_open(now)) {
+        if worker.long_running_runs > 0 || !(draining || worker.is_open(now)) {
             return None;
         }
-        let free = now + cell.time_left(&worker.info.id, now);
+        let free = now + cell.time_to_drain(&worker.info.id, now);
         (draining || free <= now + EMPTYING).then(|| LooseVm {
             vm: vm.name.clone(),
             free,
--- a/crates/havenladder/src/entry/moves/drain.rs
+++ b/crates/havenladder/src/entry/moves/drain.rs
@@ -45,7 +45,7 @@
         for name in ended {
             self.draining.remove(&name);
             if let Some(id) = round.worker(&name).filter(|_| !round.waves.holds(&name)) {
-                cell.close_worker(id, false);
+                cell.set_closed(id, false);
             }
         }
     }
@@ -56,7 +56,7 @@
         for &name in wanted {
             let id = round.worker(name);
             if let Some(id) = id.filter(|_| !self.draining.contains_key(name)) {
-                cell.close_worker(id, true);
+                cell.set_closed(id, true);
                 let moved = cell.drain_worker(id, round.now);
                 info!(vm = name, worker = %id, moved, "VM is emptied");
                 self.draining.insert(name.clone(), round.now);
--- a/crates/havenladder/src/entry/upkeep.rs
+++ b/crates/havenladder/src/entry/upkeep.rs
@@ -152,7 +152,7 @@
         if same {
             info!(vm = name, worker = %id, "the VM had had its upkeep before");
             owner.cell.borrow_mut().set_disrupted(id, false);
-            owner.cell.borrow_mut().close_worker(id, false);
+            owner.cell.borrow_mut().set_closed(id, false);
         } else {
             give_up(owner, id, Loss::Ordered);
         }
@@ -244,7 +244,7 @@
     for (_, name) in next.into_iter().take(wanted) {
         if let Some(id) = &vms[name].worker {
             let mut cell = owner.cell.borrow_mut();
-            cell.close_worker(id, true);
+            cell.set_closed(id, true);
             cell.drain_worker(id, Instant::now());
         }
         course.closing.insert(name.clone(), Instant::now());
@@ -329,7 +329,7 @@
     if drained {
         course.closing.remove(&vm.name);
         if let Some(id) = &vm.worker {
-            owner.cell.borrow_mut().close_worker(id, false);
+            owner.cell.borrow_mut().set_closed(id, false);
         }
     }
 }
@@ -370,7 +370,7 @@
             if let Some(id) = &vm.worker {
                 let mut cell = owner.cell.borrow_mut();
                 cell.set_disrupted(id, false);
-                cell.close_worker(id, false);
+                cell.set_closed(id, false);
             }
         }
         // It may be carried out at any moment: the VM counts as down until the list tells.
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -178,7 +178,7 @@
     note_answer(owner, id, told.clock, now);
     ends::log_listed(owner, id, &told.value);
     let mut cell = owner.cell.borrow_mut();
-    let vanished = cell.report(id, &told.value, *asked, now);
+    let vanished = cell.apply_report(id, &told.value, *asked, now);
     let outlived = cell.outlived(id, *asked);
     drop(cell);
     ends::log_vanished(owner, id, &vanished);
--- a/crates/jobs/benches/placement.rs
+++ b/crates/jobs/benches/placement.rs
@@ -82,7 +82,7 @@
         let info = worker(number);
         let id = info.id.clone();
         cell.see_worker(info, now);
-        cell.report(&id, &Report::default(), now, now);
+        cell.apply_report(&id, &Report::default(), now, now);
     }
     cell
 }
--- a/crates/jobs/src/cell/hosts.rs
+++ b/crates/jobs/src/cell/hosts.rs
@@ -126,7 +126,8 @@
         }
         let ending = Ending::of(loss, worker.as_ref());
         // The list may name workers that there never were: their end says nothing of how often workers end.
-        let is_real = orphans.is_some() || worker.as_ref().is_some_and(Worker::is_real);
+        let is_real =
+            orphans.is_some() || worker.as_ref().is_some_and(Worker::has_answered_or_runs);
         let runs = lost_runs(orphans.unwrap_or_default(), worker, now);
         for LostRun { task, run, .. } in &runs {
             if self.is_current(id, *task, *run) {
--- a/crates/jobs/src/cell/lives.rs
+++ b/crates/jobs/src/cell/lives.rs
@@ -17,7 +17,7 @@
         self.see_worker(info, now);
         for excess in self.lives.excess(life.name()) {
             let worker = self.workers.get(&excess);
-            if excess != *life && worker.is_some_and(|worker| !worker.is_real()) {
+            if excess != *life && worker.is_some_and(|worker| !worker.has_answered_or_runs()) {
                 self.lose_worker(&excess, Loss::Lapsed, now);
             }
         }
--- a/crates/jobs/src/disruption.rs
+++ b/crates/jobs/src/disruption.rs
@@ -40,7 +40,7 @@
     }
 
     /// Sets whether a worker gets no new runs.
-    pub fn close_worker(&mut self, id: &str, closed: bool) {
+    pub fn set_closed(&mut self, id: &str, closed: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.closed = closed;
         }
--- a/crates/jobs/src/drain.rs
+++ b/crates/jobs/src/drain.rs
@@ -20,7 +20,7 @@
 impl Cell {
     /// Returns how long it takes until the worker could be drained. Runs that can continue elsewhere count
     /// with at most 0.6 s, the others until their end.
-    pub fn time_left(&self, id: &str, now: Instant) -> Duration {
+    pub fn time_to_drain(&self, id: &str, now: Instant) -> Duration {
         let Some(worker) = self.workers.get(id) else {
             return Duration::ZERO;
         };
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -32,7 +32,7 @@
 impl Cell {
     /// Applies a worker's report on a poll that was sent at `sent_at`. Returns the runs that the worker had
     /// reported before and that are gone without an end.
-    pub fn report(
+    pub fn apply_report(
         &mut self,
         worker: &str,
         report: &Report,
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -215,7 +215,7 @@
     let used = (worker.used.cpu + need.cpu) as f64;
     let kind = RunKind::of(step);
     let mut score = used / capacity;
-    if worker.anchors > 0 {
+    if worker.long_running_runs > 0 {
         score += LONG_RUNNING_BONUS;
     }
     let data_rack = step.data_rack.as_ref();
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns whether the run keeps its worker's VM from being moved freely.
-    fn is_anchor(self) -> bool {
+    fn is_long_running(self) -> bool {
         matches!(self, RunKind::Serving | RunKind::LongRunning)
     }
 }
@@ -192,7 +192,7 @@
     /// The resources that its runs need.
     pub used: Need,
     /// How many of its runs are long-running or serving.
-    pub anchors: usize,
+    pub long_running_runs: usize,
     /// The runs that it may have.
     pub runs: BTreeMap<(TaskId, RunId), RunState>,
     /// The highest end that has been processed.
@@ -228,7 +228,7 @@
             unusable: false,
             order_unconfirmed: false,
             used: Need::default(),
-            anchors: 0,
+            long_running_runs: 0,
             runs: BTreeMap::new(),
             acknowledged: 0,
             failures: 0,
@@ -243,7 +243,7 @@
     }
 
     /// Returns whether it has answered at any time or may have runs.
-    pub fn is_real(&self) -> bool {
+    pub fn has_answered_or_runs(&self) -> bool {
         self.last_seen.is_some() || !self.runs.is_empty() || !self.lapsed.is_empty()
     }
 
@@ -297,7 +297,7 @@
     /// Adds a run and its load.
     pub fn add(&mut self, task: TaskId, run: RunId, state: RunState) {
         self.used.add(state.load.need);
-        self.anchors += usize::from(state.load.kind.is_anchor());
+        self.long_running_runs += usize::from(state.load.kind.is_long_running());
         if let Some(old) = self.runs.insert((task, run), state) {
             self.subtract_load(old.load);
         }
@@ -326,7 +326,7 @@
     /// Subtracts the load of a run.
     fn subtract_load(&mut self, load: Load) {
         self.used.remove(load.need);
-        self.anchors -= usize::from(load.kind.is_anchor());
+        self.long_running_runs -= usize::from(load.kind.is_long_running());
     }
 
     /// Returns how many runs of a kind it has.
--- a/crates/jobs/tests/cell.rs
+++ b/crates/jobs/tests/cell.rs
@@ -301,7 +301,7 @@
         },
     );
     world.join("b1");
-    world.cell.close_worker("a1", true);
+    world.cell.set_closed("a1", true);
     assert_eq!(world.cell.disruption("a1"), Disruption::Guarded);
     assert_eq!(world.cell.shed("a1"), 1);
     assert_eq!(world.stops(), [("a1".into(), task(1, 0, 0), 1)]);
--- a/crates/jobs/tests/crash/mod.rs
+++ b/crates/jobs/tests/crash/mod.rs
@@ -279,7 +279,8 @@
         };
         let running = host.running.keys().map(row).collect();
         let now = self.instant();
-        self.cell.report(id, &Report { running, ended }, now, now);
+        self.cell
+            .apply_report(id, &Report { running, ended }, now, now);
     }
 
     /// Hands in as much as half of the fleet can do, and the jobs with a task that ends its workers.
--- a/crates/jobs/tests/decoders.rs
+++ b/crates/jobs/tests/decoders.rs
@@ -23,7 +23,7 @@
     for _ in 0..3 {
         now += Duration::from_millis(500);
         cell.see_worker(worker("a1"), now);
-        cell.report("a1", &Report::default(), now, now);
+        cell.apply_report("a1", &Report::default(), now, now);
         cell.mark_due(1_000_000);
         cell.schedule(now);
         cell.stop_stalled(now);
--- a/crates/jobs/tests/emptied_halls.rs
+++ b/crates/jobs/tests/emptied_halls.rs
@@ -63,7 +63,7 @@
 #[test]
 fn a_start_that_was_decided_before_the_order_is_not_sent_after_it() {
     let mut world = halls(&["a1", "b1"]);
-    world.cell.close_worker("b1", true);
+    world.cell.set_closed("b1", true);
     world.cell.accept(job(1, vec![step(1)]));
     world.cell.schedule(world.now);
     let batch = world.cell.take_batch();
@@ -72,7 +72,7 @@
     empty(&mut world, "a");
     let confirmed = world.cell.confirm_start("a1", task(1, 0, 0), 1, world.now);
     assert!(!confirmed);
-    world.cell.close_worker("b1", false);
+    world.cell.set_closed("b1", false);
     assert_eq!(started(&mut world), ["b1"]);
 }
 
--- a/crates/jobs/tests/evacuate.rs
+++ b/crates/jobs/tests/evacuate.rs
@@ -17,10 +17,10 @@
     world.cell.accept(job(1, vec![first]));
     world.run();
     world.join("b1");
-    world.cell.close_worker("a1", true);
+    world.cell.set_closed("a1", true);
     world.cell.accept(job(2, vec![step(1)]));
     world.run();
-    world.cell.close_worker("a1", false);
+    world.cell.set_closed("a1", false);
     world
 }
 
@@ -42,8 +42,8 @@
             ended: Vec::new(),
         },
     );
-    assert!(world.cell.time_left("a1", world.now) < Duration::from_secs(1));
-    world.cell.close_worker("a1", true);
+    assert!(world.cell.time_to_drain("a1", world.now) < Duration::from_secs(1));
+    world.cell.set_closed("a1", true);
     assert_eq!(world.cell.drain_worker("a1", world.now), 2);
     assert_eq!(world.stops().len(), 2);
     world.end("a1", 1, task(1, 0, 0), 1, RunOutcome::Stopped);
@@ -58,7 +58,7 @@
 )]
 fn other_runs_are_left_to_end(step: Step) {
     let mut world = busy(step);
-    world.cell.close_worker("a1", true);
+    world.cell.set_closed("a1", true);
     assert_eq!(world.cell.drain_worker("a1", world.now), 0);
     assert!(world.stops().is_empty());
 }
@@ -67,16 +67,16 @@
 fn a_run_that_finds_no_room_elsewhere_stays() {
     // The other worker has room for three more tasks of one core.
     let mut world = busy(long(4));
-    world.cell.close_worker("a1", true);
+    world.cell.set_closed("a1", true);
     assert_eq!(world.cell.drain_worker("a1", world.now), 3);
-    assert!(world.cell.time_left("a1", world.now) > Duration::from_secs(4));
+    assert!(world.cell.time_to_drain("a1", world.now) > Duration::from_secs(4));
 }
 
 #[test]
 fn a_new_owner_goes_on_with_a_move_that_the_earlier_one_began() {
     let mut world = busy(long(1));
     let moved = task(1, 0, 0);
-    world.cell.close_worker("a1", true);
+    world.cell.set_closed("a1", true);
     assert_eq!(world.cell.drain_worker("a1", world.now), 1);
     world.run();
     world.take_over();
--- a/crates/jobs/tests/history/calls.rs
+++ b/crates/jobs/tests/history/calls.rs
@@ -93,7 +93,7 @@
             }
             if !lost {
                 let report = tell(host, now);
-                self.cell.report(&id, &report, asked, asked);
+                self.cell.apply_report(&id, &report, asked, asked);
                 for over in self.cell.outlived(&id, asked) {
                     self.cell.lose_worker(&over, Loss::Ended, asked);
                 }
--- a/crates/jobs/tests/lives.rs
+++ b/crates/jobs/tests/lives.rs
@@ -45,7 +45,7 @@
     let hearing = ask(world, life, life.started_at());
     assert!(matches!(hearing, AnswerOutcome::Same { .. }), "{hearing:?}");
     let asked = world.now - Duration::from_millis(1);
-    world.cell.report(life, report, asked, world.now);
+    world.cell.apply_report(life, report, asked, world.now);
     let outlived = world.cell.outlived(life, asked);
     for over in &outlived {
         world.cell.lose_worker(over, Loss::Ended, world.now);
@@ -341,7 +341,7 @@
     world.cell.started(&life(5), unnamed, 1, world.now);
     let one = report(&[(named, 1)], &[]);
     world.cell.hear(&life(5), Some(5), world.now, world.now);
-    world.cell.report(
+    world.cell.apply_report(
         &life(5),
         &one,
         world.now - Duration::from_millis(9),
--- a/crates/jobs/tests/load/mod.rs
+++ b/crates/jobs/tests/load/mod.rs
@@ -97,7 +97,7 @@
                 ..worker(name)
             };
             cell.see_worker(info, start);
-            cell.report(name, &Report::default(), start, start);
+            cell.apply_report(name, &Report::default(), start, start);
         }
         Load {
             cell,
@@ -224,7 +224,7 @@
             };
             let running = here.map(row).collect();
             self.cell
-                .report(&worker, &Report { running, ended }, at, at);
+                .apply_report(&worker, &Report { running, ended }, at, at);
         }
     }
 
--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/world/mod.rs
@@ -67,7 +67,7 @@
     /// A worker reports.
     pub fn report(&mut self, id: &str, report: Report) {
         self.pass(1);
-        self.cell.report(id, &report, self.now, self.now);
+        self.cell.apply_report(id, &report, self.now, self.now);
     }
 
     /// A worker lists one end.
