--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -268,7 +268,7 @@
         queue: queue.name.clone(),
         service: queue.service.clone(),
         priority: queue.priority,
-        attempts: queue.attempts,
+        max_attempts: queue.attempts,
         requires_permits: queue.permits,
         submitted_at: wall_ms(),
         stretch: queue.stretch,
--- a/crates/jobs/benches/placement.rs
+++ b/crates/jobs/benches/placement.rs
@@ -54,7 +54,7 @@
         queue: "q".to_owned(),
         service: "s".to_owned(),
         priority: 0,
-        attempts: 3,
+        max_attempts: 3,
         requires_permits: false,
         submitted_at: 0,
         stretch: 1.6,
--- a/crates/jobs/src/cell/crashes.rs
+++ b/crates/jobs/src/cell/crashes.rs
@@ -59,7 +59,7 @@
     fn blame_run(&mut self, run: &LostRun, one_fresh: bool) -> bool {
         let fresh = run.involvement.is_fresh();
         let crash = Crash {
-            age: run.age.map(|age| age.as_millis() as u64),
+            age_ms: run.age.map(|age| age.as_millis() as u64),
             fresh,
             alone: fresh && one_fresh && run.age.is_some(),
         };
@@ -161,7 +161,7 @@
         for state in job.repeats_mut(task.step, task.index) {
             state.history.crashes.clear();
             let lived = lived.as_millis() as u64;
-            state.history.outlived = state.history.outlived.max(lived);
+            state.history.max_runtime_ms = state.history.max_runtime_ms.max(lived);
         }
         if self.suspicions.tasks.contains(&task) {
             for repeat in self.repeats(task) {
--- a/crates/jobs/src/cell/ends.rs
+++ b/crates/jobs/src/cell/ends.rs
@@ -46,7 +46,7 @@
             state.saved = saved.to_owned();
         }
         // An earlier owner may have started it without a record; numbers must go on rising.
-        state.top = state.top.max(run);
+        state.max_reported_run = state.max_reported_run.max(run);
         job.find_step(task)
     }
 
@@ -55,7 +55,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
-        let attempts = job.submission.attempts as usize;
+        let attempts = job.submission.max_attempts as usize;
         let counted = if gang { 0 } else { task.index };
         let Some(state) = job.task_mut(task.round, task.step, counted) else {
             return false;
@@ -82,7 +82,7 @@
             placed,
         } = close_tasks(job, task, members);
         let round = &mut job.rounds[task.round as usize];
-        let open = &mut round.open[task.step as usize];
+        let open = &mut round.unfinished[task.step as usize];
         *open = open.saturating_sub(closed);
         let ended = *open == 0;
         let over = job.rounds.iter().all(Round::is_done);
--- a/crates/jobs/src/cell/takeover.rs
+++ b/crates/jobs/src/cell/takeover.rs
@@ -93,7 +93,7 @@
         queue: QueueId::new(),
         service: ServiceId::new(),
         priority: 0,
-        attempts: 0,
+        max_attempts: 0,
         requires_permits: false,
         submitted_at: 0,
         stretch: 1.0,
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -45,7 +45,8 @@
     /// The number of the last run; 0 before the first.
     pub run: RunId,
     /// The highest run number that a worker has reported. An earlier owner may not have recorded that run.
-    pub top: RunId,
+    #[serde(rename = "top")]
+    pub max_reported_run: RunId,
     /// The runs that have failed. Each is listed once, however often and in whatever order workers report it.
     pub failed: Vec<RunId>,
     /// The latest saved progress; empty if there is none.
@@ -58,7 +59,7 @@
 impl Task {
     /// Returns the number of the next run.
     pub fn next_run(&self) -> RunId {
-        self.run.max(self.top) + 1
+        self.run.max(self.max_reported_run) + 1
     }
 }
 
@@ -68,7 +69,8 @@
     /// The tasks, by step and index.
     pub steps: Vec<Vec<Task>>,
     /// The number of tasks of each step that have not succeeded.
-    pub open: Vec<u32>,
+    #[serde(rename = "open")]
+    pub unfinished: Vec<u32>,
     /// Whether the round is due.
     pub due: bool,
 }
@@ -79,7 +81,7 @@
         let fresh = Task {
             phase: TaskPhase::Waiting,
             run: 0,
-            top: 0,
+            max_reported_run: 0,
             failed: Vec::new(),
             saved: String::new(),
             history: CrashHistory::default(),
@@ -87,20 +89,20 @@
         let tasks = |step: &Step| vec![fresh.clone(); step.count as usize];
         Round {
             steps: steps.iter().map(tasks).collect(),
-            open: steps.iter().map(|s| s.count).collect(),
+            unfinished: steps.iter().map(|s| s.count).collect(),
             due: false,
         }
     }
 
     /// Returns whether the round is due and all steps that `step` depends on have succeeded.
     pub fn is_ready(&self, step: &Step) -> bool {
-        let ended = |number: &u32| self.open.get(*number as usize) == Some(&0);
+        let ended = |number: &u32| self.unfinished.get(*number as usize) == Some(&0);
         self.due && step.after.iter().all(ended)
     }
 
     /// Returns whether all tasks have succeeded.
     pub fn is_done(&self) -> bool {
-        self.open.iter().all(|open| *open == 0)
+        self.unfinished.iter().all(|open| *open == 0)
     }
 }
 
@@ -152,7 +154,7 @@
     /// Returns when a round is due, in ms since 1970; `None` if it is due at once.
     pub fn due_at(&self, round: u32) -> Option<u64> {
         let schedule = self.submission.spec.schedule?;
-        Some(schedule.first + u64::from(round) * schedule.interval)
+        Some(schedule.first_due_ms + u64::from(round) * schedule.interval_ms)
     }
 
     /// Returns until when a round is in time, in ms since 1970, if its work takes `pace` times as long as
@@ -169,7 +171,7 @@
         let is_step = |(step, tasks): (&Step, &Vec<Task>)| tasks.len() == step.count as usize;
         let is_round = |round: &Round| {
             round.steps.len() == steps.len()
-                && round.open.len() == steps.len()
+                && round.unfinished.len() == steps.len()
                 && steps.iter().zip(&round.steps).all(is_step)
         };
         rounds.len() == self.submission.spec.rounds() as usize && rounds.iter().all(is_round)
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -295,7 +295,7 @@
                 continue;
             };
             if let Some(target) = step.target_latency_ms {
-                max_ratio = max_ratio.max(row.figure as f64 / target.max(1) as f64);
+                max_ratio = max_ratio.max(row.measurement as f64 / target.max(1) as f64);
             }
             if step.best_effort {
                 best_effort_runs.push((row.task, row.run));
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -179,7 +179,7 @@
         let step = job.step(task.step);
         let state = job.task(task.round, task.step, task.index);
         // A run of a task outside of gangs is recorded in the task once it is reported.
-        if !step.gang && state.is_some_and(|state| state.run == 0 && state.top == 0) {
+        if !step.gang && state.is_some_and(|state| state.run == 0 && state.max_reported_run == 0) {
             return false;
         }
         let last = if step.gang {
--- a/crates/jobs/src/report.rs
+++ b/crates/jobs/src/report.rs
@@ -31,7 +31,7 @@
     /// How much of the work is done, in percent; for a long-running task 100 once it is operational.
     pub percent: u64,
     /// The tail latency in ms for a serving task, else the processor time in use.
-    pub figure: u64,
+    pub measurement: u64,
 }
 
 /// A run that has ended.
--- a/crates/jobs/src/spec.rs
+++ b/crates/jobs/src/spec.rs
@@ -64,9 +64,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
     /// When the first repeat is due, in ms since 1970.
-    pub first: u64,
+    #[serde(rename = "first")]
+    pub first_due_ms: u64,
     /// The time between two repeats, in ms.
-    pub interval: u64,
+    #[serde(rename = "interval")]
+    pub interval_ms: u64,
     /// The number of repeats.
     pub repeats: u32,
 }
@@ -94,7 +96,8 @@
     /// The priority; 0 is the highest.
     pub priority: u32,
     /// How often a task may fail before the job fails.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// Whether only workers with a permit may run the job.
     #[serde(rename = "permits")]
     pub requires_permits: bool,
--- a/crates/jobs/src/suspicion.rs
+++ b/crates/jobs/src/suspicion.rs
@@ -57,7 +57,8 @@
 pub struct Crash {
     /// The time from sending the start until the worker was found silent, in ms; `None` if an earlier owner
     /// sent the start.
-    pub age: Option<u64>,
+    #[serde(rename = "age")]
+    pub age_ms: Option<u64>,
     /// Whether the run had just begun.
     pub fresh: bool,
     /// Whether the run was the only one that had just begun, or was in quarantine.
@@ -67,14 +68,14 @@
 impl Crash {
     /// Returns whether the crash came promptly after the start.
     fn is_prompt(&self) -> bool {
-        self.age
+        self.age_ms
             .is_some_and(|age| age <= PROMPT_AGE.as_millis() as u64)
     }
 
     /// Returns whether a run that was at work for `runtime_ms` shows that the task did not cause this crash:
     /// a task that crashes its workers does so at about the same age each time.
     fn is_disproved_by(&self, runtime_ms: u64) -> bool {
-        self.age
+        self.age_ms
             .is_some_and(|age| runtime_ms > 2 * age + PROVEN_AGE.as_millis() as u64)
     }
 }
@@ -96,7 +97,8 @@
     /// The crashes that the task may have caused.
     pub crashes: Vec<Crash>,
     /// The longest time that a run of it is known to have been at work, in ms.
-    pub outlived: u64,
+    #[serde(rename = "outlived")]
+    pub max_runtime_ms: u64,
 }
 
 impl CrashHistory {
@@ -104,10 +106,10 @@
     /// counts against the task.
     pub(crate) fn record_crash(&mut self, crash: Crash, runtime_ms: u64) -> bool {
         let is_late = runtime_ms > MAX_SUSPECT_RUNTIME.as_millis() as u64;
-        let counts = !is_late && !crash.is_disproved_by(self.outlived);
+        let counts = !is_late && !crash.is_disproved_by(self.max_runtime_ms);
         self.crashes
             .retain(|earlier| !earlier.is_disproved_by(runtime_ms));
-        self.outlived = self.outlived.max(runtime_ms);
+        self.max_runtime_ms = self.max_runtime_ms.max(runtime_ms);
         if counts {
             self.crashes.push(crash);
         }
@@ -117,7 +119,7 @@
     /// Returns the age that a run must reach to show that the task is not the cause: twice the lowest age at
     /// which a worker crashed, since a task does its work at about the same pace everywhere.
     pub(crate) fn threshold(&self) -> Duration {
-        let ages = self.crashes.iter().filter_map(|crash| crash.age);
+        let ages = self.crashes.iter().filter_map(|crash| crash.age_ms);
         let least = Duration::from_millis(ages.min().unwrap_or(0));
         PROVEN_AGE.max(least * 2)
     }
--- a/crates/jobs/tests/blame.rs
+++ b/crates/jobs/tests/blame.rs
@@ -256,8 +256,8 @@
 fn repeats_of_a_job_share_what_speaks_against_a_task() {
     let schedule = Schedule {
         repeats: 2,
-        first: 0,
-        interval: 0,
+        first_due_ms: 0,
+        interval_ms: 0,
     };
     let mut given: Submission = job(1, vec![step(1)]);
     given.spec.schedule = Some(schedule);
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -360,7 +360,7 @@
         given.queue.clone(),
         given.service.clone(),
         given.priority,
-        given.attempts,
+        given.max_attempts,
         given.requires_permits,
         given.submitted_at,
         given.stretch,
--- a/crates/jobs/tests/crash/mod.rs
+++ b/crates/jobs/tests/crash/mod.rs
@@ -275,7 +275,7 @@
             run: *run,
             saved: String::new(),
             percent: self.now / ASK,
-            figure: 0,
+            measurement: 0,
         };
         let running = host.running.keys().map(row).collect();
         let now = self.instant();
--- a/crates/jobs/tests/history/host.rs
+++ b/crates/jobs/tests/history/host.rs
@@ -165,7 +165,7 @@
         run: *run,
         saved: String::new(),
         percent: 100 - (state.ends - now.min(state.ends)).min(1_500) / 15,
-        figure: 0,
+        measurement: 0,
     };
     Report {
         running: host.running.iter().map(row).collect(),
--- a/crates/jobs/tests/history/mod.rs
+++ b/crates/jobs/tests/history/mod.rs
@@ -175,7 +175,7 @@
         }
         let workspace = self.choose_workspace(id);
         self.cell.accept(havenladder_jobs::Submission {
-            attempts: 50,
+            max_attempts: 50,
             workspace,
             ..job(id, steps)
         });
--- a/crates/jobs/tests/load/mod.rs
+++ b/crates/jobs/tests/load/mod.rs
@@ -220,7 +220,7 @@
                 run: run.run,
                 saved: String::new(),
                 percent: now % 100,
-                figure: 0,
+                measurement: 0,
             };
             let running = here.map(row).collect();
             self.cell
--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/world/mod.rs
@@ -37,7 +37,7 @@
         run,
         saved: String::new(),
         percent,
-        figure: 0,
+        measurement: 0,
     }
 }
 
