--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -137,8 +137,8 @@
     let Answer { asked, told } = answer;
     let hearing = owner.cell.borrow_mut().hear(id, told.born, *asked, now);
     match hearing {
-        AnswerOutcome::Same { began } => {
-            if began {
+        AnswerOutcome::Same { restarted } => {
+            if restarted {
                 note_restart(owner, id, now);
             }
             take_report(owner, id, answer, now);
@@ -148,11 +148,11 @@
             info!(worker = %id, "answer of an earlier life was overtaken");
             Watch::Again
         }
-        AnswerOutcome::Replaced { next, began } => {
+        AnswerOutcome::Replaced { next, restarted } => {
             if !owner.contacts.borrow().contains_key(&next) {
                 meet(owner, next.clone(), owner.inherited);
             }
-            if began {
+            if restarted {
                 note_restart(owner, &next, now);
             }
             owner.wake();
--- a/crates/jobs/src/incarnations.rs
+++ b/crates/jobs/src/incarnations.rs
@@ -32,15 +32,15 @@
 pub enum AnswerOutcome {
     /// This incarnation has answered.
     Same {
-        /// Whether another incarnation had answered before.
-        began: bool,
+        /// Whether this is its first answer after another incarnation had answered.
+        restarted: bool,
     },
     /// This incarnation has ended; another one has answered in its place.
     Replaced {
         /// The incarnation that is running.
         next: WorkerId,
-        /// Whether the running incarnation has answered for the first time.
-        began: bool,
+        /// Whether this is the first answer of the running incarnation after another one had answered.
+        restarted: bool,
     },
     /// Nothing: the request was sent before the incarnation that now answers was known, and the answer
     /// arrived late.
@@ -274,19 +274,19 @@
             .last_answer
             .as_ref()
             .filter(|last_answer| last_answer.incarnation != incarnation);
-        let began = other.is_some();
+        let restarted = other.is_some();
         // The request was sent before the other incarnation answered, so either may be the later one.
         if other.is_some_and(|last_answer| requested_at < last_answer.at) {
             return AnswerOutcome::Outdated;
         }
-        worker.changes += u64::from(began);
+        worker.changes += u64::from(restarted);
         worker.record_answer_of(incarnation.clone(), requested_at, now);
         if incarnation == *addressee {
-            AnswerOutcome::Same { began }
+            AnswerOutcome::Same { restarted }
         } else {
             AnswerOutcome::Replaced {
                 next: incarnation,
-                began,
+                restarted,
             }
         }
     }
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -76,7 +76,7 @@
 /// Returns the record of a job's submission.
 pub fn encode_submission(job: &Job) -> Entry {
     let value = rmp_serde::to_vec(&(job.order, &job.submission))
-        .expect("plain data has a form in MessagePack");
+        .expect("plain data can be encoded as MessagePack");
     Entry {
         key: encode_key(SUBMISSION, job.submission.id),
         value: Some(value),
@@ -103,7 +103,7 @@
         rounds,
         workspace,
     };
-    let value = rmp_serde::to_vec(&state).expect("plain data has a form in MessagePack");
+    let value = rmp_serde::to_vec(&state).expect("plain data can be encoded as MessagePack");
     Entry {
         key: encode_key(STATE, job.submission.id),
         value: Some(value),
@@ -112,7 +112,7 @@
 
 /// Returns the record of the VMs that an owner is about to give orders about.
 pub fn encode_vm_orders(vms: &BTreeMap<String, Holder>) -> Entry {
-    let value = rmp_serde::to_vec(vms).expect("plain data has a form in MessagePack");
+    let value = rmp_serde::to_vec(vms).expect("plain data can be encoded as MessagePack");
     Entry {
         key: encode_key(VM_ORDERS, 0),
         value: Some(value),
@@ -121,7 +121,7 @@
 
 /// Returns the record of the VMs that were maintained in a wave.
 pub fn encode_maintained(wave: u64, vms: &BTreeSet<String>) -> Entry {
-    let value = rmp_serde::to_vec(vms).expect("plain data has a form in MessagePack");
+    let value = rmp_serde::to_vec(vms).expect("plain data can be encoded as MessagePack");
     Entry {
         key: encode_key(MAINTAINED, wave),
         value: Some(value),
--- a/crates/jobs/tests/history/calls.rs
+++ b/crates/jobs/tests/history/calls.rs
@@ -67,8 +67,8 @@
             host.leased = host.leased.max(now + lease);
             // The first of two questions tells which life answers; only the second tells which ends are durable.
             match self.cell.hear(&id, born, asked, asked) {
-                AnswerOutcome::Same { began: false } => host.heard = true,
-                AnswerOutcome::Same { began: true } => {
+                AnswerOutcome::Same { restarted: false } => host.heard = true,
+                AnswerOutcome::Same { restarted: true } => {
                     self.leased.insert(id.clone(), now + HOLD);
                 }
                 AnswerOutcome::Outdated => continue,
--- a/crates/jobs/tests/lives.rs
+++ b/crates/jobs/tests/lives.rs
@@ -93,7 +93,7 @@
         ask(&mut world, &life(5), Some(9)),
         AnswerOutcome::Replaced {
             next: life(9),
-            began: true
+            restarted: true
         }
     );
     list(&mut world, Some(9));
@@ -147,7 +147,7 @@
     list(&mut world, Some(9));
     assert_eq!(
         ask(&mut world, &life(9), Some(9)),
-        AnswerOutcome::Same { began: true }
+        AnswerOutcome::Same { restarted: true }
     );
     let asked = world.now - Duration::from_millis(1);
     assert!(
@@ -212,7 +212,7 @@
         ask(&mut world, &life(9), Some(5)),
         AnswerOutcome::Replaced {
             next: life(5),
-            began: false
+            restarted: false
         }
     );
     let run = [(task(1, 0, 0), 1)];
@@ -246,19 +246,19 @@
     list(&mut world, Some(5));
     assert_eq!(
         ask(&mut world, &life(5), None),
-        AnswerOutcome::Same { began: false }
+        AnswerOutcome::Same { restarted: false }
     );
     list(&mut world, Some(9));
     assert_eq!(
         ask(&mut world, &life(5), None),
         AnswerOutcome::Replaced {
             next: life(9),
-            began: true
+            restarted: true
         }
     );
     assert_eq!(
         ask(&mut world, &life(9), None),
-        AnswerOutcome::Same { began: false }
+        AnswerOutcome::Same { restarted: false }
     );
 }
 
