--- a/crates/jobs/src/account.rs
+++ b/crates/jobs/src/account.rs
@@ -1,7 +1,7 @@
 //! The resources that the runs of a workspace use, or may use.
 //!
 //! Every run that the cell believes a worker may have holds a [`Charge`]: runs that are ordered, running,
-//! being stopped or in doubt, and those left by an earlier owner. The charge is released when the cell drops
+//! being stopped or unconfirmed, and those left by an earlier owner. The charge is released when the cell drops
 //! the run, that is when its end is known or its lease has certainly expired. Because the sum is derived from
 //! the charges, it stays correct whatever happens in between.
 
--- a/crates/jobs/src/rank.rs
+++ b/crates/jobs/src/rank.rs
@@ -52,12 +52,12 @@
         self.order
     }
 
-    /// Returns whether the task is known to be too late.
+    /// Returns whether the task is known to miss its target time.
     pub fn is_late(&self) -> bool {
         self.late
     }
 
-    /// Returns the rank of the same task among those that are too late.
+    /// Returns the rank of the same task among those that miss their target time.
     pub fn to_late(self) -> Self {
         Rank { late: true, ..self }
     }
