--- a/crates/havenladder/src/entry/ends.rs
+++ b/crates/havenladder/src/entry/ends.rs
@@ -1,7 +1,7 @@
 //! Logs and counts the ends of runs that workers report, and reports that contradict the known state.
 
 use super::owner::Owner;
-use jobs::{How, Report, RunId, TaskId};
+use jobs::{Report, RunId, RunOutcome, TaskId};
 use tracing::{info, warn};
 
 /// Logs and counts the ends that a worker reports for the first time, and ends that are skipped. An end whose number
@@ -13,11 +13,11 @@
     };
     for end in &report.ended {
         let (task, run, number, how) = (end.task, end.run, end.number, end.how);
-        if number > host.noted {
+        if number > host.acknowledged {
             info!(%task, run, worker, number, ?how, "ended");
             owner.node.metrics.ended(end_name(how));
         } else if host.runs.contains_key(&(task, run)) {
-            let noted = host.noted;
+            let noted = host.acknowledged;
             warn!(%task, run, worker, number, noted, ?how, "end of a run that goes on is passed over");
             owner.node.metrics.inconsistent_end("passed-over");
         }
@@ -33,13 +33,13 @@
 }
 
 /// Returns the name of an end in the metrics.
-fn end_name(how: How) -> &'static str {
+fn end_name(how: RunOutcome) -> &'static str {
     match how {
-        How::Done => "done",
-        How::Failed => "failed",
-        How::Stopped => "stopped",
-        How::Lapsed => "lapsed",
-        How::Broken => "broken",
-        How::Alone => "alone",
+        RunOutcome::Done => "done",
+        RunOutcome::Failed => "failed",
+        RunOutcome::Stopped => "stopped",
+        RunOutcome::Lapsed => "lapsed",
+        RunOutcome::Broken => "broken",
+        RunOutcome::Alone => "alone",
     }
 }
--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -187,7 +187,10 @@
     for vm in list.values() {
         if let Some(worker) = &vm.worker {
             let unconfirmed = owner.has_unconfirmed_order(&vm.name);
-            owner.cell.borrow_mut().doubt_worker(worker, unconfirmed);
+            owner
+                .cell
+                .borrow_mut()
+                .set_order_unconfirmed(worker, unconfirmed);
         }
     }
 }
--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -7,7 +7,7 @@
     workspaces::Rows,
 };
 use bytes::Bytes;
-use jobs::{Evacuations, HallId, HallOrder, WorkspaceId};
+use jobs::{HallDrains, HallId, HallOrder, WorkspaceId};
 use serde::{Deserialize, Serialize};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -69,7 +69,7 @@
     rows: Rows,
     keyring: Keyring,
     waves: BTreeMap<u64, Wave>,
-    hall_drains: Evacuations,
+    hall_drains: HallDrains,
     /// Data centres of the deployment. Empty if they are not known.
     halls: BTreeSet<HallId>,
 }
@@ -135,7 +135,7 @@
     }
 
     /// Returns the data centres that are to be drained.
-    pub fn hall_drains(&self) -> &Evacuations {
+    pub fn hall_drains(&self) -> &HallDrains {
         &self.hall_drains
     }
 
@@ -144,11 +144,11 @@
     pub fn restart(&mut self, newest: Vec<Keyed>, end: Offset) {
         let orders = newest.iter().filter_map(|record| self.read_order(record));
         let halls = orders.filter_map(|order| match order {
-            HallOrder::Empty(hall) => Some(hall),
-            HallOrder::TakeBack(_) => None,
+            HallOrder::Drain(hall) => Some(hall),
+            HallOrder::Undrain(_) => None,
         });
         // A drain order without a record has been withdrawn.
-        self.adopt_hall_drains(Evacuations::new(halls.collect(), end));
+        self.adopt_hall_drains(HallDrains::new(halls.collect(), end));
         newest
             .into_iter()
             .for_each(|record| self.apply_record(record));
@@ -157,14 +157,14 @@
     /// Applies the record at an offset of the operators' topic.
     pub fn apply(&mut self, record: Keyed, offset: Offset) {
         let order = self.read_order(&record);
-        if self.hall_drains.take(order, offset) {
+        if self.hall_drains.apply(order, offset) {
             self.log_hall_drains();
         }
         self.apply_record(record);
     }
 
     /// Adopts a configuration and drain orders that another entry knows.
-    pub fn adopt(&mut self, config: Option<RawConfig>, hall_drains: Evacuations) {
+    pub fn adopt(&mut self, config: Option<RawConfig>, hall_drains: HallDrains) {
         if let Some(config) = config {
             info!("another entry has a newer configuration");
             self.apply_config(config.0.into());
@@ -173,7 +173,7 @@
     }
 
     /// Adopts a set of data centres to be drained, unless a newer one is known.
-    fn adopt_hall_drains(&mut self, hall_drains: Evacuations) {
+    fn adopt_hall_drains(&mut self, hall_drains: HallDrains) {
         if self.hall_drains.adopt(hall_drains) {
             self.log_hall_drains();
         }
@@ -191,14 +191,14 @@
         let key = &record.key;
         let hall = key.strip_prefix(EVACUATE_KEY)?;
         let Some(value) = &record.value else {
-            return Some(HallOrder::TakeBack(hall.to_owned()));
+            return Some(HallOrder::Undrain(hall.to_owned()));
         };
         if hall.is_empty() || !(self.halls.is_empty() || self.halls.contains(hall)) {
             warn!(key, halls = ?self.halls, "ignored an order to drain an unknown data centre");
             return None;
         }
         match operator::read_evacuation(value) {
-            Ok(()) => Some(HallOrder::Empty(hall.to_owned())),
+            Ok(()) => Some(HallOrder::Drain(hall.to_owned())),
             Err(error) => {
                 warn!(%error, key, "cannot decode an order to drain a data centre");
                 None
--- a/crates/havenladder/src/entry/losses.rs
+++ b/crates/havenladder/src/entry/losses.rs
@@ -49,7 +49,7 @@
         ?youngest,
         "worker lost"
     );
-    for task in &lost.given_up {
+    for task in &lost.failed {
         owner.node.metrics.failed_job();
         info!(%task, worker = id, "task crashes its workers; its job has failed");
     }
@@ -61,11 +61,14 @@
         task,
         run,
         age,
-        bearing,
+        involvement,
         ..
     } = run;
     match age {
-        Some(age) => format!("{task} run {run} after {} ms, {bearing:?}", age.as_millis()),
+        Some(age) => format!(
+            "{task} run {run} after {} ms, {involvement:?}",
+            age.as_millis()
+        ),
         None => format!("{task} run {run} of an earlier owner"),
     }
 }
--- a/crates/havenladder/src/entry/maintenance.rs
+++ b/crates/havenladder/src/entry/maintenance.rs
@@ -14,7 +14,7 @@
 };
 use clock::Instant;
 use fleet::{WaveVmState, wave_headroom};
-use jobs::{Loss, Need, Takeout, WorkerId};
+use jobs::{Disruption, Loss, Need, WorkerId};
 use std::{
     collections::{BTreeMap, BTreeSet},
     rc::Rc,
@@ -152,8 +152,8 @@
         let Some(id) = &down.worker else { continue };
         if same {
             info!(vm = name, worker = %id, "the VM had already had its maintenance");
-            owner.cell.borrow_mut().take_worker(id, false);
-            owner.cell.borrow_mut().close_worker(id, false);
+            owner.cell.borrow_mut().set_disrupted(id, false);
+            owner.cell.borrow_mut().set_closed(id, false);
         } else {
             abandon_worker(owner, id, Loss::Ordered);
         }
@@ -174,7 +174,7 @@
     };
     let cell = owner.cell.borrow();
     let worker = down.worker.as_ref().and_then(|id| cell.workers.get(id));
-    let has_answered = worker.is_none_or(|worker| worker.heard.is_some_and(|at| at > answered));
+    let has_answered = worker.is_none_or(|worker| worker.last_seen.is_some_and(|at| at > answered));
     has_answered || answered.elapsed() >= ORDER_TIMEOUT
 }
 
@@ -207,7 +207,7 @@
         .filter(|name| !progress.done.contains(*name))
     {
         let Some(vm) = vms.get(name) else { continue };
-        let cost = vm.worker.as_deref().map(|id| cell.takeout(id));
+        let cost = vm.worker.as_deref().map(|id| cell.disruption(id));
         let (closing, down) = (
             progress.draining.contains_key(name),
             progress.down.contains_key(name),
@@ -258,19 +258,19 @@
     for (_, name) in next.into_iter().take(wanted) {
         if let Some(id) = &vms[name].worker {
             let mut cell = owner.cell.borrow_mut();
-            cell.close_worker(id, true);
-            cell.evacuate(id, Instant::now());
+            cell.set_closed(id, true);
+            cell.drain_worker(id, Instant::now());
         }
         progress.draining.insert(name.clone(), Instant::now());
     }
 }
 
 /// Returns the weight of a VM in the order of disruption. VMs with the lowest weight go first.
-fn weight(cost: Takeout) -> usize {
+fn weight(cost: Disruption) -> usize {
     match cost {
-        Takeout::Free => 0,
-        Takeout::Busy(runs) => 1 + runs,
-        Takeout::Guarded => GUARDED_WEIGHT,
+        Disruption::Free => 0,
+        Disruption::Busy(runs) => 1 + runs,
+        Disruption::Guarded => GUARDED_WEIGHT,
     }
 }
 
@@ -303,7 +303,7 @@
     // budgets.
     let mut orders = Vec::new();
     for vm in &ready {
-        if disruption(owner, vm) != Takeout::Guarded {
+        if disruption(owner, vm) != Disruption::Guarded {
             orders.push(begin_order(owner, wave, progress, vm));
         }
     }
@@ -319,9 +319,9 @@
     let drained = progress.draining[&vm.name].elapsed() >= DRAIN_TIMEOUT;
     match disruption(owner, vm) {
         _ if owner.must_skip(&vm.name) => false,
-        Takeout::Free => true,
-        Takeout::Busy(_) => drained && !may_defer(owner, wave, progress, vm),
-        Takeout::Guarded => {
+        Disruption::Free => true,
+        Disruption::Busy(_) => drained && !may_defer(owner, wave, progress, vm),
+        Disruption::Guarded => {
             relieve_guarded(owner, progress, vm, drained);
             false
         }
@@ -329,9 +329,9 @@
 }
 
 /// Returns the disruption that taking a VM down would cause now.
-fn disruption(owner: &Owner, vm: &Vm) -> Takeout {
+fn disruption(owner: &Owner, vm: &Vm) -> Disruption {
     let worker = vm.worker.as_deref();
-    worker.map_or(Takeout::Free, |id| owner.cell.borrow().takeout(id))
+    worker.map_or(Disruption::Free, |id| owner.cell.borrow().disruption(id))
 }
 
 /// Moves long-running tasks off a VM where they must not be interrupted now, or puts the VM back into use.
@@ -346,7 +346,7 @@
     if drained {
         progress.draining.remove(&vm.name);
         if let Some(id) = &vm.worker {
-            owner.cell.borrow_mut().close_worker(id, false);
+            owner.cell.borrow_mut().set_closed(id, false);
         }
     }
 }
@@ -354,7 +354,7 @@
 /// Builds the order that takes a VM down. The VM's worker gets no new runs from now on.
 fn begin_order(owner: &Owner, wave: &Wave, progress: &mut Progress, vm: &Vm) -> VmOrder {
     if let Some(id) = &vm.worker {
-        owner.cell.borrow_mut().take_worker(id, true);
+        owner.cell.borrow_mut().set_disrupted(id, true);
     }
     let down = DownVm {
         worker: vm.worker.clone(),
@@ -395,8 +395,8 @@
             progress.down.remove(&vm.name);
             if let Some(id) = &vm.worker {
                 let mut cell = owner.cell.borrow_mut();
-                cell.take_worker(id, false);
-                cell.close_worker(id, false);
+                cell.set_disrupted(id, false);
+                cell.set_closed(id, false);
             }
         }
         // The order may still be carried out at any time: the VM counts as down until the list shows otherwise.
--- a/crates/havenladder/src/entry/moves/demands.rs
+++ b/crates/havenladder/src/entry/moves/demands.rs
@@ -64,7 +64,7 @@
             pool.vms += usize::from(moving.to == pool.pool);
             return;
         }
-        if vm.pool != pool.pool || round.owner.cell.borrow().is_emptied(&vm.hall) {
+        if vm.pool != pool.pool || round.owner.cell.borrow().is_hall_drained(&vm.hall) {
             return;
         }
         pool.vms += 1;
@@ -90,7 +90,7 @@
             let of_pool = |vm: &&Vm| {
                 let may_go = vm.state == VmState::Up
                     && !self.moving.contains_key(&vm.name)
-                    && !round.owner.cell.borrow().is_emptied(&vm.hall);
+                    && !round.owner.cell.borrow().is_hall_drained(&vm.hall);
                 may_go && vm.pool == pool.pool && !round.waves.is_disrupting(&vm.name)
             };
             let is_idle = |vm: &&Vm| self.idle.contains_key(&vm.name);
@@ -113,10 +113,10 @@
         let cell = owner.cell.borrow();
         let worker = cell.workers.get(vm.worker.as_ref()?)?;
         let draining = self.draining.contains_key(&vm.name);
-        if worker.anchors > 0 || !(draining || worker.is_open(now)) {
+        if worker.long_running_runs > 0 || !(draining || worker.is_open(now)) {
             return None;
         }
-        let free = now + cell.time_left(&worker.info.id, now);
+        let free = now + cell.time_to_drain(&worker.info.id, now);
         (draining || free <= now + MAX_DRAIN_TIME).then(|| DrainableVm {
             vm: vm.name.clone(),
             free,
@@ -130,7 +130,7 @@
         let cell = owner.cell.borrow();
         let draining = self.draining.contains_key(&vm.name);
         let idle = cell.workers.get(id).is_some_and(|w| {
-            let drained = draining && w.known && !w.taken && !w.info.draining;
+            let drained = draining && w.responsive && !w.disrupted && !w.info.draining;
             w.runs.is_empty() && (drained || w.is_open(now))
         });
         if !idle {
--- a/crates/havenladder/src/entry/moves/drain.rs
+++ b/crates/havenladder/src/entry/moves/drain.rs
@@ -50,7 +50,7 @@
                 .worker(&name)
                 .filter(|_| !round.waves.is_disrupting(&name))
             {
-                cell.close_worker(id, false);
+                cell.set_closed(id, false);
             }
         }
     }
@@ -61,8 +61,8 @@
         for &name in wanted {
             let id = round.worker(name);
             if let Some(id) = id.filter(|_| !self.draining.contains_key(name)) {
-                cell.close_worker(id, true);
-                let moved = cell.evacuate(id, round.now);
+                cell.set_closed(id, true);
+                let moved = cell.drain_worker(id, round.now);
                 info!(vm = name, worker = %id, moved, "VM is being drained");
                 self.draining.insert(name.clone(), round.now);
             }
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -106,7 +106,7 @@
     while owner.is_alive() {
         time::sleep(LOG_INTERVAL).await;
         let cell = owner.cell.borrow();
-        let waiting = cell.waiting_lasting();
+        let waiting = cell.waiting_long_running();
         if let Some(task) = waiting.first() {
             let obstacles = cell.obstacles(*task, Instant::now());
             info!(%task, waiting = waiting.len(), ?obstacles, "long-running task waits for capacity");
@@ -121,7 +121,7 @@
     let may_start = owner.update_hall_drains();
     let mut cell = owner.cell.borrow_mut();
     cell.mark_due(wall_ms());
-    cell.stop_still(now);
+    cell.stop_stalled(now);
     if may_start {
         cell.schedule(now);
     }
@@ -132,7 +132,7 @@
 /// Carries out the decisions of a batch whose records are durable now.
 fn carry_out(owner: &Rc<Owner>, batch: Batch) {
     owner.cell.borrow_mut().confirm(&batch);
-    for (worker, number) in batch.noted {
+    for (worker, number) in batch.acknowledged {
         if let Some(contact) = owner.contacts.borrow_mut().get_mut(&worker) {
             contact.acknowledged = contact.acknowledged.max(number);
         }
--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -122,7 +122,7 @@
     }
     let mut cell = owner.cell.borrow_mut();
     cell.mark_due(wall_ms());
-    cell.stop_still(now);
+    cell.stop_stalled(now);
     cell.schedule_unrecorded(now);
     let mut due_starts = cell.extract_durable_starts(starts);
     due_starts.extend(cell.take_durable_starts());
--- a/crates/havenladder/src/entry/owner/requests.rs
+++ b/crates/havenladder/src/entry/owner/requests.rs
@@ -72,10 +72,10 @@
         let Some(job) = cell.jobs.get(&id) else {
             return true;
         };
-        match (&job.given.workspace, caller) {
+        match (&job.submission.workspace, caller) {
             (None, _) => true,
             (Some(workspace), Caller::Workspace(by)) => workspace == by,
-            (Some(_), Caller::Anyone) => job.given.queue == queue,
+            (Some(_), Caller::Anyone) => job.submission.queue == queue,
         }
     }
 
@@ -146,7 +146,7 @@
         self.update_workspaces();
         let cell = self.cell.borrow();
         if let Some(job) = cell.jobs.get(&submission.id) {
-            return match job.given.workspace == submission.workspace {
+            return match job.submission.workspace == submission.workspace {
                 true => Admission::Admitted,
                 // The job is that of another workspace, and the response must not reveal that it
                 // exists.
@@ -207,7 +207,12 @@
 
     /// Returns the phase of a job once it is durable.
     async fn state(&self, id: JobId) -> PeerResponse {
-        let shown = self.cell.borrow().jobs.get(&id).map(|job| job.shown);
+        let shown = self
+            .cell
+            .borrow()
+            .jobs
+            .get(&id)
+            .map(|job| job.durable_phase);
         match shown {
             None => self.not_found(),
             Some(Some(phase)) => PeerResponse::State(phase),
@@ -251,7 +256,7 @@
         };
         // A caller is told or waits for whether the job has ended. Other changes of the phase may
         // not be durable yet.
-        let shown = job.shown?;
+        let shown = job.durable_phase?;
         (shown.is_over() == job.phase.is_over()).then_some(DurableOutcome::Durable(shown))
     }
 }
--- a/crates/havenladder/src/entry/owner/vm_orders.rs
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -32,12 +32,12 @@
         let relevance = self.node.settings.lease;
         let names = vms.iter().copied();
         let holder = self.holder();
-        let version = self
-            .cell
-            .borrow_mut()
-            .note_orders(names, &holder, Instant::now(), relevance);
+        let version =
+            self.cell
+                .borrow_mut()
+                .record_vm_orders(names, &holder, Instant::now(), relevance);
         self.wake();
-        let recorded = || self.cell.borrow().orders_durable(version);
+        let recorded = || self.cell.borrow().are_vm_orders_durable(version);
         if self.wait_until(RECORD_TIMEOUT, recorded).await {
             return self.is_certain();
         }
@@ -67,8 +67,8 @@
     /// Returns whether unrecorded orders about VMs may have been given, or may be soon. The next
     /// owner has to know for as long as they are relevant.
     pub fn may_have_unrecorded_orders(&self) -> bool {
-        let inherited =
-            Instant::now() < self.inherited_orders_until && self.cell.borrow().doubts_all_vms();
+        let inherited = Instant::now() < self.inherited_orders_until
+            && self.cell.borrow().are_all_vms_unconfirmed();
         let relevance = self.node.settings.lease + ANNOUNCEMENT_TIMEOUT;
         inherited
             || self
@@ -91,13 +91,13 @@
             && self
                 .cell
                 .borrow()
-                .must_spare(vm, &self.ended_owners.borrow())
+                .must_skip(vm, &self.ended_owners.borrow())
     }
 
     /// Returns the identity under which this owner gives orders.
     fn holder(&self) -> Holder {
         Holder {
-            life: self.node.incarnation,
+            incarnation: self.node.incarnation,
             address: self.node.peer_address(),
         }
     }
@@ -109,7 +109,7 @@
         task::spawn_local(watch_earlier_owner(Rc::clone(&owner), holder));
     }
     timer::sleep_until(owner.inherited_orders_until).await;
-    owner.cell.borrow_mut().forget_holders();
+    owner.cell.borrow_mut().forget_earlier_holders();
 }
 
 /// Polls an earlier owner's address until an incarnation answers. If that is another one, the
@@ -117,13 +117,13 @@
 async fn watch_earlier_owner(owner: Rc<Owner>, holder: Holder) {
     while owner.is_alive() && Instant::now() < owner.inherited_orders_until {
         if let Some(incarnation) = poll_incarnation(&owner, &holder).await {
-            if incarnation != holder.life {
+            if incarnation != holder.incarnation {
                 info!(
                     address = holder.address,
                     life = incarnation,
                     "an earlier owner has ended"
                 );
-                owner.ended_owners.borrow_mut().insert(holder.life);
+                owner.ended_owners.borrow_mut().insert(holder.incarnation);
             }
             return;
         }
--- a/crates/havenladder/src/entry/owner/workspaces.rs
+++ b/crates/havenladder/src/entry/owner/workspaces.rs
@@ -38,7 +38,7 @@
     } in waits
     {
         node.metrics.waited_for_bound(waits);
-        let limits = bound.most();
+        let limits = bound.amounts();
         info!(
             workspace,
             waits,
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -18,7 +18,7 @@
 use fleet::{FollowerInfo, MilliCpu, Source};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Method, Response, StatusCode, body::Incoming};
-use jobs::{Evacuations, JobId, Phase, QueueId, Submission};
+use jobs::{HallDrains, JobId, Phase, QueueId, Submission};
 use serde::{Deserialize, Serialize};
 use std::{fmt, rc::Rc, time::Duration};
 use tokio::net::{TcpListener, TcpStream};
@@ -153,7 +153,7 @@
     pub lease: Option<(Lease, u64)>,
     /// The data centres that are to be drained.
     #[serde(default, rename = "evacuations")]
-    pub hall_drains: Evacuations,
+    pub hall_drains: HallDrains,
     /// Time in ms since the entry's configuration was known to be the newest one.
     pub age: u64,
 }
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -98,7 +98,7 @@
     };
     let (owner, worker) = (Rc::clone(owner), WorkerId::from(worker));
     task::spawn_local(async move {
-        time::sleep(quarantine.bar).await;
+        time::sleep(quarantine.threshold).await;
         watch::poll_once(&owner, &worker);
     });
 }
@@ -121,7 +121,9 @@
 /// Returns whether a worker has responded recently. It may have become silent while a start was waiting for its turn.
 fn is_answering(owner: &Owner, worker: &str) -> bool {
     let cell = owner.cell.borrow();
-    cell.workers.get(worker).is_some_and(|worker| worker.known)
+    cell.workers
+        .get(worker)
+        .is_some_and(|worker| worker.responsive)
 }
 
 /// Sends a start to a worker. If the response takes too long, the worker gets no further starts until it has
@@ -265,5 +267,5 @@
     let cell = owner.cell.borrow();
     let job = cell.jobs.get(&task.job)?;
     let saved = job.task(task.round, task.step, task.index)?.saved.clone();
-    Some((job.given.spec.text.clone(), saved))
+    Some((job.submission.spec.text.clone(), saved))
 }
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -13,7 +13,7 @@
     workers::{ClockMs, WorkerError},
 };
 use clock::Instant;
-use jobs::{Hearing, Loss, Refusal, Report, WorkerId};
+use jobs::{AnswerOutcome, Loss, Refusal, Report, WorkerId};
 use std::{rc::Rc, time::Duration};
 use tokio::{task, time};
 use tracing::info;
@@ -139,22 +139,22 @@
         .borrow_mut()
         .record_response(id, response.born, *sent_at, now);
     match attribution {
-        Hearing::Same { began } => {
-            if began {
+        AnswerOutcome::Same { restarted } => {
+            if restarted {
                 record_restart(owner, id, now);
             }
             apply_report(owner, id, polled, now);
             PollOutcome::Continue
         }
-        Hearing::Overtaken => {
+        AnswerOutcome::Outdated => {
             info!(worker = %id, "response of an earlier incarnation was overtaken");
             PollOutcome::Retry
         }
-        Hearing::Over { next, began } => {
+        AnswerOutcome::Replaced { next, restarted } => {
             if !owner.contacts.borrow().contains_key(&next) {
                 contact_worker(owner, next.clone(), owner.inherited_leases_until);
             }
-            if began {
+            if restarted {
                 record_restart(owner, &next, now);
             }
             owner.wake();
@@ -181,7 +181,7 @@
     record_response(owner, id, response.clock, now);
     ends::log_listed(owner, id, &response.value);
     let mut cell = owner.cell.borrow_mut();
-    let missing = cell.report(id, &response.value, *sent_at, now);
+    let missing = cell.apply_report(id, &response.value, *sent_at, now);
     let outlived = cell.outlived_incarnations(id, *sent_at);
     drop(cell);
     ends::log_missing(owner, id, &missing);
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -89,10 +89,11 @@
     let (service, draining) = (entry.service.clone(), entry.draining);
     let listing = owner.cell.borrow_mut().list_worker(entry, Instant::now());
     match listing {
-        Listing::Past => owner.node.metrics.foreign_entry("past"),
-        Listing::Surplus => owner.node.metrics.foreign_entry("surplus"),
-        Listing::Of(incarnation) if owner.contacts.borrow().contains_key(&incarnation) => {}
-        Listing::Of(incarnation) => {
+        Listing::Ended => owner.node.metrics.foreign_entry("past"),
+        Listing::LimitReached => owner.node.metrics.foreign_entry("surplus"),
+        Listing::Incarnation(incarnation) if owner.contacts.borrow().contains_key(&incarnation) => {
+        }
+        Listing::Incarnation(incarnation) => {
             info!(worker = %incarnation, service, draining, "worker listed");
             contact_worker(owner, incarnation, owner.inherited_leases_until);
         }
--- a/crates/jobs/benches/placement.rs
+++ b/crates/jobs/benches/placement.rs
@@ -46,7 +46,7 @@
     let step = Step {
         count: TASKS,
         need,
-        estimate: 1_000,
+        estimate_ms: 1_000,
         ..Step::default()
     };
     Submission {
@@ -54,9 +54,9 @@
         queue: "q".to_owned(),
         service: "s".to_owned(),
         priority: 0,
-        attempts: 3,
-        permits: false,
-        at: 0,
+        max_attempts: 3,
+        requires_permits: false,
+        submitted_at: 0,
         stretch: 1.6,
         slack: 600,
         spec: JobSpec {
@@ -82,7 +82,7 @@
         let info = worker(number);
         let id = info.id.clone();
         cell.upsert_worker(info, now);
-        cell.report(&id, &Report::default(), now, now);
+        cell.apply_report(&id, &Report::default(), now, now);
     }
     cell
 }
--- a/crates/jobs/src/cell/backlog.rs
+++ b/crates/jobs/src/cell/backlog.rs
@@ -134,28 +134,32 @@
             .jobs
             .get(&task.job)
             .filter(|job| !job.phase.is_over())?;
-        let step = job.find_step(task).filter(|step| !step.lasting)?;
+        let step = job.find_step(task).filter(|step| !step.long_running)?;
         let members = if step.gang {
             f64::from(step.count)
         } else {
             1.0
         };
-        let work = work(step, members, self.estimate_factor(&job.given.queue));
-        Some((job.given.workspace.as_ref(), work))
+        let work = work(step, members, self.estimate_factor(&job.submission.queue));
+        Some((job.submission.workspace.as_ref(), work))
     }
 }
 
 /// Returns the work of a number of tasks of a step, in cores times ms.
 fn work(step: &Step, tasks: f64, factor: f64) -> f64 {
     let Need { cpu, .. } = step.need;
-    let cpu = if step.fills { 0 } else { cpu };
-    cpu as f64 / 1_000.0 * step.estimate as f64 * factor * tasks
+    let cpu = if step.best_effort { 0 } else { cpu };
+    cpu as f64 / 1_000.0 * step.estimate_ms as f64 * factor * tasks
 }
 
 /// Returns whether a job has an objective for its end: it starts at once, ends by itself, has estimates for
 /// all steps, and its queue defines when it is in time.
 fn has_objective(submission: &Submission) -> bool {
-    let guessed = submission.spec.steps.iter().all(|step| step.estimate > 0);
-    let ends = !submission.spec.lasts() && submission.spec.schedule.is_none();
+    let guessed = submission
+        .spec
+        .steps
+        .iter()
+        .all(|step| step.estimate_ms > 0);
+    let ends = !submission.spec.is_long_running() && submission.spec.schedule.is_none();
     ends && guessed && submission.stretch > 0.0 && submission.slack > 0
 }
--- a/crates/jobs/src/cell/crashes.rs
+++ b/crates/jobs/src/cell/crashes.rs
@@ -1,8 +1,8 @@
 //! Attributes crashes of workers to the tasks that may have caused them, and clears the tasks that have not.
 
 use crate::{
-    Bearing, Cell, CrashHistory, JobId, LostRun, Phase, TaskId, TaskPhase,
-    suspicion::{Crash, PROVEN, Standing},
+    Cell, CrashHistory, Involvement, JobId, LostRun, Phase, TaskId, TaskPhase,
+    suspicion::{Crash, PROVEN_AGE, Standing},
 };
 use clock::Instant;
 use std::{collections::BTreeSet, time::Duration};
@@ -26,8 +26,11 @@
     ) -> Vec<TaskId> {
         let suspects = suspects(runs);
         let ages = suspects.iter().map(|run| run.age);
-        self.suspicions.note_ages(ages, now);
-        let fresh = suspects.iter().filter(|run| run.bearing.is_fresh()).count();
+        self.suspicions.record_ages(ages, now);
+        let fresh = suspects
+            .iter()
+            .filter(|run| run.involvement.is_fresh())
+            .count();
         let mut seen: BTreeSet<RepeatedTask> = BTreeSet::new();
         let mut attributed = BTreeSet::new();
         for run in &suspects {
@@ -45,12 +48,12 @@
             .collect();
         let failed = attributed.iter().copied();
         let failed: Vec<TaskId> = failed
-            .filter(|task| self.standing(*task, now) == Standing::GivenUp)
+            .filter(|task| self.standing(*task, now) == Standing::Failed)
             .collect();
         self.suspicions.tasks.extend(repeats);
-        self.suspicions.note_end(worker, attributed, now);
+        self.suspicions.record_suspects(worker, attributed, now);
         for task in &failed {
-            self.suspicions.note_proven(now);
+            self.suspicions.record_proven(now);
             self.finish(task.job, Phase::Failed);
         }
         failed
@@ -59,9 +62,9 @@
     /// Attributes the crash of a worker to a task in all repeats of its job. Returns false if it does not
     /// count.
     fn attribute_crash_to_run(&mut self, run: &LostRun, only_fresh: bool) -> bool {
-        let fresh = run.bearing.is_fresh();
+        let fresh = run.involvement.is_fresh();
         let crash = Crash {
-            age: run.age.map(|age| age.as_millis() as u64),
+            age_ms: run.age.map(|age| age.as_millis() as u64),
             fresh,
             alone: fresh && only_fresh && run.age.is_some(),
         };
@@ -76,9 +79,9 @@
             return false;
         }
         let mut counts = false;
-        let lived = run.lived.as_millis() as u64;
+        let lived = run.known_runtime.as_millis() as u64;
         for task in state.repeats_mut(step, index) {
-            counts |= task.history.blame(crash, lived);
+            counts |= task.history.record_crash(crash, lived);
         }
         self.mark_dirty(job);
         counts
@@ -119,7 +122,7 @@
             Standing::Quarantined(threshold) => Some(threshold),
             // An earlier owner has not failed the task: it knew of accidental crashes that this owner does
             // not know of.
-            Standing::GivenUp => Some(self.crash_history(task)?.bar()),
+            Standing::Failed => Some(self.crash_history(task)?.threshold()),
             Standing::Clear => None,
         }
     }
@@ -139,7 +142,7 @@
         let lived = host
             .runs
             .iter()
-            .map(|((task, _), state)| (*task, host.lived(state)));
+            .map(|((task, _), state)| (*task, host.known_runtime(state)));
         let outlived: Vec<(TaskId, Duration)> = lived
             .filter(|(task, lived)| self.outlives_suspicion(*task, *lived))
             .collect();
@@ -154,7 +157,7 @@
             return false;
         }
         self.crash_history(task)
-            .is_some_and(|history| lived >= history.bar())
+            .is_some_and(|history| lived >= history.threshold())
     }
 
     /// Clears a task of suspicion in all repeats of its job, since a run of it has reached this age.
@@ -165,7 +168,7 @@
         for state in job.repeats_mut(task.step, task.index) {
             state.history.crashes.clear();
             let lived = lived.as_millis() as u64;
-            state.history.outlived = state.history.outlived.max(lived);
+            state.history.max_runtime_ms = state.history.max_runtime_ms.max(lived);
         }
         if self.suspicions.tasks.contains(&task) {
             for repeat in self.repeats(task) {
@@ -191,14 +194,14 @@
 fn suspects(runs: &[LostRun]) -> Vec<&LostRun> {
     let quarantined: Vec<&LostRun> = runs
         .iter()
-        .filter(|run| run.bearing == Bearing::Quarantined)
+        .filter(|run| run.involvement == Involvement::Quarantined)
         .collect();
     if !quarantined.is_empty() {
         return quarantined;
     }
     // A run that an earlier owner started and that this one has seen running is older than is known.
-    let is_old = |run: &LostRun| run.age.is_none() && run.lived >= PROVEN;
+    let is_old = |run: &LostRun| run.age.is_none() && run.known_runtime >= PROVEN_AGE;
     runs.iter()
-        .filter(|run| run.bearing != Bearing::Unsent && !is_old(run))
+        .filter(|run| run.involvement != Involvement::Unsent && !is_old(run))
         .collect()
 }
--- a/crates/jobs/src/cell/demand.rs
+++ b/crates/jobs/src/cell/demand.rs
@@ -90,7 +90,7 @@
                 continue;
             };
             unschedulable.need.add(need_of(job, *task));
-            if let Some(max_per_worker) = job.step(task.step).apart {
+            if let Some(max_per_worker) = job.step(task.step).max_per_worker {
                 let tasks = steps.entry(step_of(*task)).or_default();
                 *tasks += 1;
                 let workers = tasks.div_ceil(max_per_worker.max(1)) as usize;
@@ -110,15 +110,19 @@
     /// Records the work of an arriving job, as needs times seconds.
     pub(super) fn record_inflow(&mut self, submission: &Submission) {
         let factor = self.estimate_factor(&submission.queue);
-        let finite = submission.spec.steps.iter().filter(|step| !step.lasting);
+        let finite = submission
+            .spec
+            .steps
+            .iter()
+            .filter(|step| !step.long_running);
         let work = |step: &Step| {
-            let cpu = if step.fills { 0 } else { step.need.cpu };
-            let seconds = step.estimate as f64 * factor / 1_000.0;
+            let cpu = if step.best_effort { 0 } else { step.need.cpu };
+            let seconds = step.estimate_ms as f64 * factor / 1_000.0;
             Need { cpu, ..step.need }.times(f64::from(step.count) * seconds)
         };
         let work = Need::sum(finite.map(work));
         let arrivals = self.arrivals.entry(submission.service.clone()).or_default();
-        arrivals.note(self.wall_ms, work);
+        arrivals.record(self.wall_ms, work);
     }
 
     /// Returns the number of workers that the widest step with anti-affinity among a service's live jobs
@@ -127,7 +131,7 @@
         let of_service = |id: &JobId| {
             self.jobs
                 .get(id)
-                .is_some_and(|job| job.given.service == service)
+                .is_some_and(|job| job.submission.service == service)
         };
         let of_jobs = self
             .anti_affinity_jobs
@@ -148,7 +152,7 @@
 /// Returns the number of workers that the widest step of a job with anti-affinity needs; none without such a
 /// step.
 fn widest_anti_affinity(job: &Job) -> Option<usize> {
-    let steps = job.given.spec.steps.iter();
-    let apart = steps.filter_map(|step| Some(step.count.div_ceil(step.apart?)));
+    let steps = job.submission.spec.steps.iter();
+    let apart = steps.filter_map(|step| Some(step.count.div_ceil(step.max_per_worker?)));
     apart.max().map(|widest| widest as usize)
 }
--- a/crates/jobs/src/cell/durable.rs
+++ b/crates/jobs/src/cell/durable.rs
@@ -2,7 +2,9 @@
 
 use crate::{
     Batch, Cell, JobId, Order,
-    record::{encode_given, encode_ordered, encode_state, encode_upkept, forget_given},
+    record::{
+        encode_maintained, encode_state, encode_submission, encode_vm_orders, forget_submission,
+    },
 };
 use std::collections::BTreeSet;
 
@@ -47,8 +49,8 @@
             Order::Start { task, .. } => self
                 .jobs
                 .get(&task.job)
-                .is_some_and(|job| job.shown.is_some()),
-            Order::Stop { .. } | Order::Pace { .. } | Order::Ask { .. } => true,
+                .is_some_and(|job| job.durable_phase.is_some()),
+            Order::Stop { .. } | Order::Pace { .. } | Order::RequestPermits { .. } => true,
         };
         starts.extract_if(.., is_durable).collect()
     }
@@ -71,33 +73,33 @@
             };
             let is_new = self.new_jobs.remove(&id);
             if is_new && !job.phase.is_over() {
-                batch.entries.push(encode_given(job));
+                batch.entries.push(encode_submission(job));
             } else if !is_new && job.phase.is_over() {
-                batch.entries.push(forget_given(id));
+                batch.entries.push(forget_submission(id));
             }
             batch.entries.push(encode_state(job));
-            batch.shown.push((id, job.phase));
+            batch.phases.push((id, job.phase));
         }
         for wave in std::mem::take(&mut self.unrecorded_waves) {
             batch
                 .entries
-                .push(encode_upkept(wave, &self.maintained_vms[&wave]));
+                .push(encode_maintained(wave, &self.maintained_vms[&wave]));
         }
         if let Some(vms) = self.vm_orders.take_change() {
-            batch.entries.push(encode_ordered(&vms));
+            batch.entries.push(encode_vm_orders(&vms));
         }
-        batch.ordered = self.vm_orders.taken;
+        batch.vm_orders = self.vm_orders.batched;
         batch.starts = std::mem::take(&mut self.starts);
-        batch.noted = std::mem::take(&mut self.acknowledged).into_iter().collect();
+        batch.acknowledged = std::mem::take(&mut self.acknowledged).into_iter().collect();
         batch
     }
 
     /// Publishes the states in a batch whose records are durable.
     pub fn confirm(&mut self, batch: &Batch) {
-        self.vm_orders.durable = self.vm_orders.durable.max(batch.ordered);
-        for (id, phase) in &batch.shown {
+        self.vm_orders.durable = self.vm_orders.durable.max(batch.vm_orders);
+        for (id, phase) in &batch.phases {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.shown = Some(*phase);
+                job.durable_phase = Some(*phase);
             }
         }
     }
--- a/crates/jobs/src/cell/ends.rs
+++ b/crates/jobs/src/cell/ends.rs
@@ -1,6 +1,6 @@
 //! Processes the ends of runs and of jobs.
 
-use crate::{Cell, How, Job, JobId, Phase, Round, RunId, Step, TaskId, TaskPhase, WorkerId};
+use crate::{Cell, Job, JobId, Phase, Round, RunId, RunOutcome, Step, TaskId, TaskPhase, WorkerId};
 use std::{mem, ops::Range};
 
 impl Cell {
@@ -10,7 +10,7 @@
         worker: &str,
         task: TaskId,
         run: RunId,
-        how: How,
+        how: RunOutcome,
         saved: &str,
     ) {
         self.mark_begun(task.job);
@@ -19,11 +19,11 @@
         let Some(step) = self.record_end(task, run, progress) else {
             return;
         };
-        let (gang, lasting) = (step.gang, step.lasting);
+        let (gang, lasting) = (step.gang, step.long_running);
         self.mark_dirty(task.job);
         match how {
-            How::Done if !lasting => return self.complete(task, gang),
-            How::Failed if !lasting && self.count_failure(task, run, gang) => {
+            RunOutcome::Done if !lasting => return self.complete(task, gang),
+            RunOutcome::Failed if !lasting && self.count_failure(task, run, gang) => {
                 return self.finish(task.job, Phase::Failed);
             }
             _ => {}
@@ -46,7 +46,7 @@
             state.saved = saved.to_owned();
         }
         // An earlier owner may have started the run without a record; run numbers must keep rising.
-        state.top = state.top.max(run);
+        state.max_reported_run = state.max_reported_run.max(run);
         job.find_step(task)
     }
 
@@ -55,7 +55,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
         };
-        let attempts = job.given.attempts as usize;
+        let attempts = job.submission.max_attempts as usize;
         let counted = if gang { 0 } else { task.index };
         let Some(state) = job.task_mut(task.round, task.step, counted) else {
             return false;
@@ -82,7 +82,7 @@
             placed,
         } = complete_tasks(job, task, members);
         let round = &mut job.rounds[task.round as usize];
-        let open = &mut round.open[task.step as usize];
+        let open = &mut round.unfinished[task.step as usize];
         *open = open.saturating_sub(completed);
         let ended = *open == 0;
         let over = job.rounds.iter().all(Round::is_done);
@@ -107,7 +107,7 @@
         };
         job.phase = phase;
         job.rounds = Vec::new();
-        let service = job.given.service.clone();
+        let service = job.submission.service.clone();
         self.begun_jobs.remove(&id);
         self.dirty.insert(id);
         self.clear_job_requests(id);
--- a/crates/jobs/src/cell/incarnations.rs
+++ b/crates/jobs/src/cell/incarnations.rs
@@ -1,22 +1,25 @@
 //! Tracks the incarnations of workers that list entries name and that respond.
 
-use crate::{BornMs, Cell, Hearing, Listing, Loss, WorkerId, WorkerInfo};
+use crate::{AnswerOutcome, Cell, Listing, Loss, StartedAtMs, WorkerId, WorkerInfo};
 use clock::Instant;
 
 impl Cell {
     /// Processes an entry of the worker list, which may name any incarnation of its worker. Drops the oldest
     /// incarnations that only entries have named once there are too many of them.
     pub fn list_worker(&mut self, mut info: WorkerInfo, now: Instant) -> Listing {
-        let listing = self.incarnations.list(info.id.name(), info.id.born());
-        let Listing::Of(incarnation) = &listing else {
+        let listing = self
+            .incarnations
+            .record_listing(info.id.name(), info.id.started_at());
+        let Listing::Incarnation(incarnation) = &listing else {
             return listing;
         };
         info.id = incarnation.clone();
         self.upsert_worker(info, now);
-        for surplus in self.incarnations.surplus(incarnation.name()) {
-            let worker = self.workers.get(&surplus);
-            if surplus != *incarnation && worker.is_some_and(|worker| !worker.is_real()) {
-                self.abandon_worker(&surplus, Loss::Lapsed, now);
+        for excess in self.incarnations.excess(incarnation.name()) {
+            let worker = self.workers.get(&excess);
+            if excess != *incarnation && worker.is_some_and(|worker| !worker.has_answered_or_runs())
+            {
+                self.abandon_worker(&excess, Loss::Lapsed, now);
             }
         }
         listing
@@ -28,18 +31,18 @@
     pub fn record_response(
         &mut self,
         recipient: &WorkerId,
-        started_at: Option<BornMs>,
+        started_at: Option<StartedAtMs>,
         requested_at: Instant,
         now: Instant,
-    ) -> Hearing {
+    ) -> AnswerOutcome {
         if self.workers.get(recipient).is_none() {
             // The worker was abandoned in the meantime.
-            return Hearing::Overtaken;
+            return AnswerOutcome::Outdated;
         }
         let response = self
             .incarnations
-            .hear(recipient, started_at, requested_at, now);
-        if let Hearing::Over { next, .. } = &response {
+            .record_answer(recipient, started_at, requested_at, now);
+        if let AnswerOutcome::Replaced { next, .. } = &response {
             self.mark_silent(recipient, now);
             self.add_successor(recipient, next, now);
         }
@@ -63,7 +66,7 @@
         self.upsert_worker(info, now);
         if let Some(worker) = self.workers.get_mut(next) {
             // Requests to the former incarnation may have reached this one.
-            worker.met = false;
+            worker.contacted = false;
             worker.unusable = true;
         }
     }
@@ -72,13 +75,13 @@
     /// request sent at `requested_at`: their runs ended with them, and starts on their way to them are either listed
     /// by this one or will never be carried out.
     pub fn outlived_incarnations(&self, incarnation: &str, requested_at: Instant) -> Vec<WorkerId> {
-        self.incarnations.outlived(incarnation, requested_at)
+        self.incarnations.ended_by(incarnation, requested_at)
     }
 
     /// Returns the incarnations of a worker that have ended because this one has responded since, even though
     /// it may still list runs that were ordered from them.
     pub fn former_incarnations(&self, incarnation: &str) -> Vec<WorkerId> {
-        self.incarnations.former(incarnation)
+        self.incarnations.predecessors(incarnation)
     }
 
     /// Returns the current incarnation of a worker, by the worker's name; none if the worker is unknown.
--- a/crates/jobs/src/cell/ledger.rs
+++ b/crates/jobs/src/cell/ledger.rs
@@ -82,7 +82,7 @@
         for (id, account) in &self.ledger.accounts {
             match bounds.get(id) {
                 Some(bound) => account.set_bound(*bound),
-                None => account.keep_bound(),
+                None => account.ensure_bound(),
             }
         }
         self.ledger.bounds = Some(bounds);
@@ -125,7 +125,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if let Some(workspace) = &job.given.workspace {
+        if let Some(workspace) = &job.submission.workspace {
             job.account = Some(self.ledger.open(workspace));
         }
     }
@@ -155,7 +155,7 @@
             return false;
         };
         let step = job.find_step(task);
-        step.is_some_and(|step| account.is_over(start_need(step)))
+        step.is_some_and(|step| account.exceeds_bound(start_need(step)))
     }
 
     /// Withdraws the starts of a task, or of its whole gang, that have not been sent.
@@ -179,7 +179,7 @@
             return None;
         };
         let run = self.workers.get(worker)?.runs.get(&(task, state.run))?;
-        run.sent.is_none().then(|| (worker.clone(), state.run))
+        run.sent_at.is_none().then(|| (worker.clone(), state.run))
     }
 
     /// Returns a task's job and the account of its workspace.
@@ -225,7 +225,7 @@
                 .filter(|_| !self.is_stale(rank.task()));
             let queued_start = open.and_then(|job| {
                 Some((
-                    job.given.service.clone(),
+                    job.submission.service.clone(),
                     start_need(job.find_step(rank.task())?),
                 ))
             });
@@ -271,7 +271,7 @@
                 .filter(|(_, task)| task.phase == TaskPhase::Waiting);
             let charged = waiting.filter_map(|(task, _)| charge_of(job, task));
             charges
-                .entry(job.given.service.clone())
+                .entry(job.submission.service.clone())
                 .or_default()
                 .extend(charged);
         }
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -28,12 +28,12 @@
     Charge, HallId, Job, JobId, Need, Order, Phase, QueueId, RunId, ServiceId, Submission, TaskId,
     TaskPhase, WorkerId, Workers,
     arrivals::Arrivals,
-    duty::Duty,
-    lives::LifeTable,
-    near::Near,
+    incarnations::IncarnationTable,
+    near::DataRackWaits,
     permit::{Permits, StepId},
     rank::Rank,
     suspicion::Suspicions,
+    vm_orders::VmOrders,
     worker::{Load, RunKind},
 };
 use backlog::Backlog;
@@ -89,7 +89,7 @@
     /// The rounds that are not due yet: due time in ms since 1970, job, and index of the round.
     round_timers: BTreeSet<(u64, JobId, u32)>,
     /// The known incarnations of each worker.
-    incarnations: LifeTable,
+    incarnations: IncarnationTable,
     /// The runs that an earlier owner placed on workers that no worker list has named since.
     orphans: HashMap<WorkerId, Vec<Orphan>>,
     /// The usage of workspaces, and the tasks that wait for their workspace's bound.
@@ -116,7 +116,7 @@
     pub(crate) suspicions: Suspicions,
     /// The condition that keeps tasks of earlier owners from starting.
     pub(crate) takeover_barrier: TakeoverBarrier,
-    pub(crate) vm_orders: Duty,
+    pub(crate) vm_orders: VmOrders,
     /// The workers that may run the steps of queues that require permits.
     pub(crate) permits: HashMap<StepId, Permits>,
     /// The time of day of the last check for due rounds, in ms since 1970.
@@ -135,7 +135,7 @@
     /// The slack that jobs of each queue must have when they start.
     slack_targets: SlackTargets,
     /// The tasks that wait for capacity near their data.
-    pub(crate) near: Near,
+    pub(crate) near: DataRackWaits,
     /// The time of the next check for stalled runs.
     pub(crate) stall_check_due: Option<Instant>,
     /// The long-running tasks of each service that could not be placed in its last pass.
@@ -166,7 +166,7 @@
             return Accepted::Known;
         }
         self.add_to_backlog(&submission);
-        if !submission.spec.lasts() {
+        if !submission.spec.is_long_running() {
             self.finite_services.insert(submission.service.clone());
             // Work that waits for its workspace's bound needs no more VMs, however much of it arrives.
             if !self.is_at_bound(&submission) {
@@ -202,9 +202,9 @@
     /// one of its tasks; an ordered start alone does not count, since it may be lost on its way.
     pub fn pending(&self, queue: &str) -> usize {
         let waits = |job: &&Job| {
-            job.given.queue == queue
+            job.submission.queue == queue
                 && !job.phase.is_over()
-                && !self.begun_jobs.contains(&job.given.id)
+                && !self.begun_jobs.contains(&job.submission.id)
         };
         self.jobs.values().filter(waits).count()
     }
@@ -242,7 +242,7 @@
             kind: RunKind::Finite,
         };
     };
-    let cpu = if step.fills { 0 } else { step.need.cpu };
+    let cpu = if step.best_effort { 0 } else { step.need.cpu };
     Load {
         need: Need { cpu, ..step.need },
         kind: RunKind::of(step),
--- a/crates/jobs/src/cell/queue.rs
+++ b/crates/jobs/src/cell/queue.rs
@@ -28,9 +28,10 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
         };
-        let factor = self.estimate_factor(&job.given.queue);
-        let left = job.tails[task.step as usize] as f64 * factor;
-        self.wall_ms as f64 + left * (1.0 + self.required_slack(job)) > job.goal(task.round, factor)
+        let factor = self.estimate_factor(&job.submission.queue);
+        let left = job.critical_paths[task.step as usize] as f64 * factor;
+        self.wall_ms as f64 + left * (1.0 + self.required_slack(job))
+            > job.target_time(task.round, factor)
     }
 
     /// Returns a task to the waiting state and queues it again.
@@ -75,7 +76,7 @@
         let steps = self
             .jobs
             .get(&id)
-            .map_or(0, |job| job.given.spec.steps.len() as u32);
+            .map_or(0, |job| job.submission.spec.steps.len() as u32);
         (0..steps).for_each(|step| self.enqueue_step(id, round, step));
     }
 
@@ -94,7 +95,10 @@
         }
         let tasks = &state.steps[step as usize];
         let waits = |index: &u32| tasks[*index as usize].phase == TaskPhase::Waiting;
-        let queue = self.waiting.entry(job.given.service.clone()).or_default();
+        let queue = self
+            .waiting
+            .entry(job.submission.service.clone())
+            .or_default();
         let rank = |index: u32| {
             let task = TaskId {
                 job: id,
@@ -102,7 +106,7 @@
                 step,
                 index,
             };
-            Rank::new(task, spec.lasting, job)
+            Rank::new(task, spec.long_running, job)
         };
         if !spec.gang {
             queue.extend((0..spec.count).filter(waits).map(rank));
--- a/crates/jobs/src/cell/runs.rs
+++ b/crates/jobs/src/cell/runs.rs
@@ -31,7 +31,7 @@
             && open
             && state.phase == RunPhase::Ordered
         {
-            state.sent.get_or_insert(now);
+            state.sent_at.get_or_insert(now);
             return true;
         }
         host.remove(task, run);
@@ -46,9 +46,9 @@
         let Some(state) = self.run_mut(worker, task, run) else {
             return;
         };
-        state.settled = Some(now);
-        state.moved = now;
-        state.seen = true;
+        state.answered_at = Some(now);
+        state.progressed_at = now;
+        state.confirmed = true;
         if state.phase == RunPhase::Ordered {
             state.phase = RunPhase::Running;
         }
@@ -71,8 +71,8 @@
             return;
         }
         match why {
-            Refusal::Room => host.aside = Some(now + FULL_SUSPENSION),
-            Refusal::Unwell => host.aside = Some(now + UNHEALTHY_SUSPENSION),
+            Refusal::Room => host.excluded_until = Some(now + FULL_SUSPENSION),
+            Refusal::Unwell => host.excluded_until = Some(now + UNHEALTHY_SUSPENSION),
             Refusal::Ticket => self.drop_permit(task, worker),
             Refusal::Fenced | Refusal::Old | Refusal::Late | Refusal::Invalid => {}
         }
@@ -103,7 +103,7 @@
             return;
         };
         state.phase = RunPhase::Stopping;
-        state.settled = None;
+        state.answered_at = None;
         self.urgent.push(Order::Stop {
             worker: worker.into(),
             task,
@@ -116,7 +116,7 @@
     pub fn stop_accepted(&mut self, worker: &str, task: TaskId, run: RunId, now: Instant) {
         let stop = self.limits.stop_timeout;
         if let Some(state) = self.run_mut(worker, task, run) {
-            state.settled = Some(now + stop);
+            state.answered_at = Some(now + stop);
         }
     }
 
--- a/crates/jobs/src/cell/shares.rs
+++ b/crates/jobs/src/cell/shares.rs
@@ -85,21 +85,21 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Some(workspace) = job.given.workspace.clone() else {
+        let Some(workspace) = job.submission.workspace.clone() else {
             return;
         };
-        let service = job.given.service.clone();
-        let factor = self.estimate_factor(&job.given.queue);
-        let steps = &job.given.spec.steps;
+        let service = job.submission.service.clone();
+        let factor = self.estimate_factor(&job.submission.queue);
+        let steps = &job.submission.spec.steps;
         let work = work_of_steps(steps) * factor;
         let chain = longest_chain(steps) as f64 * factor;
-        let objective = job.given.stretch * chain + job.given.slack as f64;
+        let objective = job.submission.stretch * chain + job.submission.slack as f64;
         let (begin, ahead) = self.shares.submit(&service, &workspace, work);
         let active_weight = self.shares.active_weight(&service, &workspace);
         let cpu = self.usable_cpu(&service);
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.begins = begin;
-            job.beyond =
+            job.virtual_start = begin;
+            job.over_share =
                 cpu.is_some_and(|cpu| ahead * active_weight / cpu > OVER_SHARE_FACTOR * objective);
         }
     }
@@ -107,7 +107,7 @@
     /// Sets the virtual start times of the jobs that an earlier owner left, in their order of arrival.
     pub(super) fn assign_virtual_starts(&mut self) {
         let open = self.jobs.values().filter(|job| !job.phase.is_over());
-        let mut jobs: Vec<(u64, JobId)> = open.map(|job| (job.order, job.given.id)).collect();
+        let mut jobs: Vec<(u64, JobId)> = open.map(|job| (job.order, job.submission.id)).collect();
         jobs.sort_unstable();
         jobs.into_iter()
             .for_each(|(_, id)| self.assign_virtual_start(id));
@@ -115,11 +115,16 @@
 
     /// Advances the virtual time of a service to the virtual start time of a job of which a run is ordered.
     pub(crate) fn advance_virtual_time(&mut self, id: JobId) {
-        let Some(Job { given, begins, .. }) = self.jobs.get(&id) else {
+        let Some(Job {
+            submission,
+            virtual_start,
+            ..
+        }) = self.jobs.get(&id)
+        else {
             return;
         };
-        if let Some(clock) = self.shares.clocks.get_mut(&given.service) {
-            clock.now = clock.now.max(*begins);
+        if let Some(clock) = self.shares.clocks.get_mut(&submission.service) {
+            clock.now = clock.now.max(*virtual_start);
         }
     }
 }
--- a/crates/jobs/src/cell/slack.rs
+++ b/crates/jobs/src/cell/slack.rs
@@ -45,8 +45,8 @@
     /// Returns the slack that a job needs to start, as a fraction of its remaining work: 0 once the job has
     /// begun.
     pub(super) fn required_slack(&self, job: &Job) -> f64 {
-        match job.in_hand {
-            None => self.slack_targets.of(&job.given.queue),
+        match job.slack_ratio {
+            None => self.slack_targets.of(&job.submission.queue),
             Some(_) => 0.0,
         }
     }
@@ -57,17 +57,20 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if job.in_hand.is_some() || job.given.spec.schedule.is_some() || job.given.spec.lasts() {
+        if job.slack_ratio.is_some()
+            || job.submission.spec.schedule.is_some()
+            || job.submission.spec.is_long_running()
+        {
             return;
         }
-        let factor = self.estimate_factor(&job.given.queue);
-        let left = job.tails.iter().max().copied().unwrap_or(0) as f64 * factor;
+        let factor = self.estimate_factor(&job.submission.queue);
+        let left = job.critical_paths.iter().max().copied().unwrap_or(0) as f64 * factor;
         if left <= 0.0 {
             return;
         }
-        let slack = (job.goal(0, factor) - wall_ms - left) / left;
+        let slack = (job.target_time(0, factor) - wall_ms - left) / left;
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.in_hand = Some(slack);
+            job.slack_ratio = Some(slack);
         }
     }
 
@@ -76,11 +79,11 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Some(slack) = job.in_hand else {
+        let Some(slack) = job.slack_ratio else {
             return;
         };
-        let queue = job.given.queue.clone();
-        let in_time = self.wall_ms as f64 <= job.goal(0, self.estimate_factor(&queue));
+        let queue = job.submission.queue.clone();
+        let in_time = self.wall_ms as f64 <= job.target_time(0, self.estimate_factor(&queue));
         self.slack_targets.learn(&queue, slack, in_time);
     }
 }
--- a/crates/jobs/src/cell/takeover.rs
+++ b/crates/jobs/src/cell/takeover.rs
@@ -15,10 +15,10 @@
         let mut states = HashMap::new();
         for record in records {
             match record {
-                Decoded::Given(_, submission) if submission.spec.check().is_err() => {}
-                Decoded::Given(order, submission) => {
+                Decoded::Submission(_, submission) if submission.spec.check().is_err() => {}
+                Decoded::Submission(order, submission) => {
                     self.next_order = self.next_order.max(order + 1);
-                    if !submission.spec.lasts() {
+                    if !submission.spec.is_long_running() {
                         self.finite_services.insert(submission.service.clone());
                     }
                     self.jobs.insert(submission.id, Job::new(submission, order));
@@ -26,8 +26,8 @@
                 Decoded::State(id, state) => {
                     states.insert(id, state);
                 }
-                Decoded::Ordered(vms) => self.vm_orders.inherited = vms,
-                Decoded::Upkept(wave, vms) => {
+                Decoded::VmOrders(vms) => self.vm_orders.inherited = vms,
+                Decoded::Maintained(wave, vms) => {
                     self.maintained_vms.insert(wave, vms);
                 }
             }
@@ -38,21 +38,21 @@
                 .entry(id)
                 .or_insert_with(|| Job::new(finished_submission(id), 0));
             job.phase = state.phase;
-            job.shown = Some(state.phase);
+            job.durable_phase = Some(state.phase);
             if state.phase.is_over() {
-                job.given.workspace = state.workspace.or(job.given.workspace.take());
+                job.submission.workspace = state.workspace.or(job.submission.workspace.take());
             }
             if !state.phase.is_over() && job.fits(&state.rounds) {
                 job.rounds = state.rounds;
             } else if !state.phase.is_over() {
-                job.shown = None;
+                job.durable_phase = None;
             }
         }
         // The submission and the state of a job are written in one call. One without the other is a record
         // that was lost or never completed, and must not stop the takeover.
         let is_whole = |job: &Job| {
-            let known = job.phase.is_over() || !job.given.spec.steps.is_empty();
-            job.shown.is_some() && known
+            let known = job.phase.is_over() || !job.submission.spec.steps.is_empty();
+            job.durable_phase.is_some() && known
         };
         let invalid = self.jobs.extract_if(|_, job| !is_whole(job));
         let invalid: Vec<JobId> = invalid.map(|(id, _)| id).collect();
@@ -75,7 +75,7 @@
         self.record_anti_affinity(id);
         self.restore_suspicions(id);
         for (worker, task, run) in placed {
-            self.incarnations.know(&worker, None);
+            self.incarnations.add(&worker, None);
             let charge = self.charge(task);
             let orphan = Orphan { task, run, charge };
             self.orphans.entry(worker).or_default().push(orphan);
@@ -97,9 +97,9 @@
         queue: QueueId::new(),
         service: ServiceId::new(),
         priority: 0,
-        attempts: 0,
-        permits: false,
-        at: 0,
+        max_attempts: 0,
+        requires_permits: false,
+        submitted_at: 0,
         stretch: 1.0,
         slack: 0,
         spec,
--- a/crates/jobs/src/cell/takeover_barrier.rs
+++ b/crates/jobs/src/cell/takeover_barrier.rs
@@ -53,7 +53,8 @@
     /// Records that the list of VMs has been read for the first time; these are the workers that run on them.
     pub fn expect_workers(&mut self, workers: impl IntoIterator<Item = (WorkerName, ServiceId)>) {
         let current = |name: &WorkerName| self.workers.get(self.incarnations.current(name)?);
-        let was_contacted = |name: &WorkerName| current(name).is_some_and(|worker| worker.met);
+        let was_contacted =
+            |name: &WorkerName| current(name).is_some_and(|worker| worker.contacted);
         let uncontacted = workers.into_iter().filter(|(name, _)| !was_contacted(name));
         let expected_workers = uncontacted.collect();
         self.takeover_barrier.expected_workers = expected_workers;
@@ -69,6 +70,6 @@
         !barrier.listed
             || barrier.awaits_vm_list
             || barrier.expected_workers.values().any(|of| of == service)
-            || self.workers.of(service).any(|w| !w.met)
+            || self.workers.of(service).any(|w| !w.contacted)
     }
 }
--- a/crates/jobs/src/cell/withdraw.rs
+++ b/crates/jobs/src/cell/withdraw.rs
@@ -11,7 +11,7 @@
     /// or if the job is over or unknown.
     pub fn withdraw(&mut self, id: JobId) -> bool {
         let open = self.jobs.get(&id).filter(|job| !job.phase.is_over());
-        let Some(service) = open.map(|job| job.given.service.clone()) else {
+        let Some(service) = open.map(|job| job.submission.service.clone()) else {
             return false;
         };
         if !self.new_jobs.remove(&id) {
@@ -40,7 +40,7 @@
         let taken = self.starts.extract_if(.., of_job);
         let run = |order| match order {
             Order::Start { worker, task, run } => Some((worker, task, run)),
-            Order::Stop { .. } | Order::Pace { .. } | Order::Ask { .. } => None,
+            Order::Stop { .. } | Order::Pace { .. } | Order::RequestPermits { .. } => None,
         };
         taken.filter_map(run).collect()
     }
--- a/crates/jobs/src/cell/workers.rs
+++ b/crates/jobs/src/cell/workers.rs
@@ -13,17 +13,17 @@
 impl Cell {
     /// Adds or updates an incarnation of a worker with its entry in the platform's list.
     pub fn upsert_worker(&mut self, info: WorkerInfo, now: Instant) {
-        self.incarnations.know(&info.id, Some(now));
-        let is_drained = self.is_emptied(&info.hall);
+        self.incarnations.add(&info.id, Some(now));
+        let is_drained = self.is_hall_drained(&info.hall);
         if let Some(worker) = self.workers.get_mut(&info.id) {
-            worker.emptied = is_drained;
-            worker.unlisted = None;
+            worker.hall_drained = is_drained;
+            worker.unlisted_at = None;
             worker.unusable = false;
             return self.workers.update(info);
         }
         let mut worker = Worker::new(info);
-        worker.emptied = is_drained;
-        worker.met = self.takeover_barrier.listed;
+        worker.hall_drained = is_drained;
+        worker.contacted = self.takeover_barrier.listed;
         let orphans = self.orphans.remove(&worker.info.id);
         for Orphan { task, run, charge } in orphans.unwrap_or_default() {
             let Some(job) = self.jobs.get(&task.job) else {
@@ -32,7 +32,7 @@
             let mut state = RunState::inherited(load_of(job, task), charge, now);
             // The worker's first response shuts out orders of the earlier owner that are still in transit, so
             // that any report requested from now on shows whether the run exists.
-            state.settled = Some(now);
+            state.answered_at = Some(now);
             worker.add(task, run, state);
         }
         self.workers.insert(worker);
@@ -51,7 +51,7 @@
     /// Returns the workers that may have runs and do not respond: orphaned ones, and those that have not
     /// responded yet or not recently.
     pub fn silent_workers(&self) -> BTreeSet<WorkerId> {
-        let silent = self.workers.values().filter(|worker| !worker.known);
+        let silent = self.workers.values().filter(|worker| !worker.responsive);
         let silent = silent.map(|worker| worker.info.id.clone());
         silent.chain(self.orphans.keys().cloned()).collect()
     }
@@ -60,12 +60,12 @@
     /// runs; their own responses decide about the runs that they have. Returns the known incarnations.
     pub fn unlist_worker(&mut self, name: &str, now: Instant) -> Vec<WorkerId> {
         let incarnations = self.incarnations_of(name);
-        self.incarnations.unlist(name);
+        self.incarnations.remove_listing(name);
         for incarnation in &incarnations {
             if let Some(worker) = self.workers.get_mut(incarnation)
                 && !worker.info.draining
             {
-                worker.unlisted = Some(now);
+                worker.unlisted_at = Some(now);
                 Arc::make_mut(&mut worker.info).draining = true;
             }
         }
@@ -97,8 +97,8 @@
     /// Marks a worker that does not respond, so that it gets no new runs until it does.
     pub fn mark_silent(&mut self, id: &str, now: Instant) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.known = false;
-            worker.silent.get_or_insert(now);
+            worker.responsive = false;
+            worker.silent_since.get_or_insert(now);
         }
     }
 
@@ -106,7 +106,7 @@
     /// fault in between makes it appear so.
     pub fn record_refused_connection(&mut self, id: &str, now: Instant) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.refused = Some(now);
+            worker.refused_at = Some(now);
         }
     }
 
@@ -114,7 +114,7 @@
     /// responded since.
     pub fn has_refused_connection(&self, id: &str, before: Instant) -> bool {
         let worker = self.workers.get(id);
-        worker.is_some_and(|worker| worker.refused.is_some_and(|at| at < before))
+        worker.is_some_and(|worker| worker.refused_at.is_some_and(|at| at < before))
     }
 
     /// Abandons a worker: its process has ended, or its lease has certainly expired. Returns none if the
@@ -129,7 +129,8 @@
         }
         let ending = Ending::of(loss, worker.as_ref());
         // The list may name workers that never existed; their ends say nothing about how often workers crash.
-        let is_real = orphans.is_some() || worker.as_ref().is_some_and(Worker::is_real);
+        let is_real =
+            orphans.is_some() || worker.as_ref().is_some_and(Worker::has_answered_or_runs);
         let runs = lost_runs(orphans.unwrap_or_default(), worker, now);
         for LostRun { task, run, .. } in &runs {
             if self.is_current(id, *task, *run) {
@@ -137,14 +138,14 @@
                 self.requeue(*task);
             }
         }
-        let given_up = match ending {
+        let failed = match ending {
             Ending::Crashed if is_real => self.attribute_crash(id, &runs, now),
             Ending::Crashed | Ending::Ordered | Ending::Announced | Ending::Unclear => Vec::new(),
         };
         Some(LostWorker {
             ending,
             runs,
-            given_up,
+            failed,
         })
     }
 
@@ -156,7 +157,7 @@
     pub fn expire_lease(&mut self, id: &str, now: Instant) -> Option<LostWorker> {
         let max_lease = self.limits.max_lease;
         let worker = self.workers.get_mut(id)?;
-        let kept = worker.unnamed(now, max_lease);
+        let kept = worker.unreported(now, max_lease);
         if kept.len() == worker.runs.len() {
             return None;
         }
--- a/crates/jobs/src/explain.rs
+++ b/crates/jobs/src/explain.rs
@@ -1,71 +1,71 @@
-//! Why a task gets no room: what speaks against each worker of its service.
+//! Explains why a task is not placed: the obstacle at each worker of its service.
 
 use crate::{
     Cell, TaskId, Worker,
     cell::need_of,
-    place::{allows, may_join},
+    place::{has_required_label, may_join},
 };
 use clock::Instant;
 use std::collections::BTreeMap;
 
-/// What speaks against a worker.
+/// The reason why a worker cannot take a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Obstacle {
-    /// It has not answered this owner.
+    /// The worker has not answered this owner.
     Silent,
-    /// Its VM is to be taken out.
+    /// The worker's VM is to be disrupted.
     Leaving,
-    /// Its data centre is to be emptied.
+    /// The worker's data centre is to be drained.
     Emptied,
-    /// It is set aside after bad ends.
+    /// The worker is excluded for a while after failed runs or refused starts.
     Aside,
-    /// It lacks a label.
+    /// The worker lacks a required label.
     Label,
-    /// It has as many tasks of the step as it may have.
+    /// The worker has as many tasks of the step as it may have.
     Apart,
-    /// The task does not fit beside what runs there.
+    /// The task does not fit beside the other runs of the worker.
     Room,
-    /// Nothing: the task is placed at the next look.
+    /// There is no obstacle; the task is placed in the next pass.
     Nothing,
 }
 
 impl Cell {
-    /// The lasting tasks of a service that wait, in order.
-    pub fn waiting_lasting(&self) -> Vec<TaskId> {
-        let ranks = self.waiting.values().flatten();
-        ranks
-            .filter(|rank| rank.is_lasting())
+    /// Returns the long-running tasks of all services that wait, in order.
+    pub fn waiting_long_running(&self) -> Vec<TaskId> {
+        let waiting = self.waiting.values().flatten();
+        waiting
+            .filter(|rank| rank.is_long_running())
             .map(|rank| rank.task())
             .collect()
     }
 
-    /// How many workers of its service each obstacle keeps a task from.
+    /// Returns how many workers of its service each obstacle keeps a task from.
     pub fn obstacles(&self, task: TaskId, now: Instant) -> BTreeMap<Obstacle, usize> {
         let mut counts = BTreeMap::new();
         let Some(job) = self.jobs.get(&task.job) else {
             return counts;
         };
-        for worker in self.workers.of(&job.given.service) {
+        for worker in self.workers.of(&job.submission.service) {
             *counts.entry(self.obstacle(worker, task, now)).or_insert(0) += 1;
         }
         counts
     }
 
-    /// The first thing that speaks against a worker, in the order in which they are named.
+    /// Returns the first obstacle at a worker, in the order of the variants.
     fn obstacle(&self, worker: &Worker, task: TaskId, now: Instant) -> Obstacle {
         let Some(job) = self.jobs.get(&task.job) else {
             return Obstacle::Nothing;
         };
         let step = job.step(task.step);
-        if !worker.known {
+        if !worker.responsive {
             Obstacle::Silent
-        } else if worker.closed || worker.taken || worker.info.draining {
+        } else if worker.closed || worker.disrupted || worker.info.draining {
             Obstacle::Leaving
-        } else if worker.emptied {
+        } else if worker.hall_drained {
             Obstacle::Emptied
-        } else if worker.aside.is_some_and(|until| until > now) {
+        } else if worker.excluded_until.is_some_and(|until| until > now) {
             Obstacle::Aside
-        } else if !allows(worker, step) {
+        } else if !has_required_label(worker, step) {
             Obstacle::Label
         } else if !may_join(step, || worker.siblings(task)) {
             Obstacle::Apart
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,85 +1,87 @@
-//! A job's state: its rounds, steps and tasks.
+//! The state of a job: its rounds, steps and tasks.
 
 use crate::{Account, CrashHistory, RunId, Step, Submission, TaskId, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// How far a job is.
+/// The phase of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// No task has begun.
+    /// No task has started.
     Pending,
-    /// A task has begun.
+    /// A task has started.
     Running,
-    /// Every task has ended well.
+    /// All tasks have succeeded.
     Succeeded,
     /// A task has failed too often.
     Failed,
-    /// The caller has cancelled it.
+    /// The caller has cancelled the job.
     Cancelled,
 }
 
 impl Phase {
-    /// Whether nothing of the job is to run any more.
+    /// Returns whether the job is over, so that nothing of it is to run any more.
     pub fn is_over(self) -> bool {
         matches!(self, Phase::Succeeded | Phase::Failed | Phase::Cancelled)
     }
 }
 
-/// How far a task is.
+/// The phase of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
-    /// It waits for its step's turn or for room.
+    /// The task waits for other steps or for capacity.
     Waiting,
-    /// A run of it has been ordered on this worker and is not known to have ended.
+    /// A run has been ordered on this worker and is not known to have ended.
     Placed(WorkerId),
-    /// It has ended well.
+    /// The task has succeeded.
     Done,
 }
 
-/// One task.
+/// The state of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// How far it is.
+    /// The phase of the task.
     pub phase: TaskPhase,
-    /// The number of its last run; 0 before the first.
+    /// The number of the last run; 0 before the first.
     pub run: RunId,
-    /// The highest run that a worker has listed: an earlier owner may not have recorded it.
-    pub top: RunId,
-    /// The runs that have failed, each once however often and in whatever order workers list them.
+    /// The highest run number that a worker has reported. An earlier owner may not have recorded that run.
+    #[serde(rename = "top")]
+    pub max_reported_run: RunId,
+    /// The runs that have failed. Each is listed once, however often and in whatever order workers report it.
     pub failed: Vec<RunId>,
-    /// The newest saved progress; empty if none.
+    /// The latest saved progress; empty if there is none.
     pub saved: String,
-    /// What the ends of workers say for and against it. Older records lack it.
+    /// The worker crashes that count for and against the task. Older records lack the field.
     #[serde(default)]
     pub history: CrashHistory,
 }
 
 impl Task {
-    /// The number of its next run.
+    /// Returns the number of the next run.
     pub fn next_run(&self) -> RunId {
-        self.run.max(self.top) + 1
+        self.run.max(self.max_reported_run) + 1
     }
 }
 
-/// One repeat of a job.
+/// One round (repeat) of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Round {
-    /// Tasks by step and index.
+    /// The tasks, by step and index.
     pub steps: Vec<Vec<Task>>,
-    /// How many tasks of each step have not ended well.
-    pub open: Vec<u32>,
-    /// Whether its time has come.
+    /// The number of tasks of each step that have not succeeded.
+    #[serde(rename = "open")]
+    pub unfinished: Vec<u32>,
+    /// Whether the round is due.
     pub due: bool,
 }
 
 impl Round {
-    /// A round in which nothing has begun.
+    /// Creates a round in which nothing has started.
     pub fn new(steps: &[Step]) -> Self {
         let fresh = Task {
             phase: TaskPhase::Waiting,
             run: 0,
-            top: 0,
+            max_reported_run: 0,
             failed: Vec::new(),
             saved: String::new(),
             history: CrashHistory::default(),
@@ -87,105 +89,106 @@
         let tasks = |step: &Step| vec![fresh.clone(); step.count as usize];
         Round {
             steps: steps.iter().map(tasks).collect(),
-            open: steps.iter().map(|s| s.count).collect(),
+            unfinished: steps.iter().map(|s| s.count).collect(),
             due: false,
         }
     }
 
-    /// Whether all steps that `step` waits for have ended well.
+    /// Returns whether the round is due and all steps that `step` depends on have succeeded.
     pub fn is_ready(&self, step: &Step) -> bool {
-        let ended = |number: &u32| self.open.get(*number as usize) == Some(&0);
+        let ended = |number: &u32| self.unfinished.get(*number as usize) == Some(&0);
         self.due && step.after.iter().all(ended)
     }
 
-    /// Whether every task has ended well.
+    /// Returns whether all tasks have succeeded.
     pub fn is_done(&self) -> bool {
-        self.open.iter().all(|open| *open == 0)
+        self.unfinished.iter().all(|open| *open == 0)
     }
 }
 
-/// One job.
+/// A job and its state.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What was handed in.
-    pub given: Submission,
-    /// How far it is.
+    /// The job as it was submitted.
+    pub submission: Submission,
+    /// The phase of the job.
     pub phase: Phase,
-    /// How far it may be said to be: what has been recorded. None before the job itself is.
-    pub shown: Option<Phase>,
-    /// Its repeats.
+    /// The phase that is durable and may be reported to callers; `None` until the job itself is durable.
+    pub durable_phase: Option<Phase>,
+    /// The rounds of the job.
     pub rounds: Vec<Round>,
-    /// Its place in the order of arrival.
+    /// The position of the job in the order of arrival.
     pub order: u64,
-    /// For each step, the longest chain of estimated work that begins with it, in ms.
-    pub tails: Vec<u64>,
-    /// When it begins in the virtual time of its service.
-    pub begins: f64,
-    /// Whether it is beyond what its workspace may have of a service that is full.
-    pub beyond: bool,
-    /// How much time it had in hand as it began, as a part of its work; none before.
-    pub in_hand: Option<f64>,
-    /// The account of its workspace; none if it belongs to none.
+    /// For each step, the length of the longest chain of estimated work that starts with it, in ms.
+    pub critical_paths: Vec<u64>,
+    /// The start of the job in the virtual time of its service.
+    pub virtual_start: f64,
+    /// Whether the job exceeds its workspace's share of a service that is full.
+    pub over_share: bool,
+    /// The slack of the job when it started, as a fraction of its work; `None` before.
+    pub slack_ratio: Option<f64>,
+    /// The account of its workspace; `None` if it belongs to no workspace.
     pub account: Option<Rc<Account>>,
 }
 
 impl Job {
-    /// A job of which nothing has begun.
-    pub fn new(given: Submission, order: u64) -> Self {
-        let fresh = Round::new(&given.spec.steps);
-        let rounds = vec![fresh; given.spec.rounds() as usize];
-        let tails = tails(&given.spec.steps);
+    /// Creates a job of which nothing has started.
+    pub fn new(submission: Submission, order: u64) -> Self {
+        let fresh = Round::new(&submission.spec.steps);
+        let rounds = vec![fresh; submission.spec.rounds() as usize];
+        let critical_paths = critical_paths(&submission.spec.steps);
         Job {
-            given,
+            submission,
             phase: Phase::Pending,
-            shown: None,
+            durable_phase: None,
             rounds,
             order,
-            tails,
-            begins: 0.0,
-            beyond: false,
-            in_hand: None,
+            critical_paths,
+            virtual_start: 0.0,
+            over_share: false,
+            slack_ratio: None,
             account: None,
         }
     }
 
-    /// When a round falls due, in ms since 1970; none if at once.
+    /// Returns when a round is due, in ms since 1970; `None` if it is due at once.
     pub fn due_at(&self, round: u32) -> Option<u64> {
-        let schedule = self.given.spec.schedule?;
-        Some(schedule.first + u64::from(round) * schedule.interval)
+        let schedule = self.submission.spec.schedule?;
+        Some(schedule.first_due_ms + u64::from(round) * schedule.interval_ms)
     }
 
-    /// Until when a round is in time, in ms since 1970, if its work takes `pace` times as long as was
+    /// Returns until when a round is in time, in ms since 1970, if its work takes `pace` times as long as
     /// estimated.
-    pub fn goal(&self, round: u32, pace: f64) -> f64 {
-        let begin = self.due_at(round).unwrap_or(self.given.at);
-        let chain = self.tails.iter().max().copied().unwrap_or(0) as f64;
-        begin as f64 + self.given.stretch * chain * pace + self.given.slack as f64
+    pub fn target_time(&self, round: u32, pace: f64) -> f64 {
+        let begin = self.due_at(round).unwrap_or(self.submission.submitted_at);
+        let chain = self.critical_paths.iter().max().copied().unwrap_or(0) as f64;
+        begin as f64 + self.submission.stretch * chain * pace + self.submission.slack as f64
     }
 
-    /// Whether these are rounds of this job: as many, each with the job's steps and their tasks.
+    /// Returns whether `rounds` match this job: their number, and the steps and tasks of each.
     pub fn fits(&self, rounds: &[Round]) -> bool {
-        let steps = &self.given.spec.steps;
+        let steps = &self.submission.spec.steps;
         let is_step = |(step, tasks): (&Step, &Vec<Task>)| tasks.len() == step.count as usize;
         let is_round = |round: &Round| {
             round.steps.len() == steps.len()
-                && round.open.len() == steps.len()
+                && round.unfinished.len() == steps.len()
                 && steps.iter().zip(&round.steps).all(is_step)
         };
-        rounds.len() == self.given.spec.rounds() as usize && rounds.iter().all(is_round)
+        rounds.len() == self.submission.spec.rounds() as usize && rounds.iter().all(is_round)
     }
 
-    /// What the tasks of a step are.
+    /// Returns the specification of a step.
     pub fn step(&self, step: u32) -> &Step {
-        &self.given.spec.steps[step as usize]
+        &self.submission.spec.steps[step as usize]
     }
 
-    /// What the tasks of a task's step are, if the job has the step: one that is over may have lost it.
+    /// Returns the specification of a task's step, if the job has it; the steps of a job that is over may
+    /// have been dropped.
     pub fn find_step(&self, task: TaskId) -> Option<&Step> {
-        self.given.spec.steps.get(task.step as usize)
+        self.submission.spec.steps.get(task.step as usize)
     }
 
-    /// A task, if the job has it.
+    /// Returns a task, if the job has it.
     pub fn task(&self, round: u32, step: u32, index: u32) -> Option<&Task> {
         self.rounds
             .get(round as usize)?
@@ -194,7 +197,7 @@
             .get(index as usize)
     }
 
-    /// The same task in all repeats.
+    /// Returns the same task of all rounds.
     pub(crate) fn repeats_mut(&mut self, step: u32, index: u32) -> impl Iterator<Item = &mut Task> {
         let tasks = self.rounds.iter_mut();
         tasks.filter_map(move |round| {
@@ -203,9 +206,9 @@
         })
     }
 
-    /// All tasks of all repeats.
+    /// Returns all tasks of all rounds.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = (TaskId, &Task)> {
-        let job = self.given.id;
+        let job = self.submission.id;
         (0..).zip(&self.rounds).flat_map(move |(round, state)| {
             (0..).zip(&state.steps).flat_map(move |(step, tasks)| {
                 (0..).zip(tasks).map(move |(index, task)| {
@@ -221,35 +224,36 @@
         })
     }
 
-    /// A task, if the job has it, to be changed.
+    /// Returns a task for modification, if the job has it.
     pub fn task_mut(&mut self, round: u32, step: u32, index: u32) -> Option<&mut Task> {
         let round = self.rounds.get_mut(round as usize)?;
         round.steps.get_mut(step as usize)?.get_mut(index as usize)
     }
 }
 
-/// The estimated work of a job that ends by itself: thousandths of a core times ms.
+/// Returns the estimated work of the steps that end by themselves, in thousandths of a core times ms.
 pub(crate) fn work_of_steps(steps: &[Step]) -> f64 {
-    let finite = steps.iter().filter(|step| !step.lasting);
+    let finite = steps.iter().filter(|step| !step.long_running);
     let work = finite.map(|step| {
-        let cpu = if step.fills { 0 } else { step.need.cpu };
-        cpu as f64 * step.estimate as f64 * f64::from(step.count)
+        let cpu = if step.best_effort { 0 } else { step.need.cpu };
+        cpu as f64 * step.estimate_ms as f64 * f64::from(step.count)
     });
     work.sum()
 }
 
-/// The longest chain of estimated work of a job, in ms.
+/// Returns the length of the longest chain of estimated work of a job, in ms.
 pub(crate) fn longest_chain(steps: &[Step]) -> u64 {
-    tails(steps).into_iter().max().unwrap_or(0)
+    critical_paths(steps).into_iter().max().unwrap_or(0)
 }
 
-/// For each step, the longest chain of estimated work that begins with it.
-fn tails(steps: &[Step]) -> Vec<u64> {
-    let mut tails: Vec<u64> = steps.iter().map(|step| step.estimate).collect();
+/// Returns for each step the length of the longest chain of estimated work that starts with it, in ms.
+fn critical_paths(steps: &[Step]) -> Vec<u64> {
+    let mut critical_paths: Vec<u64> = steps.iter().map(|step| step.estimate_ms).collect();
     for number in (0..steps.len()).rev() {
         for before in steps[number].after.iter().map(|before| *before as usize) {
-            tails[before] = tails[before].max(steps[before].estimate + tails[number]);
+            critical_paths[before] =
+                critical_paths[before].max(steps[before].estimate_ms + critical_paths[number]);
         }
     }
-    tails
+    critical_paths
 }
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -1,5 +1,5 @@
-//! The form in which jobs are kept in the log: for each job what was handed in, written once, and
-//! its state, written at each change.
+//! The records of jobs in the log: for each job the submission, written once, and the state, written at each
+//! change.
 
 use crate::{Holder, Job, JobId, Phase, Round, Submission, WorkspaceId};
 use serde::{Deserialize, Serialize};
@@ -8,92 +8,93 @@
 /// A record of the log by its key; without a value it removes the key's earlier records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// What the record is about.
+    /// The key of the record.
     pub key: String,
-    /// What it says; none to remove it.
+    /// The encoded value; `None` to remove the record.
     pub value: Option<Vec<u8>>,
 }
 
-/// Why a record cannot be read.
+/// The reason why a record cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The key is none of ours.
+    /// The key is unknown.
     #[error("unknown key {0:?}")]
     Key(String),
-    /// The value is not what the key promises.
+    /// The value does not match the kind of record that the key names.
     #[error("record {key:?}: {source}")]
     Value {
         /// The key.
         key: String,
-        /// What is wrong.
+        /// The error of the decoder.
         source: rmp_serde::decode::Error,
     },
 }
 
-/// What a record says.
+/// A decoded record.
 #[derive(Debug)]
 pub enum Decoded {
-    /// What was handed in, with its place in the order of arrival.
-    Given(u64, Submission),
-    /// How far a job is.
+    /// A submission, with its position in the order of arrival.
+    Submission(u64, Submission),
+    /// The state of a job.
     State(JobId, State),
-    /// Which VMs have had their upkeep in a wave.
-    Upkept(u64, BTreeSet<String>),
-    /// Which VMs an owner may have given orders about.
-    Ordered(BTreeMap<String, Holder>),
+    /// The VMs that were maintained in a wave.
+    Maintained(u64, BTreeSet<String>),
+    /// The VMs that an owner may have given orders about.
+    VmOrders(BTreeMap<String, Holder>),
 }
 
-/// How far a job is, as it is kept.
+/// The state of a job as it is stored.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct State {
-    /// How far it is.
+    /// The phase of the job.
     pub phase: Phase,
-    /// Its repeats; empty once it is over.
+    /// The rounds of the job; empty once the job is over.
     pub rounds: Vec<Round>,
-    /// The workspace that handed it in, once it is over and the record that says so is gone. Older records lack it.
+    /// The workspace that submitted the job, set once the job is over and the record of its submission is
+    /// removed. Older records lack the field.
     #[serde(default)]
     pub workspace: Option<WorkspaceId>,
 }
 
-/// The first letter of the key of what was handed in.
-const GIVEN: char = 'g';
+/// The first letter of the key of a submission.
+const SUBMISSION: char = 'g';
 
 /// The first letter of the key of a job's state.
 const STATE: char = 's';
 
-/// The first letter of the key of a wave's record.
-const UPKEPT: char = 'w';
+/// The first letter of the key of a wave's maintained VMs.
+const MAINTAINED: char = 'w';
 
-/// The first letter of the key of the VMs that orders were given about.
-const ORDERED: char = 'o';
+/// The first letter of the key of the VM orders.
+const VM_ORDERS: char = 'o';
 
-/// The key of a job's record of one kind.
+/// Returns the key of one kind of record.
 fn encode_key(kind: char, id: JobId) -> String {
     format!("{kind}{id:016x}")
 }
 
-/// The record of what was handed in.
-pub fn encode_given(job: &Job) -> Entry {
-    let value =
-        rmp_serde::to_vec(&(job.order, &job.given)).expect("plain data has a form in MessagePack");
+/// Returns the record of a job's submission.
+pub fn encode_submission(job: &Job) -> Entry {
+    let value = rmp_serde::to_vec(&(job.order, &job.submission))
+        .expect("plain data can be encoded as MessagePack");
     Entry {
-        key: encode_key(GIVEN, job.given.id),
+        key: encode_key(SUBMISSION, job.submission.id),
         value: Some(value),
     }
 }
 
-/// The record that says that what was handed in is no longer needed.
-pub fn forget_given(id: JobId) -> Entry {
+/// Returns the record that removes a submission.
+pub fn forget_submission(id: JobId) -> Entry {
     Entry {
-        key: encode_key(GIVEN, id),
+        key: encode_key(SUBMISSION, id),
         value: None,
     }
 }
 
-/// The record of a job's state.
+/// Returns the record of a job's state.
 pub fn encode_state(job: &Job) -> Entry {
     let (rounds, workspace) = if job.phase.is_over() {
-        (Vec::new(), job.given.workspace.clone())
+        (Vec::new(), job.submission.workspace.clone())
     } else {
         (job.rounds.clone(), None)
     };
@@ -102,36 +103,36 @@
         rounds,
         workspace,
     };
-    let value = rmp_serde::to_vec(&state).expect("plain data has a form in MessagePack");
+    let value = rmp_serde::to_vec(&state).expect("plain data can be encoded as MessagePack");
     Entry {
-        key: encode_key(STATE, job.given.id),
+        key: encode_key(STATE, job.submission.id),
         value: Some(value),
     }
 }
 
-/// The record of the VMs that an owner is about to give orders about.
-pub fn encode_ordered(vms: &BTreeMap<String, Holder>) -> Entry {
-    let value = rmp_serde::to_vec(vms).expect("plain data has a form in MessagePack");
+/// Returns the record of the VMs that an owner is about to give orders about.
+pub fn encode_vm_orders(vms: &BTreeMap<String, Holder>) -> Entry {
+    let value = rmp_serde::to_vec(vms).expect("plain data can be encoded as MessagePack");
     Entry {
-        key: encode_key(ORDERED, 0),
+        key: encode_key(VM_ORDERS, 0),
         value: Some(value),
     }
 }
 
-/// The record of the VMs that have had their upkeep in a wave.
-pub fn encode_upkept(wave: u64, vms: &BTreeSet<String>) -> Entry {
-    let value = rmp_serde::to_vec(vms).expect("plain data has a form in MessagePack");
+/// Returns the record of the VMs that were maintained in a wave.
+pub fn encode_maintained(wave: u64, vms: &BTreeSet<String>) -> Entry {
+    let value = rmp_serde::to_vec(vms).expect("plain data can be encoded as MessagePack");
     Entry {
-        key: encode_key(UPKEPT, wave),
+        key: encode_key(MAINTAINED, wave),
         value: Some(value),
     }
 }
 
-/// Reads a record.
+/// Decodes a record.
 ///
 /// # Errors
 ///
-/// Fails on a key or value that this version does not know.
+/// Returns an error if the key or the value is not known to this version.
 pub fn decode_entry(key: &str, value: &[u8]) -> Result<Decoded, RecordError> {
     let unknown = || RecordError::Key(key.to_owned());
     let kind = key.chars().next().ok_or_else(unknown)?;
@@ -141,19 +142,19 @@
         source,
     };
     match kind {
-        GIVEN => {
-            let (order, given) = rmp_serde::from_slice(value).map_err(wrong)?;
-            Ok(Decoded::Given(order, given))
+        SUBMISSION => {
+            let (order, submission) = rmp_serde::from_slice(value).map_err(wrong)?;
+            Ok(Decoded::Submission(order, submission))
         }
         STATE => Ok(Decoded::State(
             id,
             rmp_serde::from_slice(value).map_err(wrong)?,
         )),
-        UPKEPT => Ok(Decoded::Upkept(
+        MAINTAINED => Ok(Decoded::Maintained(
             id,
             rmp_serde::from_slice(value).map_err(wrong)?,
         )),
-        ORDERED => Ok(Decoded::Ordered(
+        VM_ORDERS => Ok(Decoded::VmOrders(
             rmp_serde::from_slice(value).map_err(wrong)?,
         )),
         _ => Err(unknown()),
--- a/crates/jobs/tests/blame.rs
+++ b/crates/jobs/tests/blame.rs
@@ -66,8 +66,8 @@
     let now = world.now;
     match before {
         Before::Nothing => {}
-        Before::Ordered => world.cell.take_worker("a1", true),
-        Before::Doubted => world.cell.doubt_worker("a1", true),
+        Before::Ordered => world.cell.set_disrupted("a1", true),
+        Before::Doubted => world.cell.set_order_unconfirmed("a1", true),
         Before::Draining => world.cell.upsert_worker(
             WorkerInfo {
                 draining: true,
@@ -95,7 +95,7 @@
     it_said_so = { Before::Draining, Loss::Ended, Ending::Announced, 0 },
     it_served_on = { Before::ServesOnUnlisted, Loss::Ended, Ending::Announced, 0 },
     its_entry_lapsed = { Before::SilentUnlisted, Loss::Ended, Ending::Crashed, 1 },
-    its_lease_ran_out = { Before::Nothing, Loss::Lapsed, Ending::Unclear, 0 },
+    its_lease_ran_out = { Before::Nothing, Loss::Lapsed, Ending::Unclear, 0 }
 )]
 fn only_ends_without_notice_count(before: Before, loss: Loss, ending: Ending, count: usize) {
     let mut world = running(1);
@@ -183,7 +183,7 @@
     world.cell.accept(job(
         2,
         vec![Step {
-            near: Some("r-b".into()),
+            data_rack: Some("r-b".into()),
             ..step(1)
         }],
     ));
@@ -211,7 +211,7 @@
     let started = world.run();
     assert_eq!(started.len(), 1);
     let lost = crash(&mut world, &started[0].0);
-    assert_eq!(lost.given_up, [task(1, 0, 0)]);
+    assert_eq!(lost.failed, [task(1, 0, 0)]);
     assert_eq!(world.cell.jobs[&1].phase, Phase::Failed);
     world.run();
     world.take_over();
@@ -256,8 +256,8 @@
 fn repeats_of_a_job_share_what_speaks_against_a_task() {
     let schedule = Schedule {
         repeats: 2,
-        first: 0,
-        interval: 0,
+        first_due_ms: 0,
+        interval_ms: 0,
     };
     let mut given: Submission = job(1, vec![step(1)]);
     given.spec.schedule = Some(schedule);
@@ -283,7 +283,7 @@
     }
     assert_eq!(world.run().len(), 2, "each on a worker of its own");
     let lost = crash(&mut world, "b1");
-    assert_eq!(lost.given_up.len(), 1);
+    assert_eq!(lost.failed.len(), 1);
     assert_eq!(world.cell.jobs[&1].phase, Phase::Failed);
 }
 
@@ -333,7 +333,7 @@
     world.join("b1");
     world.run();
     assert_eq!(
-        crash(&mut world, "b1").given_up.len(),
+        crash(&mut world, "b1").failed.len(),
         1,
         "two ends are proof"
     );
@@ -355,5 +355,5 @@
     assert!(world.cell.prepare_start("b1", task(1, 0, 0), 2, now));
     world.cell.unacked("b1", task(1, 0, 0), 2);
     let lost = crash(&mut world, "b1");
-    assert!(lost.given_up.is_empty(), "nothing shows that it began");
+    assert!(lost.failed.is_empty(), "nothing shows that it began");
 }
--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -7,7 +7,8 @@
 
 use fixture::{job, step, worker};
 use havenladder_jobs::{
-    Bound, How, JobId, Limits, Loss, Need, Order, Refusal, Report, Step, Submission, decode_entry,
+    Bound, JobId, Limits, Loss, Need, Order, Refusal, Report, RunOutcome, Step, Submission,
+    decode_entry,
 };
 use std::time::Duration;
 use world::{World, row, task};
@@ -59,7 +60,7 @@
     assert_eq!(started.len(), 3);
     assert_eq!(world.cell.blocked_tasks(SCHOOL), 2);
     let (id, task, run) = started[0].clone();
-    world.end(&id, 1, task, run, How::Done);
+    world.end(&id, 1, task, run, RunOutcome::Done);
     assert_eq!(world.run().len(), 1, "one ended, one starts");
     assert_eq!(used(&world), 3);
 }
@@ -84,13 +85,13 @@
 fn a_lasting_task_that_waits_for_its_bound_asks_for_no_room() {
     let mut world = world(cores(2));
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         ..step(4)
     };
     world.cell.accept(job_of(SCHOOL, 1, vec![lasting]));
     assert_eq!(world.run().len(), 2);
     assert_eq!(world.cell.demand("s").unschedulable.need, Need::default());
-    assert!(world.cell.waiting_lasting().is_empty());
+    assert!(world.cell.waiting_long_running().is_empty());
 }
 
 #[test]
@@ -105,7 +106,7 @@
     assert!(world.run().is_empty());
     assert!(world.stops().is_empty());
     let (id, task, run) = started[0].clone();
-    world.end(&id, 1, task, run, How::Done);
+    world.end(&id, 1, task, run, RunOutcome::Done);
     assert!(world.run().is_empty(), "four still run");
     set(&mut world, Bound::NONE);
     assert_eq!(world.run().len(), 4, "the bound is off");
@@ -252,7 +253,7 @@
     world.cell.accept(job_of(SCHOOL, 3, vec![step(1)]));
     assert!(world.run().is_empty());
     let (id, task, run) = started[0].clone();
-    world.end(&id, 1, task, run, How::Done);
+    world.end(&id, 1, task, run, RunOutcome::Done);
     assert_eq!(world.run().len(), 3);
 }
 
@@ -260,8 +261,8 @@
 fn what_fills_counts_with_all_that_it_asks_for() {
     let mut world = world(cores(1));
     let fills = Step {
-        fills: true,
-        lasting: true,
+        best_effort: true,
+        long_running: true,
         ..step(2)
     };
     world.cell.accept(job_of(SCHOOL, 1, vec![fills]));
@@ -335,7 +336,7 @@
     world.cell.cancel(1);
     world.run();
     world.take_over();
-    let kept = world.cell.jobs[&1].given.workspace.clone();
+    let kept = world.cell.jobs[&1].submission.workspace.clone();
     assert_eq!(kept.as_deref(), Some(SCHOOL));
 }
 
@@ -361,9 +362,9 @@
         given.queue.clone(),
         given.service.clone(),
         given.priority,
-        given.attempts,
-        given.permits,
-        given.at,
+        given.max_attempts,
+        given.requires_permits,
+        given.submitted_at,
         given.stretch,
         given.slack,
         given.spec.clone(),
@@ -377,7 +378,7 @@
     let mut cell = havenladder_jobs::Cell::new(Limits::default());
     let odd = cell.load_records(records);
     assert_eq!(odd, [7], "its state is missing, the record itself is read");
-    assert_eq!(cell.jobs[&8].given.workspace, None);
+    assert_eq!(cell.jobs[&8].submission.workspace, None);
 }
 
 #[test]
@@ -389,7 +390,7 @@
     let waits = world.cell.take_bound_waits();
     assert_eq!(waits.iter().map(|w| w.waits).collect::<Vec<_>>(), [true]);
     assert_eq!(waits[0].used.cpu, 1_000);
-    world.end(&id, 1, task, run, How::Done);
+    world.end(&id, 1, task, run, RunOutcome::Done);
     world.run();
     let waits = world.cell.take_bound_waits();
     assert_eq!(waits.iter().map(|w| w.waits).collect::<Vec<_>>(), [false]);
--- a/crates/jobs/tests/crash/mod.rs
+++ b/crates/jobs/tests/crash/mod.rs
@@ -5,8 +5,8 @@
 use crate::fixture::{job, step, worker};
 use clock::Instant;
 use havenladder_jobs::{
-    Cell, Decoded, EndRow, Entry, How, JobId, Limits, Loss, Need, Order, Phase, Report, RunId,
-    RunRow, Step, Submission, TaskId, WorkerId, WorkerInfo, decode_entry,
+    Cell, Decoded, EndRow, Entry, JobId, Limits, Loss, Need, Order, Phase, Report, RunId,
+    RunOutcome, RunRow, Step, Submission, TaskId, WorkerId, WorkerInfo, decode_entry,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{
@@ -81,7 +81,7 @@
 }
 
 /// The ends that a worker lists of some of its runs.
-fn list_ends(host: &mut Host, over: Vec<(TaskId, RunId)>, how: How) -> Vec<EndRow> {
+fn list_ends(host: &mut Host, over: Vec<(TaskId, RunId)>, how: RunOutcome) -> Vec<EndRow> {
     let first = host.number + 1;
     host.number += over.len() as u64;
     let end = |(number, (task, run))| EndRow {
@@ -197,7 +197,7 @@
                 .extract_if(.., |(task, _), _| gangs.contains(&task.job));
             let over: Vec<_> = over.map(|(key, _)| key).collect();
             if !over.is_empty() {
-                let ended = list_ends(host, over, How::Broken);
+                let ended = list_ends(host, over, RunOutcome::Broken);
                 self.report(&id, ended);
             }
         }
@@ -259,7 +259,7 @@
                 .running
                 .extract_if(.., |_, run| !run.crashes && run.ends <= self.now);
             let over: Vec<_> = over.map(|(key, _)| key).collect();
-            let ended = list_ends(host, over, How::Done);
+            let ended = list_ends(host, over, RunOutcome::Done);
             let look = host.look.take_if(|at| *at <= self.now).is_some();
             if look || !ended.is_empty() || host.asked + ASK <= self.now {
                 self.report(&id, ended);
@@ -275,11 +275,12 @@
             run: *run,
             saved: String::new(),
             percent: self.now / ASK,
-            figure: 0,
+            measurement: 0,
         };
         let running = host.running.keys().map(row).collect();
         let now = self.instant();
-        self.cell.report(id, &Report { running, ended }, now, now);
+        self.cell
+            .apply_report(id, &Report { running, ended }, now, now);
     }
 
     /// Hands in as much as half of the fleet can do, and the jobs with a task that ends its workers.
@@ -309,8 +310,8 @@
     fn submit(&mut self) {
         let step = Step {
             gang: self.plan.gang,
-            lasting: self.plan.lasting,
-            estimate: 2_250,
+            long_running: self.plan.lasting,
+            estimate_ms: 2_250,
             ..step(TASKS)
         };
         let given: Submission = job(self.next, vec![step]);
@@ -403,7 +404,7 @@
             .and_then(|worker| worker.quarantine);
         if let Some(quarantine) = quarantine.filter(|quarantine| quarantine.key == (task, run)) {
             let host = self.hosts.get_mut(id).unwrap();
-            host.look = Some(self.now + quarantine.bar.as_millis() as u64);
+            host.look = Some(self.now + quarantine.threshold.as_millis() as u64);
         }
     }
 
--- a/crates/jobs/tests/decoders.rs
+++ b/crates/jobs/tests/decoders.rs
@@ -23,10 +23,10 @@
     for _ in 0..3 {
         now += Duration::from_millis(500);
         cell.upsert_worker(worker("a1"), now);
-        cell.report("a1", &Report::default(), now, now);
+        cell.apply_report("a1", &Report::default(), now, now);
         cell.mark_due(1_000_000);
         cell.schedule(now);
-        cell.stop_still(now);
+        cell.stop_stalled(now);
         let batch = cell.take_batch();
         cell.confirm(&batch);
     }
@@ -37,13 +37,13 @@
 fn any_step() -> impl Strategy<Value = Step> {
     let figures = (any::<u64>(), any::<u64>(), any::<u64>(), any::<u64>());
     let flags = (any::<bool>(), any::<bool>(), any::<bool>());
-    (1..4_u32, figures, flags).prop_map(|(count, (cpu, memory, gpu, estimate), flags)| {
-        let (gang, lasting, fills) = flags;
+    (1..4_u32, figures, flags).prop_map(|(count, (cpu, memory, gpu, estimate_ms), flags)| {
+        let (gang, long_running, best_effort) = flags;
         let mut step = Step {
             gang,
-            lasting,
-            fills,
-            estimate,
+            long_running,
+            best_effort,
+            estimate_ms,
             ..step(count)
         };
         (step.need.cpu, step.need.memory, step.need.gpu) = (cpu, memory, gpu);
@@ -58,11 +58,11 @@
         let decoded = decode_entry(&key, &bytes);
         let fits = match (&decoded, KINDS[kind]) {
             (Err(_), _)
-            | (Ok(Decoded::Given(..)), 'g')
+            | (Ok(Decoded::Submission(..)), 'g')
             | (Ok(Decoded::State(..)), 's')
-            | (Ok(Decoded::Upkept(..)), 'w')
-            | (Ok(Decoded::Ordered(..)), 'o') => true,
-            (Ok(_), _) => false,
+            | (Ok(Decoded::Maintained(..)), 'w')
+            | (Ok(Decoded::VmOrders(..)), 'o') => true,
+            (Ok(_), _) => false
         };
         prop_assert!(fits);
         take_over(decoded.into_iter().collect());
@@ -77,17 +77,17 @@
     fn a_state_that_does_not_fit_its_job_harms_nothing(
         steps in prop::collection::vec(any_step(), 1..4),
         others in prop::collection::vec(any_step(), 0..4),
-        rounds in 0..3_usize,
+        rounds in 0..3_usize
     ) {
         let given = job(1, steps);
         let rounds = vec![Round::new(&others); rounds];
         let state = State { phase: Phase::Running, rounds, workspace: None };
         let sound = Job::new(job(2, vec![step(1)]), 1);
         let records = vec![
-            Decoded::Given(0, given),
+            Decoded::Submission(0, given),
             Decoded::State(1, state),
-            Decoded::Given(1, sound.given.clone()),
-            Decoded::State(2, State { phase: Phase::Pending, rounds: sound.rounds, workspace: None }),
+            Decoded::Submission(1, sound.submission.clone()),
+            Decoded::State(2, State { phase: Phase::Pending, rounds: sound.rounds, workspace: None })
         ];
         let cell = take_over(records);
         prop_assert_eq!(cell.jobs[&2].phase, Phase::Running, "the others hold");
@@ -97,7 +97,7 @@
     fn figures_of_callers_do_no_harm(steps in prop::collection::vec(any_step(), 1..4), at: u64) {
         let mut cell = take_over(Vec::new());
         let mut given = job(1, steps);
-        given.at = at;
+        given.submitted_at = at;
         given.slack = u64::MAX;
         cell.accept(given);
         cell.accept(job(2, vec![step(1)]));
--- a/crates/jobs/tests/history/calls.rs
+++ b/crates/jobs/tests/history/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to workers, which may be lost, or be carried out late.
 
 use super::{GRACE, History, LEASE, host::tell, restarts::HOLD};
-use havenladder_jobs::{EndRow, Hearing, How, Loss, Order, Refusal, WorkerId};
+use havenladder_jobs::{AnswerOutcome, EndRow, Loss, Order, Refusal, RunOutcome, WorkerId};
 use rand::Rng;
 
 /// An order that is carried out late.
@@ -67,12 +67,12 @@
             host.leased = host.leased.max(now + lease);
             // The first of two questions tells which life answers; only the second tells which ends are durable.
             match self.cell.record_response(&id, born, asked, asked) {
-                Hearing::Same { began: false } => host.heard = true,
-                Hearing::Same { began: true } => {
+                AnswerOutcome::Same { restarted: false } => host.heard = true,
+                AnswerOutcome::Same { restarted: true } => {
                     self.leased.insert(id.clone(), now + HOLD);
                 }
-                Hearing::Overtaken => continue,
-                Hearing::Over { next, .. } => {
+                AnswerOutcome::Outdated => continue,
+                AnswerOutcome::Replaced { next, .. } => {
                     self.leased.insert(next, now + HOLD);
                     continue;
                 }
@@ -84,8 +84,8 @@
                 let counts = |end: &&EndRow| end.number <= noted && end.number > host.void;
                 for end in host.ended.iter().filter(counts) {
                     match end.how {
-                        How::Done => drop(self.done.insert(end.task)),
-                        How::Failed => *self.failed.entry(end.task).or_default() += 1,
+                        RunOutcome::Done => drop(self.done.insert(end.task)),
+                        RunOutcome::Failed => *self.failed.entry(end.task).or_default() += 1,
                         _ => {}
                     }
                 }
@@ -93,7 +93,7 @@
             }
             if !lost {
                 let report = tell(host, now);
-                self.cell.report(&id, &report, asked, asked);
+                self.cell.apply_report(&id, &report, asked, asked);
                 for over in self.cell.outlived_incarnations(&id, asked) {
                     self.cell.abandon_worker(&over, Loss::Ended, asked);
                 }
--- a/crates/jobs/tests/history/mod.rs
+++ b/crates/jobs/tests/history/mod.rs
@@ -175,7 +175,7 @@
         }
         let workspace = self.choose_workspace(id);
         self.cell.accept(havenladder_jobs::Submission {
-            attempts: 50,
+            max_attempts: 50,
             workspace,
             ..job(id, steps)
         });
@@ -253,7 +253,7 @@
         } else if let Some(batch) = self.pending.take() {
             self.keep(&batch.entries);
             self.cell.confirm(&batch);
-            self.noted.extend(batch.noted);
+            self.noted.extend(batch.acknowledged);
             self.send(batch.starts);
         } else {
             self.pending = Some(self.cell.take_batch());
--- a/crates/jobs/tests/load/mod.rs
+++ b/crates/jobs/tests/load/mod.rs
@@ -3,8 +3,8 @@
 use crate::fixture::{job, step, worker};
 use clock::Instant;
 use havenladder_jobs::{
-    Accepted, Bound, Cell, EndRow, Forecast, How, JobId, Limits, Need, Order, Phase, Report, RunId,
-    RunRow, Submission, TaskId, WorkerId, WorkerInfo, WorkspaceId,
+    Accepted, Bound, Cell, EndRow, Forecast, JobId, Limits, Need, Order, Phase, Report, RunId,
+    RunOutcome, RunRow, Submission, TaskId, WorkerId, WorkerInfo, WorkspaceId,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{
@@ -97,7 +97,7 @@
                 ..worker(name)
             };
             cell.upsert_worker(info, start);
-            cell.report(name, &Report::default(), start, start);
+            cell.apply_report(name, &Report::default(), start, start);
         }
         Load {
             cell,
@@ -173,10 +173,10 @@
     fn hand_in(&mut self, stream: &Stream) {
         let estimate = (stream.ms as f64 * self.rng.random_range(0.6..1.4)) as u64;
         let mut one = step(stream.tasks);
-        one.estimate = estimate;
+        one.estimate_ms = estimate;
         let given = Submission {
             workspace: self.named.then(|| WorkspaceId::from(stream.workspace)),
-            at: self.now,
+            submitted_at: self.now,
             stretch: STRETCH,
             slack: SLACK,
             ..job(self.next, vec![one])
@@ -209,7 +209,7 @@
                 number: *number,
                 task,
                 run,
-                how: How::Done,
+                how: RunOutcome::Done,
                 saved: String::new(),
             });
         }
@@ -220,11 +220,11 @@
                 run: run.run,
                 saved: String::new(),
                 percent: now % 100,
-                figure: 0,
+                measurement: 0,
             };
             let running = here.map(row).collect();
             self.cell
-                .report(&worker, &Report { running, ended }, at, at);
+                .apply_report(&worker, &Report { running, ended }, at, at);
         }
     }
 
--- a/crates/jobs/tests/unseen.rs
+++ b/crates/jobs/tests/unseen.rs
@@ -5,16 +5,16 @@
 mod world;
 
 use fixture::{job, step, worker};
-use havenladder_jobs::{How, Loss, Report, Step, Takeout};
+use havenladder_jobs::{Disruption, Loss, Report, RunOutcome, Step};
 use world::{World, row, task};
 
 /// Two workers, and a job of two lasting tasks that are apart and of which one may be away.
 fn guarded() -> World {
     let mut world = World::new(&["a1", "b1"]);
     let lasting = Step {
-        lasting: true,
-        apart: Some(1),
-        budget: Some(1),
+        long_running: true,
+        max_per_worker: Some(1),
+        disruption_budget: Some(1),
         ..step(2)
     };
     world.cell.accept(job(1, vec![lasting]));
@@ -35,7 +35,7 @@
     };
     world.report("a1", started);
     assert_eq!(world.cell.pending("q"), 0);
-    world.end("a1", 1, task(1, 0, 0), 1, How::Done);
+    world.end("a1", 1, task(1, 0, 0), 1, RunOutcome::Done);
     assert_eq!(world.cell.pending("q"), 0);
 }
 
@@ -49,17 +49,17 @@
         };
         world.report(&id, report);
     }
-    assert_eq!(world.cell.takeout("a1"), Takeout::Free);
-    world.cell.doubt_worker("b1", true);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Free);
+    world.cell.set_order_unconfirmed("b1", true);
     assert_eq!(
-        world.cell.takeout("a1"),
-        Takeout::Guarded,
+        world.cell.disruption("a1"),
+        Disruption::Guarded,
         "an earlier owner may have told its VM to go"
     );
-    world.cell.doubt_worker("b1", false);
-    assert_eq!(world.cell.takeout("a1"), Takeout::Free);
+    world.cell.set_order_unconfirmed("b1", false);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Free);
     world.cell.mark_silent("b1", world.now);
-    assert_eq!(world.cell.takeout("a1"), Takeout::Guarded);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Guarded);
 }
 
 #[test]
@@ -70,7 +70,7 @@
     for id in ["a1", "b1"] {
         world.cell.upsert_worker(worker(id), world.now);
     }
-    assert_eq!(world.cell.takeout("a1"), Takeout::Guarded);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Guarded);
 }
 
 #[test]
@@ -97,13 +97,13 @@
     world.cell.accept(job(1, vec![step(1)]));
     world.run();
     world.take_over();
-    assert_eq!(world.cell.takeout("a1"), Takeout::Guarded);
-    assert_eq!(world.cell.takeout("new"), Takeout::Guarded);
+    assert_eq!(world.cell.disruption("a1"), Disruption::Guarded);
+    assert_eq!(world.cell.disruption("new"), Disruption::Guarded);
     world.cell.mark_listed();
     assert_eq!(
-        world.cell.takeout("a1"),
-        Takeout::Guarded,
+        world.cell.disruption("a1"),
+        Disruption::Guarded,
         "the records say that it has a run"
     );
-    assert_eq!(world.cell.takeout("new"), Takeout::Free);
+    assert_eq!(world.cell.disruption("new"), Disruption::Free);
 }
