--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -1,9 +1,9 @@
 //! Ownership of the cell, which is a lease in the log.
 //!
 //! The owner appends a record every [`RENEWAL_INTERVAL`], and each entry reads the records. An
-//! entry that has read none for [`fleet::EXPIRY`], while the store answered, appends its own on the
+//! entry that has read none for [`fleet::LEASE_TIMEOUT`], while the store answered, appends its own on the
 //! condition that no other entry has. The offset of the record is the new owner's epoch, which
-//! fences its appends and its orders. [`Tenure`] decides when to claim the lease. This module
+//! fences its appends and its orders. [`Election`] decides when to claim the lease. This module
 //! reads, claims, renews and releases it.
 
 mod log;
@@ -25,7 +25,7 @@
 use tokio::{task, time};
 use tracing::info;
 
-/// Interval between two renewals. Three renewals fit into [`fleet::EXPIRY`], so that two may be
+/// Interval between two renewals. Three renewals fit into [`fleet::LEASE_TIMEOUT`], so that two may be
 /// lost.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -100,7 +100,7 @@
 
 /// Maximum age of the last renewal with which an owner is certain that no other entry owns the
 /// cell, as it has to be for orders that two owners must not both give. It is shorter than
-/// [`fleet::EXPIRY`] by the possible delay of clocks and responses.
+/// [`fleet::LEASE_TIMEOUT`] by the possible delay of clocks and responses.
 pub const CERTAIN_RENEWAL_AGE: Duration = Duration::from_millis(1_100);
 
 /// State of the previous owner, as far as it is known. The log shows the fields under their names.
