--- a/crates/havenladder/src/commands/serve.rs
+++ b/crates/havenladder/src/commands/serve.rs
@@ -4,7 +4,13 @@
 use crate::{
     configs::{self, Config},
     context::Context,
-    duties::{
+    fleet_cell::FleetCell,
+    local_observations::LocalObservations,
+    logs,
+    metrics::Metrics,
+    peer_table::PeerTable,
+    recent::Recent,
+    threads::{
         self,
         claims::{ClaimJob, ClaimsRing, claims},
         editors::editors,
@@ -18,12 +24,6 @@
         watch::watch,
         workers::workers,
     },
-    fleet_cell::FleetCell,
-    logs,
-    metrics::Metrics,
-    peer_table::PeerTable,
-    recent::Recent,
-    sightings::Sightings,
 };
 use crossbeam_channel::Receiver;
 use platform::HttpPlatform;
@@ -106,7 +106,7 @@
         fleet: FleetCell::default(),
         services: Default::default(),
         peers: PeerTable::default(),
-        sightings: Sightings::default(),
+        observations: LocalObservations::default(),
         listed: Default::default(),
         placement,
         claims,
@@ -132,26 +132,26 @@
 fn start(ctx: &Arc<Context>, rings: Rings, listeners: Listeners) -> io::Result<()> {
     let (sender, dispatches) = mpsc::channel(ctx.config.placement.requests * 4 + 64);
     let messages = rings.placement;
-    duties::spawn("placement", ctx, move |ctx| {
+    threads::spawn("placement", ctx, move |ctx| {
         placement(ctx, &messages, sender);
     })?;
-    duties::spawn("workers", ctx, move |ctx| workers(ctx, dispatches))?;
+    threads::spawn("workers", ctx, move |ctx| workers(ctx, dispatches))?;
     for (shard, jobs) in rings.claims.into_iter().enumerate() {
         let name = format!("claims-{shard}");
-        duties::spawn(&name, ctx, move |ctx| claims(ctx, shard, &jobs))?;
+        threads::spawn(&name, ctx, move |ctx| claims(ctx, shard, &jobs))?;
     }
-    duties::spawn("follow", ctx, follow)?;
-    duties::spawn("watch", ctx, watch)?;
-    duties::spawn("steward", ctx, steward)?;
-    duties::spawn("snapshots", ctx, snapshots)?;
-    duties::spawn("ask-peers", ctx, ask_peers)?;
+    threads::spawn("follow", ctx, follow)?;
+    threads::spawn("watch", ctx, watch)?;
+    threads::spawn("steward", ctx, steward)?;
+    threads::spawn("snapshots", ctx, snapshots)?;
+    threads::spawn("ask-peers", ctx, ask_peers)?;
     for _ in 0..peers::ANSWERERS {
         let server = Arc::clone(&listeners.peers);
-        duties::spawn("answer-peers", ctx, move |ctx| answer_peers(ctx, &server))?;
+        threads::spawn("answer-peers", ctx, move |ctx| answer_peers(ctx, &server))?;
     }
     for _ in 0..operators::ANSWERERS {
         let server = Arc::clone(&listeners.operators);
-        duties::spawn("operators", ctx, move |ctx| operators(ctx, &server))?;
+        threads::spawn("operators", ctx, move |ctx| operators(ctx, &server))?;
     }
-    duties::spawn("editors", ctx, move |ctx| editors(ctx, listeners.editors))
+    threads::spawn("editors", ctx, move |ctx| editors(ctx, listeners.editors))
 }
--- a/crates/havenladder/src/context.rs
+++ b/crates/havenladder/src/context.rs
@@ -2,13 +2,13 @@
 
 use crate::{
     configs::Config,
-    duties::{claims::ClaimsRing, placement::PlacementRing},
     fleet_cell::FleetCell,
+    local_observations::LocalObservations,
     metrics::Metrics,
     peer_table::PeerTable,
     recent::Recent,
-    sightings::Sightings,
     sync::lock,
+    threads::{claims::ClaimsRing, placement::PlacementRing},
 };
 use arc_swap::ArcSwap;
 use platform::{HttpPlatform, VmInfo};
@@ -37,7 +37,7 @@
     /// The peers.
     pub peers: PeerTable,
     /// What this entry sees of its workers.
-    pub sightings: Sightings,
+    pub observations: LocalObservations,
     /// The platform's list of VMs as it was read last.
     pub listed: ArcSwap<Vec<VmInfo>>,
     /// The way to the duty that places requests.
--- a/crates/havenladder/src/sightings.rs
+++ b/crates/havenladder/src/local_observations.rs
@@ -9,13 +9,13 @@
 
 /// VMs of the hall by what the last probes said.
 #[derive(Default)]
-pub struct Sightings {
-    seen: Mutex<BTreeMap<VmId, Sighting>>,
+pub struct LocalObservations {
+    observations: Mutex<BTreeMap<VmId, LocalObservation>>,
 }
 
 /// What the last probes of one VM said.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sighting {
+pub struct LocalObservation {
     /// Probes that failed since the last one that was answered.
     pub misses: u32,
     /// Whether the platform lists the VM as leaving.
@@ -25,54 +25,56 @@
 /// Probes in a row that must fail before a worker is suspected to be down.
 const SUSPECT_AFTER: u32 = 2;
 
-impl Sighting {
+impl LocalObservation {
     /// Tells whether the worker is suspected to be down.
     pub fn is_suspect(self) -> bool {
         self.misses >= SUSPECT_AFTER
     }
 }
 
-impl Sightings {
+impl LocalObservations {
     /// Notes one probe.
-    pub fn probe(&self, vm: &str, answered: bool) {
-        let mut seen = lock(&self.seen);
-        let sighting = seen.entry(vm.to_owned()).or_default();
-        sighting.misses = if answered { 0 } else { sighting.misses + 1 };
+    pub fn record_probe(&self, vm: &str, answered: bool) {
+        let mut observations = lock(&self.observations);
+        let observation = observations.entry(vm.to_owned()).or_default();
+        observation.misses = if answered { 0 } else { observation.misses + 1 };
     }
 
     /// Returns the VMs whose last probe failed.
     pub fn suspects(&self) -> BTreeSet<VmId> {
-        let seen = lock(&self.seen);
-        let missed = seen.iter().filter(|(_, sighting)| sighting.misses > 0);
+        let observations = lock(&self.observations);
+        let missed = observations
+            .iter()
+            .filter(|(_, observation)| observation.misses > 0);
         missed.map(|(vm, _)| vm.clone()).collect()
     }
 
     /// Returns what is known of each VM.
-    pub fn all(&self) -> BTreeMap<VmId, Sighting> {
-        lock(&self.seen).clone()
+    pub fn all(&self) -> BTreeMap<VmId, LocalObservation> {
+        lock(&self.observations).clone()
     }
 
     /// Notes which VMs the platform lists as leaving.
     pub fn set_leaving(&self, leaving: &BTreeSet<VmId>) {
-        let mut seen = lock(&self.seen);
+        let mut observations = lock(&self.observations);
         for vm in leaving {
-            seen.entry(vm.clone()).or_default();
+            observations.entry(vm.clone()).or_default();
         }
-        for (vm, sighting) in seen.iter_mut() {
-            sighting.leaving = leaving.contains(vm);
+        for (vm, observation) in observations.iter_mut() {
+            observation.leaving = leaving.contains(vm);
         }
     }
 
     /// Forgets VMs that are not among `known`.
     pub fn retain(&self, known: &BTreeSet<VmId>) {
-        lock(&self.seen).retain(|vm, _| known.contains(vm));
+        lock(&self.observations).retain(|vm, _| known.contains(vm));
     }
 
     /// Returns VMs that should get no new work by what this entry sees.
     pub fn unfit(&self) -> BTreeSet<VmId> {
-        lock(&self.seen)
+        lock(&self.observations)
             .iter()
-            .filter(|(_, sighting)| sighting.is_suspect() || sighting.leaving)
+            .filter(|(_, observation)| observation.is_suspect() || observation.leaving)
             .map(|(vm, _)| vm.clone())
             .collect()
     }
--- a/crates/havenladder/src/duties/editors.rs
+++ b/crates/havenladder/src/threads/editors.rs
@@ -8,14 +8,14 @@
 
 use crate::{
     context::Context,
-    duties::{
-        placement::{Answer, Arrival, Message, Reply},
-        runtime,
-    },
     outcome,
     problem::{HEADER_OUTCOME, HEADER_REQUEST, Problem},
     recent::Trace,
     sync::lock,
+    threads::{
+        placement::{Answer, Arrival, Message, Reply},
+        runtime,
+    },
 };
 use bytes::Bytes;
 use check::{Checked, check};
--- a/crates/havenladder/src/duties/follow.rs
+++ b/crates/havenladder/src/threads/follow.rs
@@ -4,8 +4,8 @@
     client::PeerClient,
     configs::Neighbour,
     context::Context,
-    duties::{placement::Message, snapshots},
     propose::FLEET,
+    threads::{placement::Message, snapshots},
 };
 use fleet::{Fleet, Outcome};
 use platform::Log;
@@ -192,7 +192,7 @@
 
 /// The hall's workers that take new work, by the agreed state and by what this entry sees.
 fn workers(ctx: &Context) -> Vec<WorkerInfo> {
-    let unfit = ctx.sightings.unfit();
+    let unfit = ctx.observations.unfit();
     let fleet = ctx.fleet.get();
     fleet
         .vms
--- a/crates/havenladder/src/duties/mod.rs
+++ b/crates/havenladder/src/threads/mod.rs
@@ -26,13 +26,13 @@
 pub fn spawn(
     name: &str,
     ctx: &Arc<Context>,
-    duty: impl FnOnce(&Arc<Context>) + Send + 'static,
+    run: impl FnOnce(&Arc<Context>) + Send + 'static,
 ) -> io::Result<()> {
     let ctx = Arc::clone(ctx);
     thread::Builder::new()
         .name(name.to_owned())
         .stack_size(STACK_BYTES)
-        .spawn(move || duty(&ctx))?;
+        .spawn(move || run(&ctx))?;
     Ok(())
 }
 
--- a/crates/havenladder/src/duties/operators.rs
+++ b/crates/havenladder/src/threads/operators.rs
@@ -4,10 +4,10 @@
 
 use crate::{
     context::Context,
-    duties::peers::has_key,
     explain::{explain, suggestion},
     operate::{MemberReply, Order, Receipt, StateReply, WaveReply},
     propose::propose,
+    threads::peers::has_key,
 };
 use fleet::{Change, Fleet, GrantRequest, View, Wave, progress};
 use serde::Serialize;
--- a/crates/havenladder/src/duties/operators/burn.rs
+++ b/crates/havenladder/src/threads/operators/burn.rs
@@ -3,8 +3,8 @@
 use crate::{
     client::PeerClient,
     context::Context,
-    duties::peers,
     operate::{BurnReport, BurnRow},
+    threads::peers,
 };
 use protocol::{BurnCell, BurnReply, BurnSum, ServiceId};
 use serving::{WINDOWS, burn_rate};
--- a/crates/havenladder/src/duties/peers.rs
+++ b/crates/havenladder/src/threads/peers.rs
@@ -3,10 +3,10 @@
 use crate::{
     client::{PeerClient, RELAY_WAIT},
     context::Context,
-    duties::placement::Message,
     key::is_key,
     peer_table::holds_until,
     sync::lock,
+    threads::placement::Message,
 };
 use fleet::encode_snapshot;
 use protocol::{BurnReply, HEADER_KEY, SnapshotReply, encode};
--- a/crates/havenladder/src/duties/placement.rs
+++ b/crates/havenladder/src/threads/placement.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     context::Context,
-    duties::{claims::ClaimJob, workers::Dispatch},
     sync::lock,
+    threads::{claims::ClaimJob, workers::Dispatch},
 };
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
--- a/crates/havenladder/src/duties/steward.rs
+++ b/crates/havenladder/src/threads/steward.rs
@@ -218,7 +218,7 @@
 
 /// Slots of the VM's pool that this entry finds silent and the agreed state still counts as up.
 fn unseen(ctx: &Context, fleet: &Fleet, vm: &Vm) -> u32 {
-    let unfit = ctx.sightings.unfit();
+    let unfit = ctx.observations.unfit();
     unfit
         .iter()
         .filter_map(|id| fleet.vms.get(id))
--- a/crates/havenladder/src/duties/stop.rs
+++ b/crates/havenladder/src/threads/stop.rs
@@ -1,7 +1,7 @@
 //! The duty that stops the process: on the first signal when everything in progress is finished,
 //! on the second at once.
 
-use crate::{context::Context, duties::placement::Message};
+use crate::{context::Context, threads::placement::Message};
 use serving::Event;
 use signal_hook::{
     consts::{SIGINT, SIGTERM},
--- a/crates/havenladder/src/duties/watch.rs
+++ b/crates/havenladder/src/threads/watch.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     context::Context,
-    duties::{follow::publish, placement::Message, runtime},
     propose::propose,
+    threads::{follow::publish, placement::Message, runtime},
 };
 use bytes::Bytes;
 use fleet::{Change, Vm};
@@ -75,7 +75,7 @@
 }
 
 fn round(ctx: &Context, runtime: &Runtime, probe: &Probe, targets: Vec<Target>) {
-    let before = ctx.sightings.unfit();
+    let before = ctx.observations.unfit();
     let patience = ctx.config.watch.patience;
     let probed = runtime.block_on(probe_all(probe, targets, patience));
     let listed = list(ctx);
@@ -83,7 +83,7 @@
         note_leaving(ctx, listed);
     }
     note_probes(ctx, &probed);
-    if ctx.sightings.unfit() != before {
+    if ctx.observations.unfit() != before {
         publish(ctx);
     }
     // Without the list it is not known whether a silent VM is down or cut off with the platform.
@@ -95,7 +95,7 @@
         .iter()
         .filter_map(|probed| Some((probed.vm.clone(), probed.usage.as_ref()?.boot)))
         .collect();
-    let seen = report::changes(ctx, &listed, &ctx.sightings.all(), &boots);
+    let seen = report::changes(ctx, &listed, &ctx.observations.all(), &boots);
     if !seen.is_empty() {
         tracing::info!(?seen, "observed");
         if let Err(error) = propose(ctx, vec![Change::Observe(seen)]) {
@@ -133,14 +133,14 @@
 /// The hall's VMs whose turn it is to be probed: suspects always, others one after the other, as
 /// many as the limit allows.
 fn targets(ctx: &Context, turn: &mut usize) -> Vec<Target> {
-    let suspects = ctx.sightings.suspects();
+    let suspects = ctx.observations.suspects();
     let known: Vec<Target> = {
         let fleet = ctx.fleet.get();
         let in_hall = |vm: &Vm| vm.hall == ctx.config.entry.hall;
         let vms = fleet.vms.iter().filter(|(_, vm)| in_hall(vm));
         vms.map(|(id, vm)| (id.clone(), vm.addr.clone())).collect()
     };
-    ctx.sightings
+    ctx.observations
         .retain(&known.iter().map(|(id, _)| id.clone()).collect());
     let rounds_a_second = 1.0 / ctx.config.watch.interval.as_secs_f64();
     let most = (ctx.config.watch.probes as f64 / rounds_a_second).ceil() as usize;
@@ -190,7 +190,7 @@
         .filter(|vm| vm.hall == ctx.config.entry.hall && vm.state == ListState::Leaving)
         .map(|vm| vm.id.clone())
         .collect();
-    ctx.sightings.set_leaving(&leaving);
+    ctx.observations.set_leaving(&leaving);
 }
 
 fn note_probes(ctx: &Context, probed: &[Probed]) {
@@ -199,6 +199,7 @@
             let event = Event::Usage(probed.vm.clone(), usage.running);
             ctx.placement.tell(Message::Happened(event));
         }
-        ctx.sightings.probe(&probed.vm, probed.usage.is_some());
+        ctx.observations
+            .record_probe(&probed.vm, probed.usage.is_some());
     }
 }
--- a/crates/havenladder/src/duties/watch/report.rs
+++ b/crates/havenladder/src/threads/watch/report.rs
@@ -1,6 +1,6 @@
 //! What the agreed state is told of VMs: changes only, each by one entry.
 
-use crate::{context::Context, sightings::Sighting};
+use crate::{context::Context, local_observations::LocalObservation};
 use fleet::{Health, Observation, Seen, Vm};
 use platform::{ListState, VmInfo};
 use protocol::{EntryId, HallId, VmId, first_in_hall, ranked};
@@ -10,7 +10,7 @@
 pub fn changes(
     ctx: &Context,
     listed: &[VmInfo],
-    sightings: &BTreeMap<VmId, Sighting>,
+    observations: &BTreeMap<VmId, LocalObservation>,
     boots: &BTreeMap<VmId, u64>,
 ) -> Vec<Observation> {
     let members = ctx.peers.members(&ctx.config, true);
@@ -23,8 +23,8 @@
         .filter(|info| falls_to_us(&info.id, &info.hall))
     {
         let vm = fleet.vms.get(&info.id);
-        let sighting = sightings.get(&info.id).copied();
-        let seen = seen_of(info, vm, sighting, boots.get(&info.id).copied());
+        let observation = observations.get(&info.id).copied();
+        let seen = seen_of(info, vm, observation, boots.get(&info.id).copied());
         let base = vm.map_or(0, |vm| vm.version);
         if let Some(seen) = seen.filter(|seen| is_news(vm, seen)) {
             changes.push(Observation {
@@ -38,9 +38,9 @@
     let halls: BTreeSet<&HallId> = listed.iter().map(|info| &info.hall).collect();
     for (id, vm) in fleet.vms.iter().filter(|(_, vm)| halls.contains(&vm.hall)) {
         let is_lost = !ids.contains(id) && vm.health != Health::Gone && vm.grant.is_none();
-        let is_silent = sightings
+        let is_silent = observations
             .get(id)
-            .is_none_or(|sighting| sighting.is_suspect());
+            .is_none_or(|observation| observation.is_suspect());
         if is_lost && is_silent && falls_to_us(id, &vm.hall) {
             changes.push(Observation {
                 vm: id.clone(),
@@ -66,10 +66,10 @@
 fn seen_of(
     info: &VmInfo,
     vm: Option<&Vm>,
-    sighting: Option<Sighting>,
+    observation: Option<LocalObservation>,
     boot: Option<u64>,
 ) -> Option<Seen> {
-    if sighting.is_some_and(Sighting::is_suspect) {
+    if observation.is_some_and(LocalObservation::is_suspect) {
         return Some(Seen::Down);
     }
     if info.state == ListState::Leaving {
@@ -77,7 +77,7 @@
     }
     let known_boot = vm.map_or(0, |vm| vm.boot);
     let boot = boot.unwrap_or(info.boot).max(info.boot);
-    let answered = sighting.is_some_and(|sighting| sighting.misses == 0);
+    let answered = observation.is_some_and(|observation| observation.misses == 0);
     if boot < known_boot || !(info.up || answered) {
         return None;
     }
--- a/crates/havenladder/src/duties/workers.rs
+++ b/crates/havenladder/src/threads/workers.rs
@@ -5,12 +5,12 @@
 
 use crate::{
     context::Context,
-    duties::{
+    outcome,
+    problem::{self, HEADER_OUTCOME},
+    threads::{
         placement::{Answer, Message},
         runtime,
     },
-    outcome,
-    problem::{self, HEADER_OUTCOME},
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
