--- a/crates/havenladder/benches/claims.rs
+++ b/crates/havenladder/benches/claims.rs
@@ -24,7 +24,7 @@
 const CALLERS: usize = 700;
 
 /// Time of the run.
-const TIME: Duration = Duration::from_secs(6);
+const RUN_TIME: Duration = Duration::from_secs(6);
 
 fn main() {
     let mut plan = plan(1, 24);
@@ -37,7 +37,7 @@
     let before = site.appends();
     let done = runtime.block_on(offer(&site));
     let appends = site.appends() - before;
-    let seconds = TIME.as_secs_f64();
+    let seconds = RUN_TIME.as_secs_f64();
     println!(
         "claims: {:.0} orders/s done, {:.0} appends/s of 300",
         done as f64 / seconds,
@@ -48,14 +48,14 @@
 async fn offer(site: &Site) -> u64 {
     let http: Client<HttpConnector, Full<bytes::Bytes>> =
         Client::builder(TokioExecutor::new()).build(HttpConnector::new());
-    let began = Instant::now();
+    let started = Instant::now();
     let done = Rc::new(Cell::new(0_u64));
     let mut calls = tokio::task::LocalSet::new();
     for caller in 0..CALLERS {
         let entry = site.entries[caller % site.entries.len()].editors;
         let (http, done) = (http.clone(), Rc::clone(&done));
         calls.spawn_local(async move {
-            while began.elapsed() < TIME {
+            while started.elapsed() < RUN_TIME {
                 let request = Request::post(format!("http://{entry}/v1/place/pool/order"))
                     .header("idempotency-key", key())
                     .body(Full::from("run=1"))
--- a/crates/havenladder/benches/control.rs
+++ b/crates/havenladder/benches/control.rs
@@ -8,7 +8,7 @@
 use std::{thread, time::Duration};
 
 /// Time of each measurement.
-const TIME: Duration = Duration::from_secs(6);
+const RUN_TIME: Duration = Duration::from_secs(6);
 
 fn main() {
     println!("VMs  entries  processor  bytes/s with the platform  with peers  memory");
@@ -31,23 +31,23 @@
     let (used, platform, peers) = (
         site.processor_time(0),
         site.log_links[0].bytes(),
-        peers(&site),
+        peer_bytes(&site),
     );
-    thread::sleep(TIME);
-    let seconds = TIME.as_secs_f64();
+    thread::sleep(RUN_TIME);
+    let seconds = RUN_TIME.as_secs_f64();
     let used = (site.processor_time(0) - used).as_secs_f64();
     let platform = site.log_links[0].bytes() - platform;
     println!(
         "{vms:>3}  {entries:>7}  {:>7.2} %  {:>25.0}  {:>10.0}  {:>4.1} MB",
         100.0 * used / seconds,
         platform as f64 / seconds,
-        (self::peers(&site) - peers) as f64 / seconds,
+        (self::peer_bytes(&site) - peers) as f64 / seconds,
         site.memory(0) as f64 / 1e6
     );
 }
 
 /// Bytes between the first entry and its peers, both ways.
-fn peers(site: &Site) -> u64 {
+fn peer_bytes(site: &Site) -> u64 {
     let links = site.peer_links.iter();
     let own = links.filter(|((from, to), _)| *from == 0 || *to == 0);
     own.flat_map(|(_, links)| links)
--- a/crates/havenladder/benches/in_force.rs
+++ b/crates/havenladder/benches/in_force.rs
@@ -12,7 +12,7 @@
 const CHANGES: u32 = 300;
 
 /// Changes after which an entry is replaced.
-const REPLACE: u32 = 25;
+const CHANGES_PER_REPLACEMENT: u32 = 25;
 
 fn settings(change: u32) -> String {
     format!(
@@ -28,23 +28,23 @@
     let file = std::env::temp_dir().join(format!("havenladder-{}", key()));
     let mut took = Histogram::<u64>::new_with_bounds(1, 60_000, 3).expect("bounds in order");
     for change in 1..=CHANGES {
-        if change % REPLACE == 0 {
-            let index = 1 + (change / REPLACE) as usize % (halls.len() - 1);
+        if change % CHANGES_PER_REPLACEMENT == 0 {
+            let index = 1 + (change / CHANGES_PER_REPLACEMENT) as usize % (halls.len() - 1);
             site.kill(index);
             site.spawn(index);
         }
         fs::write(&file, settings(change)).expect("a folder for files");
         let path = file.to_str().expect("a path in Unicode");
-        let began = Instant::now();
+        let started = Instant::now();
         let applied = site.run(0, &["settings", "apply", "--wait", path]);
         assert!(applied.status.success(), "{applied:?}");
-        took.saturating_record(began.elapsed().as_millis() as u64);
+        took.saturating_record(started.elapsed().as_millis() as u64);
     }
     // A file that stays behind does no harm.
     let _ = fs::remove_file(&file);
     println!(
-        "{CHANGES} changes, 6 entries, {} replaced: in force after p50 {} ms, p99 {} ms, at the most {} ms",
-        CHANGES / REPLACE,
+        "{CHANGES} changes, 6 entries, {} replaced: in force after p50 {} ms, p99 {} ms, at most {} ms",
+        CHANGES / CHANGES_PER_REPLACEMENT,
         took.value_at_quantile(0.5),
         took.value_at_quantile(0.99),
         took.max()
--- a/crates/havenladder/benches/load.rs
+++ b/crates/havenladder/benches/load.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 /// Time of each run.
-const TIME: Duration = Duration::from_secs(6);
+const RUN_TIME: Duration = Duration::from_secs(6);
 
 /// A refusal that takes longer was given up on while it waited, in microseconds.
-const LATE_US: u64 = 10_000;
+const MAX_IMMEDIATE_US: u64 = 10_000;
 
 const SETTINGS: &str = r#"{ "place": { "unavailable": "50%", "pools": { "pool": { "vms": 4,
   "services": {
@@ -62,7 +62,7 @@
             ("entries", Way::Entries(entries.clone())),
             ("baseline", baseline),
         ] {
-            let tallies = runtime.block_on(offer(way, &kinds, TIME, 7));
+            let tallies = runtime.block_on(offer(way, &kinds, RUN_TIME, 7));
             report(times, name, &kinds, &tallies);
         }
     }
@@ -84,13 +84,14 @@
             tally.lost,
             ms(&tally.good_us),
             ms(&tally.refused_us),
-            1.0 - tally.refused_us.count_between(0, LATE_US) as f64 / tally.refused.max(1) as f64,
+            1.0 - tally.refused_us.count_between(0, MAX_IMMEDIATE_US) as f64
+                / tally.refused.max(1) as f64,
         );
         work += tally.good as f64 * kind.mean_run();
     }
     let good: u64 = tallies.iter().map(|tally| tally.good).sum();
     println!(
         "{times:>4}  {name:<9} all: good {good} ({:.0}/s), good work {work:.1} slot-seconds",
-        good as f64 / TIME.as_secs_f64()
+        good as f64 / RUN_TIME.as_secs_f64()
     );
 }
--- a/crates/havenladder/benches/path.rs
+++ b/crates/havenladder/benches/path.rs
@@ -20,10 +20,10 @@
   "services": { "service": { "timeout_ms": 60000, "queue_limit": 4000 } } } } } }"#;
 
 /// Requests of each latency run; the two ways take turns.
-const ROUNDS: usize = 4_000;
+const LATENCY_REQUESTS: usize = 4_000;
 
 /// Time of the throughput run.
-const TIME: Duration = Duration::from_secs(4);
+const RUN_TIME: Duration = Duration::from_secs(4);
 
 /// Requests in flight in the throughput run.
 const CALLERS: usize = 48;
@@ -59,7 +59,7 @@
     Client::builder(TokioExecutor::new()).build(connector)
 }
 
-async fn through(http: &Http, site: &Site, run: u64) -> bool {
+async fn request_entry(http: &Http, site: &Site, run: u64) -> bool {
     let entry = site.entries[0].editors;
     let request = Request::post(format!("http://{entry}/v1/place/pool/service"))
         .body(Full::from(format!("run={run}")))
@@ -84,15 +84,15 @@
     let histogram =
         || Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
     let (mut entry, mut direct) = (histogram(), histogram());
-    for round in 0..ROUNDS {
-        let began = Instant::now();
-        assert!(through(&http, site, 0).await, "an entry refused");
-        let took = began.elapsed();
-        let began = Instant::now();
+    for round in 0..LATENCY_REQUESTS {
+        let started = Instant::now();
+        assert!(request_entry(&http, site, 0).await, "an entry refused");
+        let took = started.elapsed();
+        let started = Instant::now();
         let worker = workers[round % workers.len()];
         assert_eq!(straight(&http, worker, &kind, 0).await, Some(true));
-        if round >= ROUNDS / 10 {
-            direct.saturating_record(began.elapsed().as_micros() as u64);
+        if round >= LATENCY_REQUESTS / 10 {
+            direct.saturating_record(started.elapsed().as_micros() as u64);
             entry.saturating_record(took.as_micros() as u64);
         }
     }
@@ -112,14 +112,14 @@
 async fn throughput(site: &Site) {
     let http = client();
     let before = site.processor_time(0);
-    let began = Instant::now();
+    let started = Instant::now();
     let mut calls = tokio::task::LocalSet::new();
     let total = std::rc::Rc::new(std::cell::Cell::new(0_u64));
     for _ in 0..CALLERS {
         let (http, total) = (http.clone(), std::rc::Rc::clone(&total));
         let entry = site.entries[0].editors;
         calls.spawn_local(async move {
-            while began.elapsed() < TIME {
+            while started.elapsed() < RUN_TIME {
                 let request = Request::post(format!("http://{entry}/v1/place/pool/service"))
                     .body(Full::from("run=0"))
                     .expect("a well-formed request");
@@ -137,7 +137,7 @@
     let used = site.processor_time(0) - before;
     println!(
         "throughput: {:.0} requests/s with {CALLERS} callers; {:.0} requests a second of processor time",
-        done as f64 / TIME.as_secs_f64(),
+        done as f64 / RUN_TIME.as_secs_f64(),
         done as f64 / used.as_secs_f64()
     );
 }
@@ -155,16 +155,16 @@
             let _ = http.request(request).await;
         });
     }
-    let mut most = 0.0_f64;
+    let mut max_megabytes = 0.0_f64;
     let watch = async {
         for _ in 0..100 {
             tokio::time::sleep(Duration::from_millis(20)).await;
-            most = most.max(megabytes(site));
+            max_megabytes = max_megabytes.max(megabytes(site));
         }
     };
     calls.run_until(watch).await;
     println!(
-        "memory with {IN_FLIGHT} requests in flight: {most:.1} MB, {} threads",
+        "memory with {IN_FLIGHT} requests in flight: {max_megabytes:.1} MB, {} threads",
         site.threads(0)
     );
 }
--- a/crates/havenladder/src/client.rs
+++ b/crates/havenladder/src/client.rs
@@ -7,16 +7,16 @@
 use ureq::Agent;
 
 /// Time that a call to a peer may take, beside what it asks the peer to wait.
-const PEER_TIME: Duration = Duration::from_secs(2);
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time in which a connection must stand.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time for which a peer may hold a request for records.
-pub const RELAY_WAIT: Duration = Duration::from_millis(500);
+pub const MAX_RELAY_WAIT: Duration = Duration::from_millis(500);
 
 /// The largest answer that is read.
-const ANSWER_LIMIT: u64 = 64 << 20;
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
 /// Calls to peers.
 pub struct PeerClient {
@@ -28,8 +28,8 @@
     /// Makes a client that sends `key`.
     pub fn new(key: &str) -> Self {
         let config = Agent::config_builder()
-            .timeout_connect(Some(CONNECT_TIME))
-            .timeout_global(Some(PEER_TIME + RELAY_WAIT))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .timeout_global(Some(PEER_TIMEOUT + MAX_RELAY_WAIT))
             .build();
         Self {
             agent: config.into(),
@@ -66,13 +66,13 @@
     }
 
     fn get<T: DeserializeOwned>(&self, addr: &str, path: &str) -> Option<T> {
-        let mut answer = self
+        let mut response = self
             .agent
             .get(format!("http://{addr}{path}"))
             .header(HEADER_KEY, &self.key)
             .call()
             .ok()?;
-        let body = answer.body_mut().with_config().limit(ANSWER_LIMIT);
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
         decode(&body.read_to_vec().ok()?).ok()
     }
 }
@@ -94,7 +94,7 @@
 }
 
 /// Time that an operator's call may take.
-const OPERATOR_TIME: Duration = Duration::from_secs(60);
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Calls to an entry's listener for operators.
 pub struct OperatorClient {
@@ -107,8 +107,8 @@
     /// Makes a client for the entry at `addr`.
     pub fn new(addr: String, key: String) -> Self {
         let config = Agent::config_builder()
-            .timeout_connect(Some(CONNECT_TIME))
-            .timeout_global(Some(OPERATOR_TIME))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .timeout_global(Some(OPERATOR_TIMEOUT))
             .http_status_as_error(false)
             .build();
         Self {
@@ -129,7 +129,7 @@
             .get(format!("http://{}{path}", self.addr))
             .header(HEADER_KEY, &self.key)
             .call();
-        self.answer(call)
+        self.read_response(call)
     }
 
     /// Asks to change something.
@@ -147,10 +147,10 @@
             .post(format!("http://{}{path}", self.addr))
             .header(HEADER_KEY, &self.key)
             .send_json(body);
-        self.answer(call)
+        self.read_response(call)
     }
 
-    fn answer<T: DeserializeOwned>(
+    fn read_response<T: DeserializeOwned>(
         &self,
         call: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     ) -> Result<T, OperatorError> {
@@ -158,21 +158,21 @@
             addr: self.addr.clone(),
             cause,
         };
-        let mut answer = call.map_err(|error| unreachable(error.to_string()))?;
-        let is_success = answer.status().is_success();
-        let body = answer.body_mut().with_config().limit(ANSWER_LIMIT);
+        let mut response = call.map_err(|error| unreachable(error.to_string()))?;
+        let is_success = response.status().is_success();
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
         let body = body
             .read_to_vec()
             .map_err(|error| unreachable(error.to_string()))?;
         if !is_success {
-            return Err(OperatorError::Refused(detail(&body)));
+            return Err(OperatorError::Refused(problem_detail(&body)));
         }
         serde_json::from_slice(&body).map_err(|error| unreachable(error.to_string()))
     }
 }
 
 /// Returns what a problem says, or the whole text if it is none.
-fn detail(body: &[u8]) -> String {
+fn problem_detail(body: &[u8]) -> String {
     let value: Option<serde_json::Value> = serde_json::from_slice(body).ok();
     let detail = value.as_ref().and_then(|value| value["detail"].as_str());
     detail.map_or_else(|| String::from_utf8_lossy(body).into_owned(), str::to_owned)
--- a/crates/havenladder/src/commands/bug_report.rs
+++ b/crates/havenladder/src/commands/bug_report.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 /// Questions whose answers go into the report.
-const QUESTIONS: [&str; 3] = ["/members", "/state", "/burn"];
+const PATHS: [&str; 3] = ["/members", "/state", "/burn"];
 
 /// Prints the report; what the entry does not answer is said so.
 pub fn bug_report(setup: &Setup<'_>) -> Result<(), CommandError> {
@@ -17,9 +17,9 @@
         "processor": std::env::consts::ARCH,
         "config": config,
     });
-    for question in QUESTIONS {
-        let answer = client.get::<Value>(question);
-        report[question] = answer.unwrap_or_else(|error| json!({ "error": error.to_string() }));
+    for path in PATHS {
+        let response = client.get::<Value>(path);
+        report[path] = response.unwrap_or_else(|error| json!({ "error": error.to_string() }));
     }
     if let Ok(text) = serde_json::to_string_pretty(&report) {
         println!("{text}");
--- a/crates/havenladder/src/commands/burn.rs
+++ b/crates/havenladder/src/commands/burn.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Characters of the bar that shows what is left.
-const BAR: usize = 20;
+const BAR_WIDTH: usize = 20;
 
 /// Prints the report.
 pub fn burn(setup: &Setup<'_>) -> Result<(), CommandError> {
@@ -60,8 +60,8 @@
 }
 
 fn bar(left: f64) -> String {
-    let full = (left.clamp(0.0, 1.0) * BAR as f64).round() as usize;
-    format!("{}{}", "#".repeat(full), ".".repeat(BAR - full))
+    let full = (left.clamp(0.0, 1.0) * BAR_WIDTH as f64).round() as usize;
+    format!("{}{}", "#".repeat(full), ".".repeat(BAR_WIDTH - full))
 }
 
 fn causes(lost: &BTreeMap<protocol::Loss, u64>) -> String {
--- a/crates/havenladder/src/commands/day.rs
+++ b/crates/havenladder/src/commands/day.rs
@@ -8,13 +8,13 @@
 use std::{collections::BTreeMap, fs, path::Path};
 
 /// Thousandths of a core in a core.
-const MILLI: f64 = 1_000.0;
+const MILLICORES_PER_CORE: f64 = 1_000.0;
 
 /// From how late an owner's rounds on it counts as full, in ms: three rounds and the append between them.
-const FULL: u64 = 50;
+const OVERLOAD_MS: u64 = 50;
 
 /// How much of a log's time is kept, in characters: up to the second.
-const SECOND: usize = "2026-12-02T18:00:00".len();
+const SECOND_LENGTH: usize = "2026-12-02T18:00:00".len();
 
 /// A line of a log; what a kind of line does not have is left out.
 #[derive(Default, Deserialize)]
@@ -54,16 +54,16 @@
 
 /// Changes of what entries reach in a second: hundreds of entries change at once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-struct Cuts {
+struct CutOffs {
     /// How many entries were cut off.
     begun: u64,
     /// How many were no longer.
     ended: u64,
 }
 
-impl Cuts {
+impl CutOffs {
     /// Notes the change of one entry.
-    fn note(&mut self, cut_off: bool) {
+    fn count(&mut self, cut_off: bool) {
         if cut_off {
             self.begun += 1;
         } else {
@@ -85,8 +85,8 @@
 
 impl Rounds {
     /// Whether the owner had more to do than it could.
-    fn is_full(&self) -> bool {
-        self.longest.max(self.latest) >= FULL
+    fn is_overloaded(&self) -> bool {
+        self.longest.max(self.latest) >= OVERLOAD_MS
     }
 }
 
@@ -100,7 +100,7 @@
     /// Changes of owner.
     events: Vec<String>,
     /// How many entries were cut off, or were no longer, by second.
-    cuts: BTreeMap<String, Cuts>,
+    cuts: BTreeMap<String, CutOffs>,
     /// Requests that were given up or refused, by second.
     refusals: BTreeMap<String, u64>,
 }
@@ -119,7 +119,7 @@
     let mut day = Day::default();
     let mut pools = BTreeMap::new();
     for line in text.lines().filter_map(parse) {
-        let Some(second) = line.timestamp.get(..SECOND) else {
+        let Some(second) = line.timestamp.get(..SECOND_LENGTH) else {
             continue;
         };
         let time = second.to_owned();
@@ -139,7 +139,7 @@
                     .push(format!("{time} {} {}", line.message, line.why));
             }
             "what the entry reaches has changed" => {
-                day.cuts.entry(time).or_default().note(line.cut_off);
+                day.cuts.entry(time).or_default().count(line.cut_off);
             }
             _ => {}
         }
@@ -160,9 +160,9 @@
         pool: line.pool.clone(),
         vms: line.vms,
         idle: line.idle,
-        busy: line.busy as f64 / MILLI,
-        waiting: line.waiting as f64 / MILLI,
-        late: line.late as f64 / MILLI,
+        busy: line.busy as f64 / MILLICORES_PER_CORE,
+        waiting: line.waiting as f64 / MILLICORES_PER_CORE,
+        late: line.late as f64 / MILLICORES_PER_CORE,
     }
 }
 
@@ -189,7 +189,11 @@
         ]);
     }
     table::print(&pools, "no lines about pools");
-    for (time, second) in day.owner.iter().filter(|(_, second)| second.is_full()) {
+    for (time, second) in day
+        .owner
+        .iter()
+        .filter(|(_, second)| second.is_overloaded())
+    {
         println!(
             "{time} owner full: {} rounds, the longest of {} ms, up to {} ms late",
             second.rounds, second.longest, second.latest
--- a/crates/havenladder/src/commands/mod.rs
+++ b/crates/havenladder/src/commands/mod.rs
@@ -158,7 +158,7 @@
 }
 
 /// Gives an order and tells what became of it.
-fn order(setup: &Setup<'_>, order: &Order) -> Result<Receipt, CommandError> {
+fn send_order(setup: &Setup<'_>, order: &Order) -> Result<Receipt, CommandError> {
     let receipt: Receipt = setup.client()?.post("/orders", order)?;
     match receipt.outcome {
         Outcome::Rejected(reason) => Err(CommandError::Rejected(reason)),
--- a/crates/havenladder/src/commands/serve.rs
+++ b/crates/havenladder/src/commands/serve.rs
@@ -12,12 +12,12 @@
     recent::Recent,
     threads::{
         self,
-        claims::{ClaimJob, ClaimsRing, claims},
+        claims::{ClaimMessage, ClaimsSender, claims},
         editors::editors,
         follow::follow,
         operators::{self, operators},
-        peers::{self, answer_peers, ask_peers},
-        placement::{Message, PlacementRing, placement},
+        peers::{self, poll_peers, serve_peers},
+        placement::{Message, PlacementSender, placement},
         snapshots::snapshots,
         steward::steward,
         stop::stop,
@@ -39,12 +39,12 @@
 use tokio::sync::mpsc;
 
 /// Exit code of a process in which a duty panicked.
-const PANICKED: i32 = 70;
+const PANIC_EXIT_CODE: i32 = 70;
 
-/// The receiving ends of the rings.
-struct Rings {
+/// The receiving ends of the receivers.
+struct Receivers {
     placement: Receiver<Message>,
-    claims: Vec<Receiver<ClaimJob>>,
+    claims: Vec<Receiver<ClaimMessage>>,
 }
 
 /// The listeners; all are open before anything is served.
@@ -58,26 +58,26 @@
 pub fn serve(setup: &Setup<'_>) -> Result<(), CommandError> {
     let config = configs::load(setup.config)?;
     logs::start(&config.logs);
-    stop_on_panic();
+    exit_on_panic();
     let listeners = listen(&config)?;
-    let (ctx, rings) = context(config)?;
+    let (ctx, receivers) = make_context(config)?;
     tracing::info!(
         entry = ctx.config.entry.name,
         hall = ctx.config.entry.hall,
         editors = %ctx.config.editors.listen,
         "serving"
     );
-    start(&ctx, rings, listeners).map_err(|error| CommandError::Start(error.to_string()))?;
+    start(&ctx, receivers, listeners).map_err(|error| CommandError::Start(error.to_string()))?;
     stop(&ctx).map_err(|error| CommandError::Start(error.to_string()))
 }
 
 /// Ends the process when a duty panics: one that is half there is worse than one that is
 /// replaced.
-fn stop_on_panic() {
+fn exit_on_panic() {
     let report = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
         report(info);
-        exit(PANICKED);
+        exit(PANIC_EXIT_CODE);
     }));
 }
 
@@ -98,45 +98,45 @@
     })
 }
 
-fn context(config: Config) -> Result<(Arc<Context>, Rings), CommandError> {
-    let (placement, placement_end) = PlacementRing::new(config.placement.requests);
-    let (claims, claims_ends) = ClaimsRing::new(config.placement.requests);
+fn make_context(config: Config) -> Result<(Arc<Context>, Receivers), CommandError> {
+    let (placement, placement_receiver) = PlacementSender::new(config.placement.requests);
+    let (claims, claims_receivers) = ClaimsSender::new(config.placement.requests);
     let ctx = Context {
         platform: HttpPlatform::new(&config.platform.address.to_string()),
         fleet: FleetCell::default(),
         services: Default::default(),
         peers: PeerTable::default(),
         observations: LocalObservations::default(),
-        listed: Default::default(),
+        listed_vms: Default::default(),
         placement,
         claims,
-        rooms: Default::default(),
+        capacities: Default::default(),
         recent: Recent::default(),
         burn: Default::default(),
-        since: SystemTime::now(),
+        started_at: SystemTime::now(),
         metrics: Metrics::new().map_err(CommandError::Start)?,
         in_progress: Default::default(),
-        held_bytes: Default::default(),
+        in_progress_bytes: Default::default(),
         unsettled: Default::default(),
         reaches_log: Default::default(),
         leaving: Default::default(),
         config,
     };
-    let rings = Rings {
-        placement: placement_end,
-        claims: claims_ends,
+    let receivers = Receivers {
+        placement: placement_receiver,
+        claims: claims_receivers,
     };
-    Ok((Arc::new(ctx), rings))
+    Ok((Arc::new(ctx), receivers))
 }
 
-fn start(ctx: &Arc<Context>, rings: Rings, listeners: Listeners) -> io::Result<()> {
+fn start(ctx: &Arc<Context>, receivers: Receivers, listeners: Listeners) -> io::Result<()> {
     let (sender, dispatches) = mpsc::channel(ctx.config.placement.requests * 4 + 64);
-    let messages = rings.placement;
+    let messages = receivers.placement;
     threads::spawn("placement", ctx, move |ctx| {
         placement(ctx, &messages, sender);
     })?;
     threads::spawn("workers", ctx, move |ctx| workers(ctx, dispatches))?;
-    for (shard, jobs) in rings.claims.into_iter().enumerate() {
+    for (shard, jobs) in receivers.claims.into_iter().enumerate() {
         let name = format!("claims-{shard}");
         threads::spawn(&name, ctx, move |ctx| claims(ctx, shard, &jobs))?;
     }
@@ -144,12 +144,12 @@
     threads::spawn("watch", ctx, watch)?;
     threads::spawn("steward", ctx, steward)?;
     threads::spawn("snapshots", ctx, snapshots)?;
-    threads::spawn("ask-peers", ctx, ask_peers)?;
-    for _ in 0..peers::ANSWERERS {
+    threads::spawn("ask-peers", ctx, poll_peers)?;
+    for _ in 0..peers::LISTENER_THREADS {
         let server = Arc::clone(&listeners.peers);
-        threads::spawn("answer-peers", ctx, move |ctx| answer_peers(ctx, &server))?;
+        threads::spawn("answer-peers", ctx, move |ctx| serve_peers(ctx, &server))?;
     }
-    for _ in 0..operators::ANSWERERS {
+    for _ in 0..operators::LISTENER_THREADS {
         let server = Arc::clone(&listeners.operators);
         threads::spawn("operators", ctx, move |ctx| operators(ctx, &server))?;
     }
--- a/crates/havenladder/src/commands/settings.rs
+++ b/crates/havenladder/src/commands/settings.rs
@@ -1,6 +1,6 @@
 //! `settings`: checks, publishes and shows the tree.
 
-use super::{CommandError, Setup, order, table};
+use super::{CommandError, Setup, send_order, table};
 use crate::{
     cli::SettingsCommand,
     client::OperatorClient,
@@ -16,10 +16,10 @@
 };
 
 /// Time in which accepted settings must be in force on every live entry.
-const IN_FORCE: Duration = Duration::from_secs(30);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time between two looks at how far the entries are.
-const ROUND: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs one of the commands about settings.
 pub fn settings(setup: &Setup<'_>, command: SettingsCommand) -> Result<(), CommandError> {
@@ -56,7 +56,7 @@
         return Ok(());
     }
     let count = changes.len();
-    let receipt = order(setup, &Order::Settings(changes))?;
+    let receipt = send_order(setup, &Order::Settings(changes))?;
     if wait {
         wait_in_force(&client, receipt.offset)?;
     }
@@ -88,7 +88,7 @@
 }
 
 fn wait_in_force(client: &OperatorClient, offset: u64) -> Result<(), CommandError> {
-    let deadline = Instant::now() + IN_FORCE;
+    let deadline = Instant::now() + IN_FORCE_TIMEOUT;
     loop {
         let members: Vec<MemberReply> = client.get("/members")?;
         let behind: Vec<&str> = members
@@ -103,7 +103,7 @@
             let behind = behind.join(", ");
             return Err(CommandError::NotInForce { offset, behind });
         }
-        sleep(ROUND);
+        sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/havenladder/src/commands/timings.rs
+++ b/crates/havenladder/src/commands/timings.rs
@@ -1,19 +1,20 @@
-//! `timings`: how long the entry takes for each kind of question.
+//! `timings`: how long the entry takes for each kind of path.
 
 use super::{CommandError, Setup, table};
 use serde::Serialize;
 use std::time::Instant;
 
 /// Questions that are timed.
-const QUESTIONS: [&str; 4] = ["/members", "/state", "/burn", "/config"];
+const PATHS: [&str; 4] = ["/members", "/state", "/burn", "/config"];
 
 /// How often each is asked; the fastest counts, since the others met something else.
-const ROUNDS: usize = 5;
+const SAMPLES: usize = 5;
 
 /// One line of the table.
 #[derive(Serialize)]
 struct Row {
-    question: &'static str,
+    #[serde(rename = "question")]
+    path: &'static str,
     fastest_ms: f64,
 }
 
@@ -21,22 +22,22 @@
 pub fn timings(setup: &Setup<'_>) -> Result<(), CommandError> {
     let client = setup.client()?;
     let mut rows = Vec::new();
-    for question in QUESTIONS {
+    for path in PATHS {
         let mut fastest = f64::INFINITY;
-        for _ in 0..ROUNDS {
-            let began = Instant::now();
-            client.get::<serde_json::Value>(question)?;
-            fastest = fastest.min(began.elapsed().as_secs_f64() * 1e3);
+        for _ in 0..SAMPLES {
+            let started = Instant::now();
+            client.get::<serde_json::Value>(path)?;
+            fastest = fastest.min(started.elapsed().as_secs_f64() * 1e3);
         }
         rows.push(Row {
-            question,
+            path,
             fastest_ms: fastest,
         });
     }
     setup.print(&rows, |rows| {
         let mut table = table::table(&["QUESTION", "FASTEST OF 5"]);
         for row in rows {
-            table.add_row([row.question.to_owned(), format!("{:.2} ms", row.fastest_ms)]);
+            table.add_row([row.path.to_owned(), format!("{:.2} ms", row.fastest_ms)]);
         }
         table::print(&table, "nothing was timed");
     });
--- a/crates/havenladder/src/commands/vm.rs
+++ b/crates/havenladder/src/commands/vm.rs
@@ -1,6 +1,6 @@
 //! `vm`: lists VMs and takes them out of service or puts them back.
 
-use super::{CommandError, Setup, order, table};
+use super::{CommandError, Setup, send_order, table};
 use crate::{
     cli::VmCommand,
     operate::{Order, StateReply},
@@ -11,20 +11,20 @@
 pub fn vm(setup: &Setup<'_>, command: VmCommand) -> Result<(), CommandError> {
     match command {
         VmCommand::List => list(setup),
-        VmCommand::Drain { vm } => errand(setup, vm, Errand::Drain),
-        VmCommand::Release { vm } => errand(setup, vm, Errand::Release),
-        VmCommand::Move { vm, pool } => errand(setup, vm, Errand::Move { to: pool }),
+        VmCommand::Drain { vm } => grant(setup, vm, Errand::Drain),
+        VmCommand::Release { vm } => grant(setup, vm, Errand::Release),
+        VmCommand::Move { vm, pool } => grant(setup, vm, Errand::Move { to: pool }),
         VmCommand::Undrain { vm } => change(setup, &Order::Undo { vm }),
         VmCommand::Forget { vm } => change(setup, &Order::Forget { vm }),
     }
 }
 
-fn errand(setup: &Setup<'_>, vm: String, errand: Errand) -> Result<(), CommandError> {
+fn grant(setup: &Setup<'_>, vm: String, errand: Errand) -> Result<(), CommandError> {
     change(setup, &Order::Errand { vm, errand })
 }
 
 fn change(setup: &Setup<'_>, wanted: &Order) -> Result<(), CommandError> {
-    let receipt = order(setup, wanted)?;
+    let receipt = send_order(setup, wanted)?;
     setup.print(&receipt, |receipt| {
         println!(
             "decided at offset {}; see `havenladder vm list`",
--- a/crates/havenladder/src/commands/wave.rs
+++ b/crates/havenladder/src/commands/wave.rs
@@ -1,6 +1,6 @@
 //! `wave`: starts and steers maintenance waves and shows how far they have come.
 
-use super::{CommandError, Setup, order, table};
+use super::{CommandError, Setup, send_order, table};
 use crate::{
     cli::WaveCommand,
     operate::{Order, StateReply, WaveReply},
@@ -13,24 +13,24 @@
 };
 
 /// Time between two looks at a wave that is waited for.
-const ROUND: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Runs one of the commands about waves.
 pub fn wave(setup: &Setup<'_>, command: WaveCommand) -> Result<(), CommandError> {
     match command {
         WaveCommand::Start { scope, wait } => start(setup, scope, wait),
         WaveCommand::Status => status(setup),
-        WaveCommand::Pause { wave } => steer(setup, WaveChange::Pause(wave)),
-        WaveCommand::Resume { wave } => steer(setup, WaveChange::Resume(wave)),
-        WaveCommand::Cancel { wave } => steer(setup, WaveChange::Cancel(wave)),
+        WaveCommand::Pause { wave } => change(setup, WaveChange::Pause(wave)),
+        WaveCommand::Resume { wave } => change(setup, WaveChange::Resume(wave)),
+        WaveCommand::Cancel { wave } => change(setup, WaveChange::Cancel(wave)),
     }
 }
 
 fn start(setup: &Setup<'_>, scope: String, wait: bool) -> Result<(), CommandError> {
-    let receipt = order(setup, &Order::Wave(WaveChange::Start { scope }))?;
+    let receipt = send_order(setup, &Order::Wave(WaveChange::Start { scope }))?;
     let wave = receipt.offset;
     if wait {
-        follow(setup, wave)?;
+        show_progress(setup, wave)?;
     }
     setup.print(&receipt, |_| {
         println!("wave {wave}; see `havenladder wave status`");
@@ -38,8 +38,8 @@
     Ok(())
 }
 
-fn steer(setup: &Setup<'_>, change: WaveChange) -> Result<(), CommandError> {
-    let receipt = order(setup, &Order::Wave(change))?;
+fn change(setup: &Setup<'_>, change: WaveChange) -> Result<(), CommandError> {
+    let receipt = send_order(setup, &Order::Wave(change))?;
     setup.print(&receipt, |receipt| {
         println!("decided at offset {}", receipt.offset);
     });
@@ -47,7 +47,7 @@
 }
 
 /// Shows progress until the wave has ended; quiet when nobody watches.
-fn follow(setup: &Setup<'_>, id: WaveId) -> Result<(), CommandError> {
+fn show_progress(setup: &Setup<'_>, id: WaveId) -> Result<(), CommandError> {
     let client = setup.client()?;
     loop {
         let state: StateReply = client.get("/state")?;
@@ -60,7 +60,7 @@
         if matches!(reply.wave.state, WaveState::Done | WaveState::Cancelled) {
             return Ok(());
         }
-        sleep(ROUND);
+        sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/havenladder/src/configs/mod.rs
+++ b/crates/havenladder/src/configs/mod.rs
@@ -109,16 +109,16 @@
 
 /// Reads a time in milliseconds, or keeps the default.
 fn millis(fields: &Fields<'_>, key: &'static str, default: Duration) -> Duration {
-    const LONGEST_MS: u64 = 24 * 60 * 60 * 1_000;
+    const MAX_MS: u64 = 24 * 60 * 60 * 1_000;
     fields
-        .number(key, 1..=LONGEST_MS)
+        .number(key, 1..=MAX_MS)
         .map_or(default, Duration::from_millis)
 }
 
 /// Reads a count, or keeps the default.
-fn count(fields: &Fields<'_>, key: &'static str, most: u64, default: usize) -> usize {
+fn count(fields: &Fields<'_>, key: &'static str, max: u64, default: usize) -> usize {
     fields
-        .number(key, 1..=most)
+        .number(key, 1..=max)
         .and_then(|count| usize::try_from(count).ok())
         .unwrap_or(default)
 }
--- a/crates/havenladder/src/configs/peers.rs
+++ b/crates/havenladder/src/configs/peers.rs
@@ -7,7 +7,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 /// The shortest key that is taken.
-const SHORTEST_KEY: usize = 16;
+const MIN_KEY_LENGTH: usize = 16;
 
 /// The listener for peers.
 #[derive(Clone, Debug, Serialize)]
@@ -66,15 +66,15 @@
 
 impl Neighbour {
     fn read(fields: &Fields<'_>) -> Self {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
+        let unset = SocketAddr::from(([0, 0, 0, 0], 0));
         let neighbour = Self {
             entry: required(fields, "entry", "the neighbour's name"),
             hall: required(fields, "hall", "the neighbour's hall"),
-            editors: address(fields, "editors", nowhere),
-            peers: address(fields, "peers", nowhere),
+            editors: address(fields, "editors", unset),
+            peers: address(fields, "peers", unset),
         };
         for (key, addr) in [("editors", neighbour.editors), ("peers", neighbour.peers)] {
-            if addr == nowhere {
+            if addr == unset {
                 fields.report(key, "is missing: the neighbour's address for it");
             }
         }
@@ -89,10 +89,10 @@
         "key",
         "the key that callers of this listener must send",
     );
-    if !key.is_empty() && key.len() < SHORTEST_KEY {
+    if !key.is_empty() && key.len() < MIN_KEY_LENGTH {
         fields.report(
             "key",
-            format!("must have at least {SHORTEST_KEY} characters"),
+            format!("must have at least {MIN_KEY_LENGTH} characters"),
         );
     }
     key
--- a/crates/havenladder/src/configs/steward.rs
+++ b/crates/havenladder/src/configs/steward.rs
@@ -32,8 +32,8 @@
             lease: millis(fields, "lease_ms", default.lease),
         };
         if config.lease > fleet::LONGEST_LEASE {
-            let most = fleet::LONGEST_LEASE.as_millis();
-            fields.report("lease_ms", format!("must be at most {most}"));
+            let max = fleet::LONGEST_LEASE.as_millis();
+            fields.report("lease_ms", format!("must be at most {max}"));
         }
         config
     }
--- a/crates/havenladder/src/context.rs
+++ b/crates/havenladder/src/context.rs
@@ -8,7 +8,7 @@
     peer_table::PeerTable,
     recent::Recent,
     sync::lock,
-    threads::{claims::ClaimsRing, placement::PlacementRing},
+    threads::{claims::ClaimsSender, placement::PlacementSender},
 };
 use arc_swap::ArcSwap;
 use platform::{HttpPlatform, VmInfo};
@@ -39,25 +39,25 @@
     /// What this entry sees of its workers.
     pub observations: LocalObservations,
     /// The platform's list of VMs as it was read last.
-    pub listed: ArcSwap<Vec<VmInfo>>,
+    pub listed_vms: ArcSwap<Vec<VmInfo>>,
     /// The way to the duty that places requests.
-    pub placement: PlacementRing,
+    pub placement: PlacementSender,
     /// The way to the duty that claims keys.
-    pub claims: ClaimsRing,
+    pub claims: ClaimsSender,
     /// Room for each service in this hall.
-    pub rooms: Mutex<BTreeMap<ServiceId, Room>>,
+    pub capacities: Mutex<BTreeMap<ServiceId, Room>>,
     /// What became of the newest requests.
     pub recent: Recent,
     /// Counts for the burn report.
     pub burn: Mutex<Burn>,
     /// When this process began.
-    pub since: SystemTime,
+    pub started_at: SystemTime,
     /// Metrics.
     pub metrics: Metrics,
     /// Requests that have no outcome yet.
     pub in_progress: AtomicUsize,
     /// Bytes of their bodies.
-    pub held_bytes: AtomicUsize,
+    pub in_progress_bytes: AtomicUsize,
     /// Claims and settlements that are not in the log yet.
     pub unsettled: AtomicUsize,
     /// Whether the log was reached lately.
@@ -90,7 +90,7 @@
             next: self.fleet.get().next,
             platform: self.reaches_log(),
             leaving: self.is_leaving(),
-            room: lock(&self.rooms).clone(),
+            room: lock(&self.capacities).clone(),
         }
     }
 }
--- a/crates/havenladder/src/explain.rs
+++ b/crates/havenladder/src/explain.rs
@@ -113,7 +113,7 @@
             hold.budget, hold.service
         ));
     }
-    if let Some(room) = lock(&ctx.rooms).get(path) {
+    if let Some(room) = lock(&ctx.capacities).get(path) {
         lines.push(format!(
             "in this hall: {} slots take new work, {} of them taken",
             room.slots, room.taken
--- a/crates/havenladder/src/outcome.rs
+++ b/crates/havenladder/src/outcome.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Time after which a caller may ask again about a request that is in progress.
-const IN_PROGRESS_BACK: Duration = Duration::from_secs(1);
+const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Returns the outcome's name in metrics and logs.
 pub fn name(outcome: &Outcome) -> &'static str {
@@ -61,18 +61,18 @@
         detail: format!("the request was not run: {detail}"),
         field: None,
         outcome: "not-run",
-        back: Some(refusal.back.saturating_duration_since(Instant::now())),
+        retry_after: Some(refusal.back.saturating_duration_since(Instant::now())),
     }
 }
 
 fn claimed(settled: Settled) -> Problem {
-    let conflict = |kind, detail: &str, outcome, back| Problem {
+    let conflict = |kind, detail: &str, outcome, retry_after| Problem {
         status: StatusCode::CONFLICT,
         kind,
         detail: detail.to_owned(),
         field: Some("idempotency-key"),
         outcome,
-        back,
+        retry_after,
     };
     match settled {
         Settled::Done => conflict(
@@ -85,7 +85,7 @@
             "in-progress",
             "a request with this key is in progress, or its entry was lost with it",
             "in-progress",
-            Some(IN_PROGRESS_BACK),
+            Some(IN_PROGRESS_RETRY_AFTER),
         ),
         Settled::Held(_) => conflict(
             "claimed",
@@ -121,7 +121,7 @@
         detail: format!("nobody can tell whether the request ran to its end: {detail}"),
         field: None,
         outcome: "unknown",
-        back: None,
+        retry_after: None,
     }
 }
 
--- a/crates/havenladder/src/peer_table.rs
+++ b/crates/havenladder/src/peer_table.rs
@@ -11,21 +11,21 @@
 /// The newest status of each peer that answers.
 #[derive(Default)]
 pub struct PeerTable {
-    heard: Mutex<BTreeMap<EntryId, (Status, Instant)>>,
+    statuses: Mutex<BTreeMap<EntryId, (Status, Instant)>>,
 }
 
 impl PeerTable {
     /// Notes a peer's status, which holds until `until`.
-    pub fn hear(&self, status: Status, until: Instant) {
-        lock(&self.heard).insert(status.entry.clone(), (status, until));
+    pub fn record(&self, status: Status, expires: Instant) {
+        lock(&self.statuses).insert(status.entry.clone(), (status, expires));
     }
 
     /// Returns the status of each peer that has answered lately.
     pub fn live(&self) -> Vec<Status> {
         let now = Instant::now();
-        lock(&self.heard)
+        lock(&self.statuses)
             .values()
-            .filter(|(_, until)| now < *until)
+            .filter(|(_, expires)| now < *expires)
             .map(|(status, _)| status.clone())
             .collect()
     }
@@ -46,7 +46,7 @@
 }
 
 /// Time for which a status holds: several rounds, so that one lost answer means nothing.
-pub fn holds_until(config: &Config) -> Instant {
-    let rounds: Duration = config.peers.interval * 2;
-    Instant::now() + config.peers.patience.max(rounds)
+pub fn status_expiry(config: &Config) -> Instant {
+    let two_rounds: Duration = config.peers.interval * 2;
+    Instant::now() + config.peers.patience.max(two_rounds)
 }
--- a/crates/havenladder/src/problem.rs
+++ b/crates/havenladder/src/problem.rs
@@ -29,7 +29,7 @@
     /// The outcome.
     pub outcome: &'static str,
     /// When to come back.
-    pub back: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Problem {
@@ -41,7 +41,7 @@
             detail: detail.into(),
             field: Some(field),
             outcome: "not-run",
-            back: None,
+            retry_after: None,
         }
     }
 
@@ -54,7 +54,7 @@
             "detail": self.detail,
             "field": self.field,
             "outcome": self.outcome,
-            "retry_after_ms": self.back.map(|back| back.as_millis()),
+            "retry_after_ms": self.retry_after.map(|retry_after| retry_after.as_millis()),
         });
         let mut response = Response::new(Full::new(Bytes::from(body.to_string())));
         *response.status_mut() = self.status;
@@ -62,9 +62,9 @@
         let kind = HeaderValue::from_static("application/problem+json");
         headers.insert(CONTENT_TYPE, kind);
         headers.insert(HEADER_OUTCOME, HeaderValue::from_static(self.outcome));
-        if let Some(back) = self.back {
+        if let Some(retry_after) = self.retry_after {
             // Whole seconds, rounded up: the header knows no smaller unit.
-            let seconds = back.as_millis().div_ceil(1_000);
+            let seconds = retry_after.as_millis().div_ceil(1_000);
             headers.insert(RETRY_AFTER, HeaderValue::from(seconds as u64));
         }
         response
--- a/crates/havenladder/src/propose.rs
+++ b/crates/havenladder/src/propose.rs
@@ -13,14 +13,14 @@
 pub const FLEET: &str = "fleet";
 
 /// Time between two tries to reach the log.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time for which an append waits to see its own record before it appends it once more.
-const READ_BACK: Duration = Duration::from_secs(2);
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What was decided about a proposal.
 #[derive(Debug)]
-pub struct Decided {
+pub struct Decision {
     /// The record's offset.
     pub offset: Offset,
     /// The outcome of each change.
@@ -46,15 +46,15 @@
 /// # Errors
 ///
 /// Tells whether the record may still take effect.
-pub fn propose(ctx: &Context, changes: Vec<Change>) -> Result<Decided, ProposeError> {
-    let time = ctx.config.platform.propose;
+pub fn propose(ctx: &Context, changes: Vec<Change>) -> Result<Decision, ProposeError> {
+    let timeout = ctx.config.platform.propose;
     let record = Record {
         id: RecordId::new(),
         by: ctx.config.entry.name.clone(),
-        expires: SystemTime::now() + time,
+        expires: SystemTime::now() + timeout,
         changes,
     };
-    let decided = append_until(ctx, &record, Instant::now() + time);
+    let decided = append_until(ctx, &record, Instant::now() + timeout);
     ctx.metrics.proposal(match &decided {
         Ok(_) => "decided",
         Err(ProposeError::NotTaken(_)) => "not-taken",
@@ -67,7 +67,7 @@
     ctx: &Context,
     record: &Record,
     deadline: Instant,
-) -> Result<Decided, ProposeError> {
+) -> Result<Decision, ProposeError> {
     let Ok(data) = encode(record) else {
         return Err(ProposeError::Unknown);
     };
@@ -86,7 +86,7 @@
             Err(error) if !maybe_taken && Instant::now() >= deadline => {
                 return Err(ProposeError::NotTaken(error));
             }
-            Err(_) => sleep(RETRY),
+            Err(_) => sleep(RETRY_INTERVAL),
         }
         if maybe_taken && Instant::now() >= deadline {
             return Err(ProposeError::Unknown);
@@ -95,20 +95,20 @@
 }
 
 /// Waits until the fold of this process has met the record.
-fn read_back(ctx: &Context, id: RecordId, deadline: Instant) -> Option<Decided> {
-    let until = deadline.min(Instant::now() + READ_BACK);
+fn read_back(ctx: &Context, id: RecordId, deadline: Instant) -> Option<Decision> {
+    let until = deadline.min(Instant::now() + READ_BACK_TIMEOUT);
     loop {
-        let seen = {
+        let applied = {
             let fleet = ctx.fleet.get();
             if let Some((mark, outcomes)) = fleet.outcome(id) {
-                return Some(Decided {
+                return Some(Decision {
                     offset: mark.offset,
                     outcomes: outcomes.to_vec(),
                 });
             }
             fleet.next
         };
-        if !ctx.fleet.wait(until, |next| next > seen) {
+        if !ctx.fleet.wait(until, |next| next > applied) {
             return None;
         }
     }
--- a/crates/havenladder/src/recent.rs
+++ b/crates/havenladder/src/recent.rs
@@ -5,7 +5,7 @@
 use std::{collections::VecDeque, sync::Mutex, time::SystemTime};
 
 /// Requests that are remembered.
-const MOST: usize = 1_024;
+const MAX_TRACES: usize = 1_024;
 
 /// One request that got its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,9 +30,9 @@
 
 impl Recent {
     /// Notes a request.
-    pub fn note(&self, trace: Trace) {
+    pub fn record(&self, trace: Trace) {
         let mut traces = lock(&self.traces);
-        if traces.len() >= MOST {
+        if traces.len() >= MAX_TRACES {
             traces.pop_front();
         }
         traces.push_back(trace);
--- a/crates/havenladder/src/threads/claims.rs
+++ b/crates/havenladder/src/threads/claims.rs
@@ -20,17 +20,17 @@
 const SHARDS: u64 = 4;
 
 /// Claims that one record carries at the most.
-const MOST_ENTRIES: usize = 512;
+const MAX_ENTRIES: usize = 512;
 
 /// Time for which a wait for claims or records is interrupted at the latest.
-const ROUND: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How far the clocks of entries and log may differ.
-const MARGIN: Duration = Duration::from_secs(60);
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 
 /// What this duty is told.
 #[derive(Debug)]
-pub enum ClaimJob {
+pub enum ClaimMessage {
     /// Claim a key for a request.
     Claim(RequestId, Claim),
     /// Record what became of a request whose claim won.
@@ -39,23 +39,23 @@
 
 /// The way to the duty: one ring a shard.
 #[derive(Clone, Debug)]
-pub struct ClaimsRing {
-    shards: Vec<Sender<ClaimJob>>,
+pub struct ClaimsSender {
+    shards: Vec<Sender<ClaimMessage>>,
 }
 
-impl ClaimsRing {
+impl ClaimsSender {
     /// Makes a ring for an entry that may have `requests` in progress.
-    pub fn new(requests: usize) -> (Self, Vec<Receiver<ClaimJob>>) {
+    pub fn new(requests: usize) -> (Self, Vec<Receiver<ClaimMessage>>) {
         let (shards, receivers) = (0..SHARDS).map(|_| bounded(requests * 2 + 64)).unzip();
         (Self { shards }, receivers)
     }
 
-    /// Hands over a job; the ring has room for all that requests in progress can cause.
-    pub fn send(&self, job: ClaimJob) {
-        let (ClaimJob::Claim(_, claim) | ClaimJob::Settle(claim, _)) = &job;
+    /// Hands over a message; the ring has room for all that requests in progress can cause.
+    pub fn send(&self, message: ClaimMessage) {
+        let (ClaimMessage::Claim(_, claim) | ClaimMessage::Settle(claim, _)) = &message;
         let shard = shard_of(&claim.service);
         // The ring closes only when the process ends.
-        let _ = self.shards[shard].send(job);
+        let _ = self.shards[shard].send(message);
     }
 }
 
@@ -67,10 +67,10 @@
 }
 
 /// A claim that has no verdict yet.
-struct Waiting {
+struct PendingClaim {
     request: RequestId,
     deadline: Instant,
-    settle: Claim,
+    claim: Claim,
 }
 
 /// One shard as this duty knows it.
@@ -80,94 +80,94 @@
     book: ClaimBook,
     next: Option<Offset>,
     /// Everything that the log took from then on has been read.
-    since: SystemTime,
-    waiting: HashMap<AttemptId, Waiting>,
+    complete_since: SystemTime,
+    waiting: HashMap<AttemptId, PendingClaim>,
     /// Claims that were given up: if the log takes one after all, its key is freed.
-    given_up: BTreeMap<AttemptId, (Claim, Instant)>,
+    abandoned: BTreeMap<AttemptId, (Claim, Instant)>,
     unsent: Vec<Entry>,
 }
 
 /// Claims keys in one shard until the process ends.
-pub fn claims(ctx: &Arc<Context>, shard: usize, jobs: &Receiver<ClaimJob>) {
+pub fn claims(ctx: &Arc<Context>, shard: usize, messages: &Receiver<ClaimMessage>) {
     let mut shard = Shard {
         ctx,
         stream: format!("claims-{shard}"),
         book: ClaimBook::default(),
         next: None,
-        since: SystemTime::UNIX_EPOCH,
+        complete_since: SystemTime::UNIX_EPOCH,
         waiting: HashMap::new(),
-        given_up: BTreeMap::new(),
+        abandoned: BTreeMap::new(),
         unsent: Vec::new(),
     };
     loop {
         if shard.is_idle() {
-            match jobs.recv_timeout(KEY_AGE) {
-                Ok(job) => shard.take(job),
+            match messages.recv_timeout(KEY_AGE) {
+                Ok(message) => shard.accept(message),
                 Err(RecvTimeoutError::Timeout) => {
-                    shard.forget();
+                    shard.reset();
                     continue;
                 }
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
-        while shard.unsent.len() < MOST_ENTRIES {
-            let Ok(job) = jobs.try_recv() else {
+        while shard.unsent.len() < MAX_ENTRIES {
+            let Ok(message) = messages.try_recv() else {
                 break;
             };
-            shard.take(job);
+            shard.accept(message);
         }
-        let reached = shard.follow().and_then(|()| shard.append());
+        let reached = shard.read_new().and_then(|()| shard.append());
         if reached.is_err() {
-            std::thread::sleep(ROUND);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        shard.give_up();
+        shard.abandon_late();
     }
 }
 
 impl Shard<'_> {
     fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.unsent.is_empty() && self.given_up.is_empty()
+        self.waiting.is_empty() && self.unsent.is_empty() && self.abandoned.is_empty()
     }
 
-    fn take(&mut self, job: ClaimJob) {
-        match job {
-            ClaimJob::Claim(request, mut claim) => {
+    fn accept(&mut self, message: ClaimMessage) {
+        match message {
+            ClaimMessage::Claim(request, mut claim) => {
                 // A claim that the log takes after its request was refused must not hold the key.
                 let patience = SystemTime::now() + self.ctx.config.claims.patience;
                 claim.expires = claim.expires.min(patience);
-                let waiting = Waiting {
+                let waiting = PendingClaim {
                     request,
                     deadline: Instant::now() + self.ctx.config.claims.patience,
-                    settle: claim.clone(),
+                    claim: claim.clone(),
                 };
                 self.waiting.insert(claim.claim, waiting);
                 self.unsent.push(Entry::Claim(claim));
             }
-            ClaimJob::Settle(claim, state) => self.unsent.push(settle(claim, state)),
+            ClaimMessage::Settle(claim, state) => self.unsent.push(settlement(claim, state)),
         }
     }
 
     /// Forgets a stream that was not used for so long that it is quicker to begin anew.
-    fn forget(&mut self) {
+    fn reset(&mut self) {
         self.next = None;
         self.book = ClaimBook::default();
     }
 
     /// Reads what is new; begins where the oldest key that could still win was issued.
-    fn follow(&mut self) -> Result<(), CallError> {
+    fn read_new(&mut self) -> Result<(), CallError> {
         let wait = if self.unsent.is_empty() && !self.waiting.is_empty() {
-            ROUND
+            POLL_INTERVAL
         } else {
             Duration::ZERO
         };
         loop {
             let next = match self.next {
                 Some(next) => next,
-                None => self.begin()?,
+                None => self.start_offset()?,
             };
             let slice = self.ctx.platform.read(&self.stream, next, wait)?;
             let read_from = if slice.has_gap(next) || self.next.is_none() {
-                self.note_since(&slice);
+                self.record_complete_since(&slice);
                 slice.oldest.max(next)
             } else {
                 next
@@ -175,7 +175,7 @@
             self.next = Some(read_from + slice.records.len() as Offset);
             for record in &slice.records {
                 for verdict in self.book.apply(record) {
-                    self.decide(verdict.claim, verdict.settled);
+                    self.apply_verdict(verdict.claim, verdict.settled);
                 }
             }
             if self.next >= Some(slice.next) {
@@ -184,22 +184,23 @@
         }
     }
 
-    fn begin(&self) -> Result<Offset, CallError> {
-        let oldest = SystemTime::now() - KEY_AGE - MARGIN;
+    fn start_offset(&self) -> Result<Offset, CallError> {
+        let oldest = SystemTime::now() - KEY_AGE - MAX_CLOCK_SKEW;
         self.ctx.platform.offset_at(&self.stream, oldest)
     }
 
     /// Notes from when on the stream is known whole: a log that forgets sooner than keys age
     /// leaves older keys undecidable.
-    fn note_since(&mut self, slice: &Slice) {
-        let oldest = SystemTime::now() - KEY_AGE - MARGIN;
+    fn record_complete_since(&mut self, slice: &Slice) {
+        let oldest = SystemTime::now() - KEY_AGE - MAX_CLOCK_SKEW;
         let first = slice.records.first().filter(|_| slice.oldest > 0);
-        self.since = first.map_or(oldest, |record| record.at.max(oldest));
+        self.complete_since = first.map_or(oldest, |record| record.at.max(oldest));
     }
 
     /// Tells whether a key is so old that a claim on it may have been forgotten.
     fn is_undecidable(&self, claim: &Claim) -> bool {
-        claim.key.datetime() < self.since + KEY_AHEAD && self.since > oldest_known()
+        claim.key.datetime() < self.complete_since + KEY_AHEAD
+            && self.complete_since > oldest_valid_issue()
     }
 
     /// Appends what is new in one record. After a lost answer it appends the same claims again:
@@ -218,13 +219,13 @@
             return Ok(());
         };
         let appended = self.ctx.platform.append(&self.stream, &data);
-        let is_taken = appended.is_ok();
+        let is_appended = appended.is_ok();
         let now = SystemTime::now();
-        let before = self.unsettled();
+        let unsettled_before = self.unsettled();
         // A settlement is tried until nobody could claim its key any more.
         self.unsent
-            .retain(|entry| !is_taken && !is_over(entry, now));
-        let settled = before - self.unsettled();
+            .retain(|entry| !is_appended && !is_expired(entry, now));
+        let settled = unsettled_before - self.unsettled();
         self.ctx.unsettled.fetch_sub(settled, Ordering::Relaxed);
         appended.map(|_| ())
     }
@@ -235,32 +236,32 @@
         self.unsent.iter().filter(is_settlement).count()
     }
 
-    fn decide(&mut self, claim: AttemptId, settled: Settled) {
+    fn apply_verdict(&mut self, claim: AttemptId, settled: Settled) {
         if let Some(waiting) = self.waiting.remove(&claim) {
-            if settled == Settled::Won && self.is_undecidable(&waiting.settle) {
-                self.free(waiting.settle);
-                self.tell(waiting.request, Settled::TooOld);
+            if settled == Settled::Won && self.is_undecidable(&waiting.claim) {
+                self.release_key(waiting.claim);
+                self.notify(waiting.request, Settled::TooOld);
             } else {
-                self.tell(waiting.request, settled);
+                self.notify(waiting.request, settled);
             }
             return;
         }
         // The request was refused when the log could not be reached; now its claim turns up.
-        if let Some((claim, _)) = self.given_up.remove(&claim)
+        if let Some((claim, _)) = self.abandoned.remove(&claim)
             && settled == Settled::Won
         {
-            self.free(claim);
+            self.release_key(claim);
         }
     }
 
     /// Frees the key of a claim that won but whose request was not run.
-    fn free(&mut self, claim: Claim) {
+    fn release_key(&mut self, claim: Claim) {
         self.ctx.unsettled.fetch_add(1, Ordering::Relaxed);
-        self.unsent.push(settle(claim, ClaimState::NotRun));
+        self.unsent.push(settlement(claim, ClaimState::NotRun));
     }
 
     /// Refuses requests whose claims were not decided in time.
-    fn give_up(&mut self) {
+    fn abandon_late(&mut self) {
         let now = Instant::now();
         let late: Vec<AttemptId> = self
             .waiting
@@ -275,20 +276,20 @@
             self.unsent
                 .retain(|entry| !matches!(entry, Entry::Claim(claim) if claim.claim == id));
             let until = now + self.ctx.config.claims.patience * 2;
-            self.given_up.insert(id, (waiting.settle, until));
-            self.tell(waiting.request, Settled::LogDown);
+            self.abandoned.insert(id, (waiting.claim, until));
+            self.notify(waiting.request, Settled::LogDown);
         }
-        self.given_up.retain(|_, (_, until)| now < *until);
+        self.abandoned.retain(|_, (_, until)| now < *until);
     }
 
-    fn tell(&self, request: RequestId, settled: Settled) {
+    fn notify(&self, request: RequestId, settled: Settled) {
         let event = Event::Claimed(request, settled);
-        self.ctx.placement.tell(Message::Happened(event));
+        self.ctx.placement.notify(Message::Happened(event));
     }
 }
 
 /// Tells whether a settlement has become pointless: its key is too old to be claimed.
-fn is_over(entry: &Entry, now: SystemTime) -> bool {
+fn is_expired(entry: &Entry, now: SystemTime) -> bool {
     match entry {
         Entry::Settle { key, .. } => key.datetime() + KEY_AGE < now,
         Entry::Claim(_) => false,
@@ -296,11 +297,11 @@
 }
 
 /// Keys issued before this are refused in any case.
-fn oldest_known() -> SystemTime {
+fn oldest_valid_issue() -> SystemTime {
     SystemTime::now() - KEY_AGE - KEY_AHEAD
 }
 
-fn settle(claim: Claim, state: ClaimState) -> Entry {
+fn settlement(claim: Claim, state: ClaimState) -> Entry {
     Entry::Settle {
         service: claim.service,
         key: claim.key,
--- a/crates/havenladder/src/threads/editors.rs
+++ b/crates/havenladder/src/threads/editors.rs
@@ -13,12 +13,12 @@
     recent::Trace,
     sync::lock,
     threads::{
-        placement::{Answer, Arrival, Message, Reply},
+        placement::{Arrival, Message, Reply, TaskResponse},
         runtime,
     },
 };
 use bytes::Bytes;
-use check::{Checked, check};
+use check::{CheckedRequest, check};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{
     Request, Response, StatusCode,
@@ -51,18 +51,18 @@
 const READY: &str = "/ready";
 
 /// Bytes of headers that one connection may hold.
-const HEADER_BYTES: usize = 16 << 10;
+const MAX_HEADER_BYTES: usize = 16 << 10;
 
 /// Time after which accepting goes on when the system has no more file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time after which a caller that found the entry full is asked to come back.
-const FULL_BACK: Duration = Duration::from_secs(1);
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-type Out = Response<Full<Bytes>>;
+type HttpResponse = Response<Full<Bytes>>;
 
 /// Numbers of this entry's requests.
-static NUMBERS: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
 /// Serves editors until the process ends.
 ///
@@ -76,9 +76,9 @@
 
 async fn accept_all(ctx: &Arc<Context>, listener: StdListener) {
     let listener = TcpListener::from_std(listener).expect("the listener is open");
-    let places = Arc::new(Semaphore::new(ctx.config.editors.connections));
+    let permits = Arc::new(Semaphore::new(ctx.config.editors.connections));
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
         };
         match listener.accept().await {
@@ -86,12 +86,12 @@
                 let ctx = Arc::clone(ctx);
                 tokio::spawn(async move {
                     connection(&ctx, stream).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
                 tracing::warn!(%error, "could not accept a connection");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
@@ -107,7 +107,7 @@
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(ctx.config.editors.header_time)
-        .max_buf_size(HEADER_BYTES)
+        .max_buf_size(MAX_HEADER_BYTES)
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
@@ -115,7 +115,7 @@
     }
 }
 
-async fn handle(ctx: &Arc<Context>, request: Request<Incoming>) -> Out {
+async fn handle(ctx: &Arc<Context>, request: Request<Incoming>) -> HttpResponse {
     match request.uri().path() {
         LIVE => text(StatusCode::OK, "live\n"),
         READY if ctx.is_ready() => text(StatusCode::OK, "ready\n"),
@@ -124,7 +124,7 @@
     }
 }
 
-fn text(status: StatusCode, text: &'static str) -> Out {
+fn text(status: StatusCode, text: &'static str) -> HttpResponse {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
@@ -139,42 +139,44 @@
 impl<'c> InProgress<'c> {
     /// Takes a place for a request with a body of `bytes`, if there is one.
     fn take(ctx: &'c Context, bytes: usize) -> Option<Self> {
-        let requests = ctx.in_progress.fetch_add(1, Ordering::Relaxed);
-        let held = ctx.held_bytes.fetch_add(bytes, Ordering::Relaxed);
-        let place = Self { ctx, bytes };
+        let requests_before = ctx.in_progress.fetch_add(1, Ordering::Relaxed);
+        let bytes_before = ctx.in_progress_bytes.fetch_add(bytes, Ordering::Relaxed);
+        let guard = Self { ctx, bytes };
         let limits = &ctx.config.placement;
-        (requests < limits.requests && held + bytes <= limits.bytes).then_some(place)
+        (requests_before < limits.requests && bytes_before + bytes <= limits.bytes).then_some(guard)
     }
 }
 
 impl Drop for InProgress<'_> {
     fn drop(&mut self) {
         self.ctx.in_progress.fetch_sub(1, Ordering::Relaxed);
-        self.ctx.held_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.ctx
+            .in_progress_bytes
+            .fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
 /// Tells the scheduler when a caller goes away before its answer.
-struct Waiting<'c> {
+struct CancelOnDrop<'c> {
     ctx: &'c Context,
     id: RequestId,
     answered: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if !self.answered {
             let event = Event::Cancelled(self.id);
-            self.ctx.placement.tell(Message::Happened(event));
+            self.ctx.placement.notify(Message::Happened(event));
         }
     }
 }
 
-async fn serve(ctx: &Arc<Context>, request: Request<Incoming>) -> Out {
-    let began = Instant::now();
+async fn serve(ctx: &Arc<Context>, request: Request<Incoming>) -> HttpResponse {
+    let started = Instant::now();
     let name = request_name(&request);
     let mut response = match check(ctx, &request) {
-        Ok(checked) => place(ctx, request, checked, &name, began).await,
+        Ok(checked) => place(ctx, request, checked, &name, started).await,
         Err(problem) => refuse(ctx, &name, &problem),
     };
     if let Ok(value) = HeaderValue::from_str(&name) {
@@ -185,37 +187,37 @@
 
 /// The id of a request in all logs: a peer's, or a fresh one.
 fn request_name(request: &Request<Incoming>) -> String {
-    let given = request.headers().get(HEADER_REQUEST);
-    let given = given.and_then(|value| value.to_str().ok());
-    match given {
+    let header = request.headers().get(HEADER_REQUEST);
+    let header = header.and_then(|value| value.to_str().ok());
+    match header {
         Some(name) if ulid::Ulid::from_string(name).is_ok() => name.to_owned(),
         _ => ulid::Ulid::new().to_string(),
     }
 }
 
-fn refuse(ctx: &Context, name: &str, problem: &Problem) -> Out {
+fn refuse(ctx: &Context, name: &str, problem: &Problem) -> HttpResponse {
     tracing::info!(
         request = name,
         kind = problem.kind,
         field = problem.field,
         "refused"
     );
-    note(ctx, name, "", problem.outcome, &problem.detail);
+    record_trace(ctx, name, "", problem.outcome, &problem.detail);
     problem.response()
 }
 
 async fn place(
     ctx: &Context,
     request: Request<Incoming>,
-    checked: Checked,
+    checked: CheckedRequest,
     name: &str,
-    began: Instant,
-) -> Out {
+    started: Instant,
+) -> HttpResponse {
     let service = checked.service.clone();
     let forwarded = checked.forwarded;
     let deadline = checked.deadline;
-    let Some(_place) = InProgress::take(ctx, checked.length) else {
-        let back = began + FULL_BACK;
+    let Some(_in_progress) = InProgress::take(ctx, checked.length) else {
+        let back = started + OVERLOAD_RETRY_AFTER;
         let why = Why::Overload;
         let outcome = Outcome::NotRun(NotRun { why, back });
         return respond(
@@ -224,7 +226,7 @@
             &service,
             Reply {
                 outcome,
-                answer: None,
+                response: None,
             },
         );
     };
@@ -232,28 +234,28 @@
         Ok(body) => body,
         Err(problem) => return refuse(ctx, name, &problem),
     };
-    let id = NUMBERS.fetch_add(1, Ordering::Relaxed);
-    let (arrival, reply) = arrival(id, checked, name, body);
-    let mut waiting = Waiting {
+    let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
+    let (arrival, reply_receiver) = arrival(id, checked, name, body);
+    let mut cancel_on_drop = CancelOnDrop {
         ctx,
         id,
         answered: false,
     };
     let reply = match ctx.placement.arrive(Box::new(arrival)) {
-        Ok(()) => reply.await.ok(),
+        Ok(()) => reply_receiver.await.ok(),
         Err(_) => None,
     };
-    waiting.answered = true;
+    cancel_on_drop.answered = true;
     let reply = reply.unwrap_or(Reply {
         outcome: Outcome::NotRun(NotRun {
             why: Why::Overload,
-            back: Instant::now() + FULL_BACK,
+            back: Instant::now() + OVERLOAD_RETRY_AFTER,
         }),
-        answer: None,
+        response: None,
     });
     let now = Instant::now();
     ctx.metrics
-        .request(&service, outcome::name(&reply.outcome), now - began);
+        .request(&service, outcome::name(&reply.outcome), now - started);
     if let Some(loss) = outcome::loss(&reply.outcome, now <= deadline)
         && !forwarded
     {
@@ -264,11 +266,11 @@
 
 fn arrival(
     id: RequestId,
-    checked: Checked,
+    checked: CheckedRequest,
     name: &str,
     body: Bytes,
 ) -> (Arrival, oneshot::Receiver<Reply>) {
-    let (reply, answer) = oneshot::channel();
+    let (reply, reply_receiver) = oneshot::channel();
     let claim = checked.claim(&body);
     let arrival = Arrival {
         job: checked.job(id),
@@ -279,13 +281,13 @@
         key: checked.key.map(|key| key.to_string()),
         reply,
     };
-    (arrival, answer)
+    (arrival, reply_receiver)
 }
 
 async fn read_body(
     ctx: &Context,
     request: Request<Incoming>,
-    checked: &Checked,
+    checked: &CheckedRequest,
 ) -> Result<Bytes, Problem> {
     let body = Limited::new(request.into_body(), checked.length).collect();
     match timeout(ctx.config.editors.body_time, body).await {
@@ -303,17 +305,17 @@
     }
 }
 
-fn respond(ctx: &Context, name: &str, service: &str, reply: Reply) -> Out {
-    if let Some(answer) = reply.answer {
-        note(ctx, name, service, "done", "the whole answer was sent");
-        return done(answer);
+fn respond(ctx: &Context, name: &str, service: &str, reply: Reply) -> HttpResponse {
+    if let Some(response) = reply.response {
+        record_trace(ctx, name, service, "done", "the whole answer was sent");
+        return done_response(response);
     }
     let problem = outcome::problem(&reply.outcome);
-    note(ctx, name, service, problem.outcome, &problem.detail);
+    record_trace(ctx, name, service, problem.outcome, &problem.detail);
     problem.response()
 }
 
-fn done(answer: Answer) -> Out {
+fn done_response(answer: TaskResponse) -> HttpResponse {
     let mut response = Response::new(Full::new(answer.body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
@@ -324,8 +326,8 @@
     response
 }
 
-fn note(ctx: &Context, name: &str, service: &str, outcome: &str, detail: &str) {
-    ctx.recent.note(Trace {
+fn record_trace(ctx: &Context, name: &str, service: &str, outcome: &str, detail: &str) {
+    ctx.recent.record(Trace {
         request: name.to_owned(),
         service: service.to_owned(),
         at: SystemTime::now(),
--- a/crates/havenladder/src/threads/editors/check.rs
+++ b/crates/havenladder/src/threads/editors/check.rs
@@ -23,10 +23,10 @@
 const HEADER_KEY: &str = "idempotency-key";
 
 /// The furthest that a deadline may lie ahead.
-const FURTHEST: Duration = Duration::from_secs(24 * 60 * 60);
+const MAX_DEADLINE_AHEAD: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// A request that is in order.
-pub struct Checked {
+pub struct CheckedRequest {
     /// The service.
     pub service: ServiceId,
     /// What is in force for it.
@@ -43,7 +43,7 @@
     pub forwarded: bool,
 }
 
-impl Checked {
+impl CheckedRequest {
     /// Makes what the scheduler sees of the request.
     pub fn job(&self, id: RequestId) -> Job {
         Job {
@@ -73,7 +73,7 @@
 /// # Errors
 ///
 /// Returns the first problem; nothing was run.
-pub fn check(ctx: &Context, request: &Request<Incoming>) -> Result<Checked, Problem> {
+pub fn check(ctx: &Context, request: &Request<Incoming>) -> Result<CheckedRequest, Problem> {
     if !ctx.fleet.is_loaded() {
         return Err(not_loaded());
     }
@@ -90,7 +90,7 @@
     } else {
         Some(key(headers)?)
     };
-    Ok(Checked {
+    Ok(CheckedRequest {
         service,
         settings,
         length,
@@ -108,7 +108,7 @@
         detail: "this entry has no settings yet; the request was not run".into(),
         field: None,
         outcome: "not-run",
-        back: Some(Duration::from_secs(1)),
+        retry_after: Some(Duration::from_secs(1)),
     }
 }
 
@@ -151,11 +151,11 @@
 
 fn deadline(headers: &HeaderMap, timeout: Duration) -> Result<(Instant, SystemTime), Problem> {
     let (now, wall) = (Instant::now(), SystemTime::now());
-    let Some(given) = headers.get(HEADER_DEADLINE) else {
+    let Some(value) = headers.get(HEADER_DEADLINE) else {
         return Ok((now + timeout, wall + timeout));
     };
     let bad = |detail: &str| Problem::bad(StatusCode::BAD_REQUEST, HEADER_DEADLINE, detail);
-    let millis: Option<u64> = given.to_str().ok().and_then(|text| text.parse().ok());
+    let millis: Option<u64> = value.to_str().ok().and_then(|text| text.parse().ok());
     let Some(millis) = millis else {
         return Err(bad("must be a time in milliseconds since 1970"));
     };
@@ -163,7 +163,7 @@
     let Ok(left) = at.duration_since(wall) else {
         return Err(bad("the deadline is past"));
     };
-    if left > FURTHEST {
+    if left > MAX_DEADLINE_AHEAD {
         return Err(bad("the deadline is more than a day ahead"));
     }
     Ok((now + left, at))
@@ -171,11 +171,11 @@
 
 fn key(headers: &HeaderMap) -> Result<Key, Problem> {
     let bad = |detail: String| Problem::bad(StatusCode::BAD_REQUEST, HEADER_KEY, detail);
-    let Some(given) = headers.get(HEADER_KEY) else {
+    let Some(value) = headers.get(HEADER_KEY) else {
         let detail = "is missing: this service runs a request at most once, by its key, a ULID";
         return Err(bad(detail.into()));
     };
-    let text = given.to_str().unwrap_or_default();
+    let text = value.to_str().unwrap_or_default();
     read_key(text.trim_matches('"'), SystemTime::now())
         .map_err(|error: KeyError| bad(error.to_string()))
 }
--- a/crates/havenladder/src/threads/follow.rs
+++ b/crates/havenladder/src/threads/follow.rs
@@ -20,17 +20,17 @@
 };
 
 /// Entries of a hall that read the platform's log; the others follow them.
-const READERS: usize = 2;
+const READERS_PER_DATA_CENTRE: usize = 2;
 
 /// Time between two tries when nobody can be reached.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What one round of reading came to.
-enum Round {
+enum ReadResult {
     /// Records that come next, or none for now.
     Read(Slice),
     /// Nobody could be reached.
-    Nobody,
+    Unreachable,
 }
 
 /// Follows the log until the process ends.
@@ -38,29 +38,29 @@
     let peers = PeerClient::new(&ctx.config.peers.key);
     while !ctx.fleet.is_loaded() {
         if !load(ctx, &peers) {
-            sleep(RETRY);
+            sleep(RETRY_INTERVAL);
         }
     }
     publish(ctx);
     loop {
         let next = ctx.fleet.get().next;
-        match read_round(ctx, &peers, next) {
-            Round::Read(slice) if slice.has_gap(next) => {
+        match read_next(ctx, &peers, next) {
+            ReadResult::Read(slice) if slice.has_gap(next) => {
                 let (oldest, behind) = (slice.oldest, slice.oldest - next);
                 tracing::warn!(next, oldest, behind, "gap: the log has forgotten records");
                 if !load(ctx, &peers) {
-                    sleep(RETRY);
+                    sleep(RETRY_INTERVAL);
                 }
             }
-            Round::Read(slice) => apply(ctx, slice.records),
-            Round::Nobody => sleep(RETRY),
+            ReadResult::Read(slice) => apply(ctx, slice.records),
+            ReadResult::Unreachable => sleep(RETRY_INTERVAL),
         }
     }
 }
 
 /// Loads a state from the log, or from a peer while the log cannot be reached.
 fn load(ctx: &Context, peers: &PeerClient) -> bool {
-    let loaded = from_log(ctx).or_else(|| from_peer(ctx, peers));
+    let loaded = load_from_log(ctx).or_else(|| load_from_peer(ctx, peers));
     let Some(fleet) = loaded else {
         tracing::warn!("no state could be loaded yet; nothing is served");
         return false;
@@ -72,26 +72,26 @@
 }
 
 /// The newest snapshot of the log, or the empty state if the log still holds every record.
-fn from_log(ctx: &Context) -> Option<Fleet> {
+fn load_from_log(ctx: &Context) -> Option<Fleet> {
     let slice = ctx.platform.read(FLEET, 0, Duration::ZERO).ok()?;
     ctx.reaches_log.store(true, Ordering::Relaxed);
     if slice.oldest == 0 {
         return Some(Fleet::default());
     }
     let fleet = snapshots::newest(&ctx.platform)?;
-    let is_joined = fleet.next >= slice.oldest;
-    if !is_joined {
+    let is_contiguous = fleet.next >= slice.oldest;
+    if !is_contiguous {
         tracing::warn!(
             next = fleet.next,
             oldest = slice.oldest,
             "gap behind the newest snapshot"
         );
     }
-    is_joined.then_some(fleet)
+    is_contiguous.then_some(fleet)
 }
 
 /// The state of the peer that is furthest ahead.
-fn from_peer(ctx: &Context, peers: &PeerClient) -> Option<Fleet> {
+fn load_from_peer(ctx: &Context, peers: &PeerClient) -> Option<Fleet> {
     ctx.config
         .peers
         .neighbours
@@ -101,15 +101,15 @@
 }
 
 /// Reads from the log or, as one of the hall's other entries, from one that does.
-fn read_round(ctx: &Context, peers: &PeerClient, next: Offset) -> Round {
+fn read_next(ctx: &Context, peers: &PeerClient, next: Offset) -> ReadResult {
     let is_reader = is_reader(ctx);
-    if !is_reader && let Some(slice) = relayed(ctx, peers, next) {
-        return Round::Read(slice);
+    if !is_reader && let Some(slice) = read_from_peer(ctx, peers, next) {
+        return ReadResult::Read(slice);
     }
     match ctx.platform.read(FLEET, next, ctx.config.platform.wait) {
         Ok(slice) => {
             ctx.reaches_log.store(true, Ordering::Relaxed);
-            return Round::Read(slice);
+            return ReadResult::Read(slice);
         }
         Err(error) => {
             if ctx.reaches_log.swap(false, Ordering::Relaxed) {
@@ -117,7 +117,7 @@
             }
         }
     }
-    relayed(ctx, peers, next).map_or(Round::Nobody, Round::Read)
+    read_from_peer(ctx, peers, next).map_or(ReadResult::Unreachable, ReadResult::Read)
 }
 
 fn is_reader(ctx: &Context) -> bool {
@@ -129,11 +129,11 @@
         .map(|status| status.entry.as_str())
         .chain([ctx.config.entry.name.as_str()]);
     let rank = rank(in_hall, &ctx.config.entry.name, hall);
-    rank.is_none_or(|rank| rank < READERS)
+    rank.is_none_or(|rank| rank < READERS_PER_DATA_CENTRE)
 }
 
 /// Reads from the first peer that is ahead: those of the own hall before others.
-fn relayed(ctx: &Context, peers: &PeerClient, next: Offset) -> Option<Slice> {
+fn read_from_peer(ctx: &Context, peers: &PeerClient, next: Offset) -> Option<Slice> {
     let ahead: Vec<String> = ctx
         .peers
         .live()
@@ -177,9 +177,9 @@
     let services = services(&ctx.fleet.get());
     if **ctx.services.load() != services {
         ctx.services.store(Arc::new(services.clone()));
-        tell(ctx, Event::Services(services));
+        notify_placement(ctx, Event::Services(services));
     }
-    tell(ctx, Event::Workers(workers(ctx)));
+    notify_placement(ctx, Event::Workers(workers(ctx)));
 }
 
 fn services(fleet: &Fleet) -> BTreeMap<String, Service> {
@@ -208,6 +208,6 @@
         .collect()
 }
 
-fn tell(ctx: &Context, event: Event) {
-    ctx.placement.tell(Message::Happened(event));
+fn notify_placement(ctx: &Context, event: Event) {
+    ctx.placement.notify(Message::Happened(event));
 }
--- a/crates/havenladder/src/threads/operators.rs
+++ b/crates/havenladder/src/threads/operators.rs
@@ -19,19 +19,19 @@
 use tiny_http::{Header, Method, Request, Response, Server};
 
 /// Threads that answer operators.
-pub const ANSWERERS: usize = 4;
+pub const LISTENER_THREADS: usize = 4;
 
 /// The largest order that is read, in bytes.
-const ORDER_LIMIT: u64 = 8 << 20;
+const MAX_ORDER_BYTES: u64 = 8 << 20;
 
 /// An answer: its status, content type and body.
-struct Answer {
+struct OperatorResponse {
     status: u16,
     kind: &'static str,
     body: Vec<u8>,
 }
 
-impl Answer {
+impl OperatorResponse {
     fn json(value: &impl Serialize) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => Self {
@@ -56,40 +56,40 @@
 /// Answers operators until the process ends.
 pub fn operators(ctx: &Arc<Context>, server: &Server) {
     while let Ok(mut request) = server.recv() {
-        let answer = if has_key(&request, &ctx.config.operators.key) {
-            answer(ctx, &mut request)
+        let response = if has_key(&request, &ctx.config.operators.key) {
+            handle(ctx, &mut request)
         } else {
-            Answer::problem(401, "the operators' key is missing or wrong")
+            OperatorResponse::problem(401, "the operators' key is missing or wrong")
         };
-        respond(request, answer);
+        respond(request, response);
     }
 }
 
-fn respond(request: Request, answer: Answer) {
-    let mut response = Response::from_data(answer.body).with_status_code(answer.status);
-    if let Ok(kind) = Header::from_bytes("content-type", answer.kind) {
-        response.add_header(kind);
+fn respond(request: Request, response: OperatorResponse) {
+    let mut http_response = Response::from_data(response.body).with_status_code(response.status);
+    if let Ok(kind) = Header::from_bytes("content-type", response.kind) {
+        http_response.add_header(kind);
     }
     // An operator that went away asks again.
-    let _ = request.respond(response);
+    let _ = request.respond(http_response);
 }
 
-fn answer(ctx: &Context, request: &mut Request) -> Answer {
+fn handle(ctx: &Context, request: &mut Request) -> OperatorResponse {
     let url = request.url().to_owned();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
     match (request.method(), path) {
-        (Method::Get, "/metrics") => Answer {
+        (Method::Get, "/metrics") => OperatorResponse {
             status: 200,
             kind: "text/plain; version=0.0.4",
             body: ctx.metrics.text().into_bytes(),
         },
-        (Method::Get, "/state") => Answer::json(&state(ctx)),
-        (Method::Get, "/members") => Answer::json(&members(ctx)),
-        (Method::Get, "/burn") => Answer::json(&burn::report(ctx)),
-        (Method::Get, "/config") => Answer::json(&ctx.config),
+        (Method::Get, "/state") => OperatorResponse::json(&state(ctx)),
+        (Method::Get, "/members") => OperatorResponse::json(&members(ctx)),
+        (Method::Get, "/burn") => OperatorResponse::json(&burn::report(ctx)),
+        (Method::Get, "/config") => OperatorResponse::json(&ctx.config),
         (Method::Get, "/explain") => explanation(ctx, query),
         (Method::Post, "/orders") => order(ctx, request),
-        _ => Answer::problem(404, "no such path"),
+        _ => OperatorResponse::problem(404, "no such path"),
     }
 }
 
@@ -116,19 +116,19 @@
     let progress = progress(fleet, wave);
     WaveReply {
         wave: wave.clone(),
-        ends: ends(wave, progress.done, progress.pending()),
+        ends: estimate_end(wave, progress.done, progress.pending()),
         progress,
     }
 }
 
 /// When the wave ends if it goes on as so far.
-fn ends(wave: &Wave, done: usize, pending: usize) -> Option<SystemTime> {
+fn estimate_end(wave: &Wave, done: usize, pending: usize) -> Option<SystemTime> {
     if done == 0 || pending == 0 {
         return None;
     }
     let now = SystemTime::now();
-    let each = now.duration_since(wave.from).ok()?.div_f64(done as f64);
-    Some(now + each.mul_f64(pending as f64))
+    let time_per_vm = now.duration_since(wave.from).ok()?.div_f64(done as f64);
+    Some(now + time_per_vm.mul_f64(pending as f64))
 }
 
 fn members(ctx: &Context) -> Vec<MemberReply> {
@@ -152,51 +152,54 @@
     members
 }
 
-fn explanation(ctx: &Context, query: &str) -> Answer {
+fn explanation(ctx: &Context, query: &str) -> OperatorResponse {
     let subject = query.strip_prefix("subject=").unwrap_or_default();
     match explain(ctx, subject) {
-        Some(explanation) => Answer::json(&explanation),
+        Some(explanation) => OperatorResponse::json(&explanation),
         None => {
             let hint = suggestion(ctx, subject).map(|name| format!("; did you mean `{name}`?"));
             let hint = hint.unwrap_or_default();
             let detail = format!("no VM, level or recent request `{subject}`{hint}");
-            Answer::problem(404, &detail)
+            OperatorResponse::problem(404, &detail)
         }
     }
 }
 
-fn order(ctx: &Context, request: &mut Request) -> Answer {
+fn order(ctx: &Context, request: &mut Request) -> OperatorResponse {
     let mut body = Vec::new();
-    let read = request.as_reader().take(ORDER_LIMIT).read_to_end(&mut body);
+    let read = request
+        .as_reader()
+        .take(MAX_ORDER_BYTES)
+        .read_to_end(&mut body);
     if let Err(error) = read {
-        return Answer::problem(400, &error.to_string());
+        return OperatorResponse::problem(400, &error.to_string());
     }
     let order: Order = match serde_json::from_slice(&body) {
         Ok(order) => order,
-        Err(error) => return Answer::problem(400, &format!("not an order: {error}")),
+        Err(error) => return OperatorResponse::problem(400, &format!("not an order: {error}")),
     };
     tracing::info!(?order, "an operator's order");
-    match change(ctx, order) {
-        Ok(change) => decide(ctx, change),
-        Err(detail) => Answer::problem(404, &detail),
+    match change_for(ctx, order) {
+        Ok(change) => propose_change(ctx, change),
+        Err(detail) => OperatorResponse::problem(404, &detail),
     }
 }
 
-fn decide(ctx: &Context, change: Change) -> Answer {
+fn propose_change(ctx: &Context, change: Change) -> OperatorResponse {
     match propose(ctx, vec![change]) {
         Ok(decided) => match decided.outcomes.into_iter().next() {
-            Some(outcome) => Answer::json(&Receipt {
+            Some(outcome) => OperatorResponse::json(&Receipt {
                 offset: decided.offset,
                 outcome,
             }),
-            None => Answer::problem(500, "the record held no change"),
+            None => OperatorResponse::problem(500, "the record held no change"),
         },
-        Err(error) => Answer::problem(503, &error.to_string()),
+        Err(error) => OperatorResponse::problem(503, &error.to_string()),
     }
 }
 
 /// Makes the proposal that an order asks for, from the state as it is now.
-fn change(ctx: &Context, order: Order) -> Result<Change, String> {
+fn change_for(ctx: &Context, order: Order) -> Result<Change, String> {
     let fleet = ctx.fleet.get();
     match order {
         Order::Settings(changes) => Ok(Change::Settings(changes)),
--- a/crates/havenladder/src/threads/operators/burn.rs
+++ b/crates/havenladder/src/threads/operators/burn.rs
@@ -35,7 +35,7 @@
             .iter()
             .map(|reply| reply.since)
             .max()
-            .unwrap_or(ctx.since),
+            .unwrap_or(ctx.started_at),
         services: rows(&sums(&replies), &services),
         answered: replies.into_iter().map(|reply| reply.entry).collect(),
         silent,
--- a/crates/havenladder/src/threads/peers.rs
+++ b/crates/havenladder/src/threads/peers.rs
@@ -1,10 +1,10 @@
 //! The duties towards peers: answering them, and asking each how it is.
 
 use crate::{
-    client::{PeerClient, RELAY_WAIT},
+    client::{MAX_RELAY_WAIT, PeerClient},
     context::Context,
     key::is_key,
-    peer_table::holds_until,
+    peer_table::status_expiry,
     sync::lock,
     threads::placement::Message,
 };
@@ -20,16 +20,16 @@
 use tiny_http::{Header, Request, Response, Server};
 
 /// Threads that answer peers; each may hold one request for records.
-pub const ANSWERERS: usize = 12;
+pub const LISTENER_THREADS: usize = 12;
 
 /// Answers peers until the process ends.
-pub fn answer_peers(ctx: &Arc<Context>, server: &Server) {
+pub fn serve_peers(ctx: &Arc<Context>, server: &Server) {
     while let Ok(request) = server.recv() {
-        answer(ctx, request);
+        handle(ctx, request);
     }
 }
 
-fn answer(ctx: &Context, request: Request) {
+fn handle(ctx: &Context, request: Request) {
     if !has_key(&request, &ctx.config.peers.key) {
         respond(request, 401, Vec::new());
         return;
@@ -53,7 +53,7 @@
     let from = query
         .strip_prefix("from=")
         .and_then(|from| from.parse().ok());
-    ctx.fleet.slice(from.unwrap_or_default(), RELAY_WAIT)
+    ctx.fleet.slice(from.unwrap_or_default(), MAX_RELAY_WAIT)
 }
 
 fn snapshot(ctx: &Context) -> Option<Vec<u8>> {
@@ -71,7 +71,7 @@
 pub fn burn(ctx: &Context) -> BurnReply {
     BurnReply {
         entry: ctx.config.entry.name.clone(),
-        since: ctx.since,
+        since: ctx.started_at,
         services: lock(&ctx.burn).sums(SystemTime::now()),
     }
 }
@@ -104,16 +104,16 @@
 }
 
 /// Asks every peer how it is, until the process ends.
-pub fn ask_peers(ctx: &Arc<Context>) {
+pub fn poll_peers(ctx: &Arc<Context>) {
     let client = PeerClient::new(&ctx.config.peers.key);
     loop {
         for neighbour in &ctx.config.peers.neighbours {
             if let Some(status) = client.status(&neighbour.peers.to_string()) {
-                ctx.peers.hear(status, holds_until(&ctx.config));
+                ctx.peers.record(status, status_expiry(&ctx.config));
             }
         }
-        let event = Event::Peers(other_halls(ctx));
-        ctx.placement.tell(Message::Happened(event));
+        let event = Event::Peers(peers_in_other_halls(ctx));
+        ctx.placement.notify(Message::Happened(event));
         ctx.metrics
             .in_progress(ctx.in_progress.load(std::sync::atomic::Ordering::Relaxed));
         sleep(ctx.config.peers.interval.max(Duration::from_millis(10)));
@@ -121,7 +121,7 @@
 }
 
 /// The live entries of other halls, with the room they see.
-fn other_halls(ctx: &Context) -> Vec<Peer> {
+fn peers_in_other_halls(ctx: &Context) -> Vec<Peer> {
     ctx.peers
         .live()
         .into_iter()
--- a/crates/havenladder/src/threads/placement.rs
+++ b/crates/havenladder/src/threads/placement.rs
@@ -3,7 +3,7 @@
 use crate::{
     context::Context,
     sync::lock,
-    threads::{claims::ClaimJob, workers::Dispatch},
+    threads::{claims::ClaimMessage, workers::Dispatch},
 };
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
@@ -20,7 +20,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Messages that wait for this duty at the most, for each request that may be in progress.
-const RING_SHARE: usize = 4;
+const MESSAGES_PER_REQUEST: usize = 4;
 
 /// Time between two ticks of the scheduler.
 const TICK: Duration = Duration::from_millis(20);
@@ -28,12 +28,12 @@
 /// Time between two ticks while no request is in progress.
 const IDLE_TICK: Duration = Duration::from_millis(200);
 
-/// Time between two looks at the rooms that peers are told of.
-const ROOMS: Duration = Duration::from_millis(100);
+/// Time between two looks at the capacities that peers are told of.
+const CAPACITY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct TaskResponse {
     /// Its HTTP status.
     pub status: u16,
     /// Its content type, if it has one.
@@ -48,7 +48,7 @@
     /// The outcome.
     pub outcome: Outcome,
     /// The whole answer, when the outcome is done.
-    pub answer: Option<Answer>,
+    pub response: Option<TaskResponse>,
 }
 
 /// A request on its way in.
@@ -78,19 +78,19 @@
     /// Something else happened.
     Happened(Event),
     /// An attempt ended.
-    Ended(AttemptId, AttemptEnd, Option<Answer>),
+    Ended(AttemptId, AttemptEnd, Option<TaskResponse>),
 }
 
 /// The way to this duty.
 #[derive(Clone, Debug)]
-pub struct PlacementRing {
+pub struct PlacementSender {
     sender: Sender<Message>,
 }
 
-impl PlacementRing {
+impl PlacementSender {
     /// Makes a ring for an entry that may have `requests` in progress.
     pub fn new(requests: usize) -> (Self, Receiver<Message>) {
-        let (sender, receiver) = bounded(requests * RING_SHARE + 64);
+        let (sender, receiver) = bounded(requests * MESSAGES_PER_REQUEST + 64);
         (Self { sender }, receiver)
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Tells of anything else; the ring has room for all that requests in progress can cause.
-    pub fn tell(&self, message: Message) {
+    pub fn notify(&self, message: Message) {
         // The ring closes only when the process ends.
         let _ = self.sender.send(message);
     }
@@ -134,7 +134,7 @@
     scheduler: Scheduler,
     pending: HashMap<RequestId, Pending>,
     claims: HashMap<RequestId, (Claim, bool)>,
-    answers: HashMap<AttemptId, Answer>,
+    responses: HashMap<AttemptId, TaskResponse>,
     workers: mpsc::Sender<Dispatch>,
 }
 
@@ -153,51 +153,51 @@
         scheduler: Scheduler::new(seed),
         pending: HashMap::new(),
         claims: HashMap::new(),
-        answers: HashMap::new(),
+        responses: HashMap::new(),
         workers,
     };
     let mut tick = Instant::now() + TICK;
-    let mut rooms = Instant::now();
+    let mut next_capacities = Instant::now();
     loop {
         match messages.recv_deadline(tick) {
             Ok(message) => {
-                placement.take(message);
-                tick = tick.min(Instant::now() + placement.until_tick());
+                placement.handle_message(message);
+                tick = tick.min(Instant::now() + placement.tick_interval());
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
         let now = Instant::now();
         if now >= tick {
-            placement.happen(Event::Tick);
-            tick = now + placement.until_tick();
+            placement.handle_event(Event::Tick);
+            tick = now + placement.tick_interval();
         }
-        if now >= rooms {
-            *lock(&ctx.rooms) = placement.scheduler.rooms(now);
-            rooms = now + ROOMS;
+        if now >= next_capacities {
+            *lock(&ctx.capacities) = placement.scheduler.rooms(now);
+            next_capacities = now + CAPACITY_INTERVAL;
         }
     }
 }
 
 impl Placement<'_> {
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
             Message::Arrived(arrival) => self.arrive(*arrival),
-            Message::Happened(Event::Claimed(id, settled)) => self.claimed(id, settled),
-            Message::Happened(event) => self.happen(event),
-            Message::Ended(attempt, end, answer) => {
-                if let Some(answer) = answer {
-                    self.answers.insert(attempt, answer);
+            Message::Happened(Event::Claimed(id, settled)) => self.handle_verdict(id, settled),
+            Message::Happened(event) => self.handle_event(event),
+            Message::Ended(attempt, end, response) => {
+                if let Some(response) = response {
+                    self.responses.insert(attempt, response);
                 }
-                self.happen(Event::Ended(attempt, end));
+                self.handle_event(Event::Ended(attempt, end));
                 // An answer that nobody took belongs to an attempt that was given up.
-                self.answers.remove(&attempt);
+                self.responses.remove(&attempt);
             }
         }
     }
 
     /// Only requests that wait can become hopeless; an idle entry need not look often.
-    fn until_tick(&self) -> Duration {
+    fn tick_interval(&self) -> Duration {
         if self.scheduler.is_empty() {
             IDLE_TICK
         } else {
@@ -220,17 +220,17 @@
         if let Some(claim) = arrival.claim {
             self.claims.insert(id, (claim, false));
         }
-        self.happen(Event::Arrived(arrival.job));
+        self.handle_event(Event::Arrived(arrival.job));
     }
 
-    fn claimed(&mut self, id: RequestId, settled: Settled) {
+    fn handle_verdict(&mut self, id: RequestId, settled: Settled) {
         if let Some((_, won)) = self.claims.get_mut(&id) {
             *won = settled == Settled::Won;
         }
-        self.happen(Event::Claimed(id, settled));
+        self.handle_event(Event::Claimed(id, settled));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         for command in self.scheduler.handle(event, Instant::now()) {
             self.carry_out(command);
         }
@@ -254,13 +254,13 @@
                     .as_secs_f64();
                 tracing::warn!(vm, seconds, reason = "failed tasks in a row", "set aside");
             }
-            Command::Answer(id, outcome) => self.answer(id, outcome),
+            Command::Answer(id, outcome) => self.reply(id, outcome),
         }
     }
 
     fn claim(&mut self, id: RequestId) {
         if let Some((claim, _)) = self.claims.get(&id) {
-            self.ctx.claims.send(ClaimJob::Claim(id, claim.clone()));
+            self.ctx.claims.send(ClaimMessage::Claim(id, claim.clone()));
         }
     }
 
@@ -298,18 +298,18 @@
         let _ = self.workers.blocking_send(dispatch);
     }
 
-    fn answer(&mut self, id: RequestId, outcome: Outcome) {
+    fn reply(&mut self, id: RequestId, outcome: Outcome) {
         self.settle(id, &outcome);
         let Some(pending) = self.pending.remove(&id) else {
             return;
         };
-        let answer = match outcome {
-            Outcome::Done(attempt) => self.answers.remove(&attempt),
+        let response = match outcome {
+            Outcome::Done(attempt) => self.responses.remove(&attempt),
             _ => None,
         };
         tracing::info!(request = %pending.name, service = %pending.service, ?outcome, "outcome");
         // A caller that went away gets nothing.
-        let _ = pending.reply.send(Reply { outcome, answer });
+        let _ = pending.reply.send(Reply { outcome, response });
     }
 
     /// Records in the log what became of a request whose claim won.
@@ -326,6 +326,6 @@
             Outcome::Unknown(_) | Outcome::Claimed(_) => ClaimState::Unknown,
         };
         self.ctx.unsettled.fetch_add(1, Ordering::Relaxed);
-        self.ctx.claims.send(ClaimJob::Settle(claim, state));
+        self.ctx.claims.send(ClaimMessage::Settle(claim, state));
     }
 }
--- a/crates/havenladder/src/threads/snapshots.rs
+++ b/crates/havenladder/src/threads/snapshots.rs
@@ -17,28 +17,29 @@
 const SNAPSHOTS: &str = "snapshots";
 
 /// Records of the stream that are looked through for the newest whole snapshot.
-const LOOK_BACK: Offset = 64;
+const SEARCHED_RECORDS: Offset = 64;
 
 /// Time between two looks at whether a snapshot is due.
-const ROUND: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Keeps snapshots in the log until the process ends.
 pub fn snapshots(ctx: &Arc<Context>) {
     let mut written: Offset = 0;
     let mut due = Instant::now() + ctx.config.snapshots.interval;
     loop {
-        sleep(ROUND);
+        sleep(CHECK_INTERVAL);
         if !ctx.fleet.is_loaded() || !ctx.reaches_log() {
             continue;
         }
         let next = ctx.fleet.get().next;
-        let many = next.saturating_sub(written) >= ctx.config.snapshots.records as Offset;
-        let old = next > written && Instant::now() >= due;
-        if !(many || old) {
+        let has_enough_records =
+            next.saturating_sub(written) >= ctx.config.snapshots.records as Offset;
+        let is_old = next > written && Instant::now() >= due;
+        if !(has_enough_records || is_old) {
             continue;
         }
         // Those that rank lower wait a little, and find it written.
-        sleep(ROUND * rank_of(ctx));
+        sleep(CHECK_INTERVAL * rank_of(ctx));
         let newest = newest(&ctx.platform).map_or(0, |fleet| fleet.next);
         written = if newest > written {
             newest
@@ -52,12 +53,15 @@
 /// Returns the newest whole snapshot of the log.
 pub fn newest(platform: &HttpPlatform) -> Option<Fleet> {
     let bounds = platform.read(SNAPSHOTS, Offset::MAX, Duration::ZERO).ok()?;
-    let mut from = bounds.next.saturating_sub(LOOK_BACK).max(bounds.oldest);
-    let mut found: Vec<Chunk> = Vec::new();
+    let mut from = bounds
+        .next
+        .saturating_sub(SEARCHED_RECORDS)
+        .max(bounds.oldest);
+    let mut chunks_found: Vec<Chunk> = Vec::new();
     while from < bounds.next {
         let slice = platform.read(SNAPSHOTS, from, Duration::ZERO).ok()?;
         let last = slice.records.last()?.offset;
-        found.extend(
+        chunks_found.extend(
             slice
                 .records
                 .iter()
@@ -65,7 +69,7 @@
         );
         from = last + 1;
     }
-    assemble(&found)
+    assemble(&chunks_found)
 }
 
 fn write(ctx: &Context) -> Result<Offset, CallError> {
--- a/crates/havenladder/src/threads/steward.rs
+++ b/crates/havenladder/src/threads/steward.rs
@@ -1,6 +1,6 @@
 //! The duty that plans errands and carries out those whose leases this entry holds.
 
-mod strays;
+mod drift;
 
 use crate::{
     context::Context,
@@ -20,10 +20,10 @@
 };
 
 /// Time after which a plan is made anew although nothing has changed: leases end by time alone.
-const REPLAN: Duration = Duration::from_secs(1);
+const REPLAN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A VM with an errand that falls to this entry.
-struct Task {
+struct AssignedGrant {
     id: VmId,
     vm: Vm,
     grant: Grant,
@@ -31,59 +31,60 @@
 
 /// Plans and carries out until the process ends.
 pub fn steward(ctx: &Arc<Context>) {
-    let mut planned = Planned::default();
+    let mut plan_inputs = PlanInputs::default();
     loop {
         let next = Instant::now() + ctx.config.steward.interval;
         if ctx.fleet.is_loaded() && ctx.reaches_log() {
-            round(ctx, &mut planned);
+            round(ctx, &mut plan_inputs);
         }
-        let left = next.saturating_duration_since(Instant::now());
-        let seen = ctx.fleet.get().next;
+        let remaining = next.saturating_duration_since(Instant::now());
+        let applied = ctx.fleet.get().next;
         // A new record may be a grant; it is not left waiting for the next round.
-        ctx.fleet.wait(Instant::now() + left, |next| next > seen);
+        ctx.fleet
+            .wait(Instant::now() + remaining, |next| next > applied);
         sleep(Duration::from_millis(1));
     }
 }
 
 /// What the last plan was made from.
 #[derive(Default)]
-struct Planned {
+struct PlanInputs {
     next: Offset,
     members: BTreeMap<EntryId, HallId>,
-    stale: Option<Instant>,
+    expires: Option<Instant>,
 }
 
-impl Planned {
+impl PlanInputs {
     /// Tells whether a new plan could come to anything else, and notes that it is made now.
     fn is_due(&mut self, next: Offset, members: &BTreeMap<EntryId, HallId>) -> bool {
         let now = Instant::now();
-        let is_fresh = self.stale.is_some_and(|stale| now < stale);
+        let is_fresh = self.expires.is_some_and(|expires| now < expires);
         if is_fresh && self.next == next && self.members == *members {
             return false;
         }
         *self = Self {
             next,
             members: members.clone(),
-            stale: Some(now + REPLAN),
+            expires: Some(now + REPLAN_INTERVAL),
         };
         true
     }
 }
 
-fn round(ctx: &Context, planned: &mut Planned) {
+fn round(ctx: &Context, plan_inputs: &mut PlanInputs) {
     let members = ctx.peers.members(&ctx.config, true);
     let next = ctx.fleet.get().next;
-    if planned.is_due(next, &members) {
+    if plan_inputs.is_due(next, &members) {
         let changes = plan(&ctx.fleet.get(), &view(ctx, &members));
         if !changes.is_empty() {
-            submit(ctx, changes);
+            propose_changes(ctx, changes);
         }
     }
-    for task in tasks(ctx, &members) {
-        work(ctx, &members, &task);
+    for assigned in assigned_grants(ctx, &members) {
+        advance(ctx, &members, &assigned);
     }
-    for (id, vm) in strays::strays(ctx, &members) {
-        strays::settle_stray(ctx, &id, &vm);
+    for (id, vm) in drift::drifted_vms(ctx, &members) {
+        drift::correct(ctx, &id, &vm);
     }
 }
 
@@ -97,7 +98,7 @@
 }
 
 /// Proposes changes and logs what was decided; tells whether all of them took effect.
-fn submit(ctx: &Context, changes: Vec<Change>) -> bool {
+fn propose_changes(ctx: &Context, changes: Vec<Change>) -> bool {
     match propose(ctx, changes.clone()) {
         Ok(decided) => {
             for (change, outcome) in changes.iter().zip(&decided.outcomes) {
@@ -114,7 +115,7 @@
 
 /// Errands whose leases this entry holds. What needs no lease falls to the first live entry of the
 /// hall.
-fn tasks(ctx: &Context, members: &BTreeMap<EntryId, HallId>) -> Vec<Task> {
+fn assigned_grants(ctx: &Context, members: &BTreeMap<EntryId, HallId>) -> Vec<AssignedGrant> {
     let view = view(ctx, members);
     let fleet = ctx.fleet.get();
     fleet
@@ -126,7 +127,7 @@
                 view.holder(id, vm).as_deref() == Some(view.entry)
             }
         })
-        .map(|(id, vm, grant)| Task {
+        .map(|(id, vm, grant)| AssignedGrant {
             id: id.clone(),
             vm: vm.clone(),
             grant: grant.clone(),
@@ -134,58 +135,58 @@
         .collect()
 }
 
-fn work(ctx: &Context, members: &BTreeMap<EntryId, HallId>, task: &Task) {
-    let info = match ctx.platform.look(&task.id) {
+fn advance(ctx: &Context, members: &BTreeMap<EntryId, HallId>, assigned: &AssignedGrant) {
+    let info = match ctx.platform.look(&assigned.id) {
         Ok(info) => info,
         Err(error) => {
-            tracing::warn!(vm = %task.id, %error, "could not look at the VM");
+            tracing::warn!(vm = %assigned.id, %error, "could not look at the VM");
             return;
         }
     };
     let action = {
         let fleet = ctx.fleet.get();
         let evidence = Evidence {
-            sight: info.as_ref().map(sight),
-            unseen: unseen(ctx, &fleet, &task.vm),
+            sight: info.as_ref().map(observation),
+            unseen: unreported_slots(ctx, &fleet, &assigned.vm),
         };
         next_action(
             &fleet,
-            &task.vm,
-            &task.grant,
+            &assigned.vm,
+            &assigned.grant,
             &evidence,
             &view(ctx, members),
         )
     };
-    carry_out(ctx, task, action);
+    carry_out(ctx, assigned, action);
 }
 
-fn carry_out(ctx: &Context, task: &Task, action: Action) {
-    let token = task.grant.token;
-    let (vm, grant) = (task.id.clone(), task.grant.id);
+fn carry_out(ctx: &Context, assigned: &AssignedGrant, action: Action) {
+    let token = assigned.grant.token;
+    let (vm, grant) = (assigned.id.clone(), assigned.grant.id);
     match action {
         Action::Wait => {}
         Action::Lapsed => tracing::warn!(%vm, grant, "the lease has ended; not acting"),
         Action::Renew => {
-            submit(ctx, vec![renewal(ctx, task)]);
+            propose_changes(ctx, vec![renewal(ctx, assigned)]);
         }
-        Action::Drain => call(ctx, task, &VmCall::Drain { token }),
-        Action::Undrain => call(ctx, task, &VmCall::Undrain { token }),
+        Action::Drain => call(ctx, assigned, &VmCall::Drain { token }),
+        Action::Undrain => call(ctx, assigned, &VmCall::Undrain { token }),
         Action::Begin => {
-            submit(ctx, vec![Change::Begin { vm, grant }]);
+            propose_changes(ctx, vec![Change::Begin { vm, grant }]);
         }
-        Action::Reboot(boot) => call(ctx, task, &VmCall::Reboot { token, boot }),
-        Action::Release => call(ctx, task, &VmCall::Release { token }),
-        Action::Assign(pool) => call(ctx, task, &VmCall::Assign { token, pool }),
+        Action::Reboot(boot) => call(ctx, assigned, &VmCall::Reboot { token, boot }),
+        Action::Release => call(ctx, assigned, &VmCall::Release { token }),
+        Action::Assign(pool) => call(ctx, assigned, &VmCall::Assign { token, pool }),
         Action::Finish(boot) => {
-            submit(ctx, vec![Change::Finish { vm, grant, boot }]);
+            propose_changes(ctx, vec![Change::Finish { vm, grant, boot }]);
         }
     }
 }
 
-fn renewal(ctx: &Context, task: &Task) -> Change {
+fn renewal(ctx: &Context, assigned: &AssignedGrant) -> Change {
     Change::Lease(LeaseRequest {
-        vm: task.id.clone(),
-        grant: task.grant.id,
+        vm: assigned.id.clone(),
+        grant: assigned.grant.id,
         holder: ctx.config.entry.name.clone(),
         deadline: SystemTime::now() + ctx.config.steward.lease,
     })
@@ -193,19 +194,19 @@
 
 /// Calls the platform; the last thing before the call is a look at the clock, so that a process
 /// that was frozen over its lease does nothing.
-fn call(ctx: &Context, task: &Task, call: &VmCall) {
-    if task.grant.has_lease() && SystemTime::now() >= task.grant.deadline {
-        tracing::warn!(vm = %task.id, ?call, "the lease ended before the call; not calling");
+fn call(ctx: &Context, assigned: &AssignedGrant, call: &VmCall) {
+    if assigned.grant.has_lease() && SystemTime::now() >= assigned.grant.deadline {
+        tracing::warn!(vm = %assigned.id, ?call, "the lease ended before the call; not calling");
         return;
     }
-    match ctx.platform.call(&task.id, call) {
-        Ok(()) => tracing::info!(vm = %task.id, ?call, "called"),
+    match ctx.platform.call(&assigned.id, call) {
+        Ok(()) => tracing::info!(vm = %assigned.id, ?call, "called"),
         // The next round looks at what became of it.
-        Err(error) => tracing::warn!(vm = %task.id, ?call, %error, "call failed"),
+        Err(error) => tracing::warn!(vm = %assigned.id, ?call, %error, "call failed"),
     }
 }
 
-fn sight(info: &VmInfo) -> Sight {
+fn observation(info: &VmInfo) -> Sight {
     Sight {
         boot: info.boot,
         up: info.up,
@@ -217,7 +218,7 @@
 }
 
 /// Slots of the VM's pool that this entry finds silent and the agreed state still counts as up.
-fn unseen(ctx: &Context, fleet: &Fleet, vm: &Vm) -> u32 {
+fn unreported_slots(ctx: &Context, fleet: &Fleet, vm: &Vm) -> u32 {
     let unfit = ctx.observations.unfit();
     unfit
         .iter()
--- a/crates/havenladder/src/threads/stop.rs
+++ b/crates/havenladder/src/threads/stop.rs
@@ -16,19 +16,19 @@
 };
 
 /// Time for which requests are still taken, so that the balancer sees that the entry is leaving.
-const GRACE: Duration = Duration::from_millis(1_500);
+const GRACE_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// Time between two looks at whether anything is in progress.
-const ROUND: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time for which answers that have been given are still written out.
-const FLUSH: Duration = Duration::from_millis(100);
+const FLUSH_PERIOD: Duration = Duration::from_millis(100);
 
 /// The longest time that a planned stop waits for what is in progress.
-const LONGEST: Duration = Duration::from_secs(24 * 60 * 60);
+const STOP_TIMEOUT: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// Exit code of a process that was told twice to stop.
-const STOPPED_AT_ONCE: i32 = 130;
+const FORCED_EXIT_CODE: i32 = 130;
 
 /// Waits for signals until the process ends.
 ///
@@ -40,7 +40,7 @@
     for _ in signals.forever() {
         if ctx.leaving.swap(true, Ordering::Relaxed) {
             tracing::warn!("told to stop a second time; stopping at once");
-            exit(STOPPED_AT_ONCE);
+            exit(FORCED_EXIT_CODE);
         }
         tracing::info!("leaving: no longer ready, finishing what is in progress");
         let ctx = Arc::clone(ctx);
@@ -50,13 +50,13 @@
 }
 
 fn leave(ctx: &Context) {
-    sleep(GRACE);
-    ctx.placement.tell(Message::Happened(Event::Stop));
-    let latest = Instant::now() + LONGEST;
-    while Instant::now() < latest && is_busy(ctx) {
-        sleep(ROUND);
+    sleep(GRACE_PERIOD);
+    ctx.placement.notify(Message::Happened(Event::Stop));
+    let deadline = Instant::now() + STOP_TIMEOUT;
+    while Instant::now() < deadline && is_busy(ctx) {
+        sleep(POLL_INTERVAL);
     }
-    sleep(FLUSH);
+    sleep(FLUSH_PERIOD);
     tracing::info!("nothing is in progress; stopped");
     exit(0);
 }
--- a/crates/havenladder/src/threads/watch.rs
+++ b/crates/havenladder/src/threads/watch.rs
@@ -35,18 +35,18 @@
 };
 
 /// The largest report of a worker that is read, in bytes.
-const USAGE_LIMIT: usize = 4 << 10;
+const MAX_USAGE_BYTES: usize = 4 << 10;
 
 /// Connections to one worker that are kept for probes: none, since each would hold buffers.
-const IDLE_CONNECTIONS: usize = 0;
+const MAX_IDLE_CONNECTIONS: usize = 0;
 
-type Probe = Client<HttpConnector, Empty<Bytes>>;
+type ProbeClient = Client<HttpConnector, Empty<Bytes>>;
 
 /// A VM that is to be probed, with its worker's address.
 type Target = (VmId, String);
 
 /// What one probe brought.
-struct Probed {
+struct ProbeResult {
     vm: VmId,
     usage: Option<Usage>,
 }
@@ -60,29 +60,29 @@
     let runtime = runtime().expect("the system gives an event queue");
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(ctx.config.watch.patience));
-    let probe: Probe = Client::builder(TokioExecutor::new())
-        .pool_max_idle_per_host(IDLE_CONNECTIONS)
+    let probe: ProbeClient = Client::builder(TokioExecutor::new())
+        .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
         .build(connector);
-    let mut turn = 0;
+    let mut next_index = 0;
     loop {
         let next = Instant::now() + ctx.config.watch.interval;
         if ctx.fleet.is_loaded() {
-            let targets = targets(ctx, &mut turn);
+            let targets = targets(ctx, &mut next_index);
             round(ctx, &runtime, &probe, targets);
         }
         runtime.block_on(async { sleep_until(next).await });
     }
 }
 
-fn round(ctx: &Context, runtime: &Runtime, probe: &Probe, targets: Vec<Target>) {
+fn round(ctx: &Context, runtime: &Runtime, probe: &ProbeClient, targets: Vec<Target>) {
     let before = ctx.observations.unfit();
     let patience = ctx.config.watch.patience;
     let probed = runtime.block_on(probe_all(probe, targets, patience));
-    let listed = list(ctx);
+    let listed = list_vms(ctx);
     if let Some(listed) = &listed {
-        note_leaving(ctx, listed);
+        record_leaving(ctx, listed);
     }
-    note_probes(ctx, &probed);
+    record_probes(ctx, &probed);
     if ctx.observations.unfit() != before {
         publish(ctx);
     }
@@ -90,7 +90,7 @@
     let Some(listed) = listed else {
         return;
     };
-    ctx.listed.store(Arc::new(listed.clone()));
+    ctx.listed_vms.store(Arc::new(listed.clone()));
     let boots: BTreeMap<VmId, u64> = probed
         .iter()
         .filter_map(|probed| Some((probed.vm.clone(), probed.usage.as_ref()?.boot)))
@@ -106,18 +106,18 @@
 
 /// The platform's list for this entry's hall, and for halls that have no live entry left and fall
 /// to this one.
-fn list(ctx: &Context) -> Option<Vec<VmInfo>> {
+fn list_vms(ctx: &Context) -> Option<Vec<VmInfo>> {
     let mut listed = ctx.platform.list(&ctx.config.entry.hall).ok()?;
-    for hall in orphans(ctx) {
+    for hall in orphaned_halls(ctx) {
         listed.extend(ctx.platform.list(&hall).ok()?);
     }
     Some(listed)
 }
 
-fn orphans(ctx: &Context) -> BTreeSet<HallId> {
+fn orphaned_halls(ctx: &Context) -> BTreeSet<HallId> {
     let members = ctx.peers.members(&ctx.config, true);
     let live: BTreeSet<&HallId> = members.values().collect();
-    let falls_to_us = |hall: &HallId| {
+    let is_responsible = |hall: &HallId| {
         let names = members.keys().map(String::as_str);
         ranked(names, hall).first() == Some(&ctx.config.entry.name.as_str())
     };
@@ -125,14 +125,14 @@
     let halls: BTreeSet<&HallId> = fleet.vms.values().map(|vm| &vm.hall).collect();
     halls
         .into_iter()
-        .filter(|hall| !live.contains(hall) && falls_to_us(hall))
+        .filter(|hall| !live.contains(hall) && is_responsible(hall))
         .cloned()
         .collect()
 }
 
-/// The hall's VMs whose turn it is to be probed: suspects always, others one after the other, as
+/// The hall's VMs whose next_index it is to be probed: suspects always, others one after the other, as
 /// many as the limit allows.
-fn targets(ctx: &Context, turn: &mut usize) -> Vec<Target> {
+fn targets(ctx: &Context, next_index: &mut usize) -> Vec<Target> {
     let suspects = ctx.observations.suspects();
     let known: Vec<Target> = {
         let fleet = ctx.fleet.get();
@@ -142,31 +142,35 @@
     };
     ctx.observations
         .retain(&known.iter().map(|(id, _)| id.clone()).collect());
-    let rounds_a_second = 1.0 / ctx.config.watch.interval.as_secs_f64();
-    let most = (ctx.config.watch.probes as f64 / rounds_a_second).ceil() as usize;
-    let (urgent, calm): (Vec<Target>, Vec<Target>) =
+    let rounds_per_second = 1.0 / ctx.config.watch.interval.as_secs_f64();
+    let max_probes = (ctx.config.watch.probes as f64 / rounds_per_second).ceil() as usize;
+    let (suspected, others): (Vec<Target>, Vec<Target>) =
         known.into_iter().partition(|(id, _)| suspects.contains(id));
-    let count = most
-        .saturating_sub(urgent.len())
-        .clamp(1, calm.len().max(1));
-    let start = *turn;
-    *turn = start.wrapping_add(count);
-    let in_turn = calm
+    let count = max_probes
+        .saturating_sub(suspected.len())
+        .clamp(1, others.len().max(1));
+    let start = *next_index;
+    *next_index = start.wrapping_add(count);
+    let batch = others
         .iter()
         .cycle()
-        .skip(start % calm.len().max(1))
-        .take(count.min(calm.len()));
-    let in_turn: Vec<Target> = in_turn.cloned().collect();
-    urgent.into_iter().chain(in_turn).collect()
+        .skip(start % others.len().max(1))
+        .take(count.min(others.len()));
+    let batch: Vec<Target> = batch.cloned().collect();
+    suspected.into_iter().chain(batch).collect()
 }
 
-async fn probe_all(probe: &Probe, targets: Vec<Target>, patience: Duration) -> Vec<Probed> {
+async fn probe_all(
+    probe: &ProbeClient,
+    targets: Vec<Target>,
+    patience: Duration,
+) -> Vec<ProbeResult> {
     let mut probes = JoinSet::new();
     for (vm, addr) in targets {
         let probe = probe.clone();
         probes.spawn(async move {
-            let usage = timeout(patience, probe_one(&probe, &addr)).await;
-            Probed {
+            let usage = timeout(patience, poll_usage(&probe, &addr)).await;
+            ProbeResult {
                 vm,
                 usage: usage.ok().flatten(),
             }
@@ -175,16 +179,16 @@
     probes.join_all().await
 }
 
-async fn probe_one(probe: &Probe, addr: &str) -> Option<Usage> {
+async fn poll_usage(probe: &ProbeClient, addr: &str) -> Option<Usage> {
     let uri = format!("http://{addr}{USAGE}").parse().ok()?;
-    let answer = probe.get(uri).await.ok()?;
-    let body = Limited::new(answer.into_body(), USAGE_LIMIT)
+    let response = probe.get(uri).await.ok()?;
+    let body = Limited::new(response.into_body(), MAX_USAGE_BYTES)
         .collect()
         .await;
     serde_json::from_slice(&body.ok()?.to_bytes()).ok()
 }
 
-fn note_leaving(ctx: &Context, listed: &[VmInfo]) {
+fn record_leaving(ctx: &Context, listed: &[VmInfo]) {
     let leaving: BTreeSet<VmId> = listed
         .iter()
         .filter(|vm| vm.hall == ctx.config.entry.hall && vm.state == ListState::Leaving)
@@ -193,11 +197,11 @@
     ctx.observations.set_leaving(&leaving);
 }
 
-fn note_probes(ctx: &Context, probed: &[Probed]) {
+fn record_probes(ctx: &Context, probed: &[ProbeResult]) {
     for probed in probed {
         if let Some(usage) = &probed.usage {
             let event = Event::Usage(probed.vm.clone(), usage.running);
-            ctx.placement.tell(Message::Happened(event));
+            ctx.placement.notify(Message::Happened(event));
         }
         ctx.observations
             .record_probe(&probed.vm, probed.usage.is_some());
--- a/crates/havenladder/src/threads/watch/report.rs
+++ b/crates/havenladder/src/threads/watch/report.rs
@@ -14,19 +14,19 @@
     boots: &BTreeMap<VmId, u64>,
 ) -> Vec<Observation> {
     let members = ctx.peers.members(&ctx.config, true);
-    let falls_to_us =
-        |id: &str, hall: &str| watcher(&members, id, hall) == Some(ctx.config.entry.name.as_str());
+    let is_responsible =
+        |id: &str, hall: &str| reporter(&members, id, hall) == Some(ctx.config.entry.name.as_str());
     let fleet = ctx.fleet.get();
     let mut changes = Vec::new();
     for info in listed
         .iter()
-        .filter(|info| falls_to_us(&info.id, &info.hall))
+        .filter(|info| is_responsible(&info.id, &info.hall))
     {
         let vm = fleet.vms.get(&info.id);
         let observation = observations.get(&info.id).copied();
-        let seen = seen_of(info, vm, observation, boots.get(&info.id).copied());
+        let seen = observe(info, vm, observation, boots.get(&info.id).copied());
         let base = vm.map_or(0, |vm| vm.version);
-        if let Some(seen) = seen.filter(|seen| is_news(vm, seen)) {
+        if let Some(seen) = seen.filter(|seen| is_update(vm, seen)) {
             changes.push(Observation {
                 vm: info.id.clone(),
                 base,
@@ -37,11 +37,11 @@
     let ids: BTreeSet<&VmId> = listed.iter().map(|info| &info.id).collect();
     let halls: BTreeSet<&HallId> = listed.iter().map(|info| &info.hall).collect();
     for (id, vm) in fleet.vms.iter().filter(|(_, vm)| halls.contains(&vm.hall)) {
-        let is_lost = !ids.contains(id) && vm.health != Health::Gone && vm.grant.is_none();
+        let is_missing = !ids.contains(id) && vm.health != Health::Gone && vm.grant.is_none();
         let is_silent = observations
             .get(id)
             .is_none_or(|observation| observation.is_suspect());
-        if is_lost && is_silent && falls_to_us(id, &vm.hall) {
+        if is_missing && is_silent && is_responsible(id, &vm.hall) {
             changes.push(Observation {
                 vm: id.clone(),
                 base: vm.version,
@@ -54,7 +54,7 @@
 
 /// The live entry that records what becomes of a VM: one of its hall, or the one that the hall
 /// has fallen to if it has none left.
-fn watcher<'m>(members: &'m BTreeMap<EntryId, HallId>, id: &str, hall: &str) -> Option<&'m str> {
+fn reporter<'m>(members: &'m BTreeMap<EntryId, HallId>, id: &str, hall: &str) -> Option<&'m str> {
     first_in_hall(members, hall, id).or_else(|| {
         let all = members.keys().map(String::as_str);
         ranked(all, hall).first().copied()
@@ -63,7 +63,7 @@
 
 /// Weighs the lagging list against the probes: the list alone never brings a VM up again that
 /// this entry itself finds silent, and an old list never takes a count of boots back.
-fn seen_of(
+fn observe(
     info: &VmInfo,
     vm: Option<&Vm>,
     observation: Option<LocalObservation>,
@@ -90,7 +90,7 @@
     })
 }
 
-fn is_news(vm: Option<&Vm>, seen: &Seen) -> bool {
+fn is_update(vm: Option<&Vm>, seen: &Seen) -> bool {
     let Some(vm) = vm else {
         return matches!(seen, Seen::Up { .. });
     };
--- a/crates/havenladder/src/threads/workers.rs
+++ b/crates/havenladder/src/threads/workers.rs
@@ -8,7 +8,7 @@
     outcome,
     problem::{self, HEADER_OUTCOME},
     threads::{
-        placement::{Answer, Message},
+        placement::{Message, TaskResponse},
         runtime,
     },
 };
@@ -37,13 +37,13 @@
 use tokio::{sync::mpsc, task::JoinHandle, time::timeout_at};
 
 /// Time in which a connection must stand.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time that telling a worker to stop a task may take.
-const STOP_TIME: Duration = Duration::from_secs(1);
+const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Connections to one worker that are kept open while idle.
-const IDLE_CONNECTIONS: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// What this duty is told.
 #[derive(Debug)]
@@ -77,16 +77,16 @@
     Stop(AttemptId),
 }
 
-type Http = Client<HttpConnector, Full<Bytes>>;
+type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
 /// An attempt on its way.
-struct Running {
+struct RunningAttempt {
     task: JoinHandle<()>,
     addr: String,
 }
 
 /// How an attempt ended, with its answer if that is whole.
-type Ended = (AttemptEnd, Option<Answer>);
+type AttemptResult = (AttemptEnd, Option<TaskResponse>);
 
 /// Sends attempts until the process ends.
 ///
@@ -99,9 +99,9 @@
 }
 
 async fn send_all(ctx: &Arc<Context>, mut dispatches: mpsc::Receiver<Dispatch>) {
-    let pooled = client(IDLE_CONNECTIONS);
+    let pooled = client(MAX_IDLE_CONNECTIONS);
     let fresh = client(0);
-    let mut running: HashMap<AttemptId, Running> = HashMap::new();
+    let mut running: HashMap<AttemptId, RunningAttempt> = HashMap::new();
     let (ended, mut ends) = mpsc::channel(ctx.config.placement.requests * 2 + 64);
     loop {
         tokio::select! {
@@ -120,10 +120,10 @@
     }
 }
 
-fn client(idle: usize) -> Http {
+fn client(idle: usize) -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(CONNECT_TIME));
+    connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     Client::builder(TokioExecutor::new())
         .pool_max_idle_per_host(idle)
         .retry_canceled_requests(idle > 0)
@@ -142,10 +142,10 @@
 
 fn start(
     ctx: &Arc<Context>,
-    http: Http,
+    http: HttpClient,
     dispatch: Dispatch,
     ended: &mpsc::Sender<AttemptId>,
-    running: &mut HashMap<AttemptId, Running>,
+    running: &mut HashMap<AttemptId, RunningAttempt>,
 ) {
     let Dispatch::Send { attempt, addr, .. } = &dispatch else {
         return;
@@ -153,17 +153,17 @@
     let (attempt, addr) = (*attempt, addr.clone());
     let (ctx, ended) = (Arc::clone(ctx), ended.clone());
     let task = tokio::spawn(async move {
-        let (end, answer) = attempt_once(&http, dispatch).await;
+        let (end, response) = run_attempt(&http, dispatch).await;
         ctx.metrics.attempt(outcome::end_name(end));
-        ctx.placement.tell(Message::Ended(attempt, end, answer));
+        ctx.placement.notify(Message::Ended(attempt, end, response));
         // The list of running attempts goes with the process.
         let _ = ended.send(attempt).await;
     });
-    running.insert(attempt, Running { task, addr });
+    running.insert(attempt, RunningAttempt { task, addr });
 }
 
 /// Drops an attempt's connection and tells the worker to stop the task.
-fn stop(http: &Http, running: Option<Running>, attempt: AttemptId) {
+fn stop(http: &HttpClient, running: Option<RunningAttempt>, attempt: AttemptId) {
     let Some(running) = running else {
         return;
     };
@@ -178,11 +178,11 @@
     let call = http.request(request);
     tokio::spawn(async move {
         // The lease ends the task if this does not reach the worker.
-        let _ = tokio::time::timeout(STOP_TIME, call).await;
+        let _ = tokio::time::timeout(STOP_TIMEOUT, call).await;
     });
 }
 
-async fn attempt_once(http: &Http, dispatch: Dispatch) -> Ended {
+async fn run_attempt(http: &HttpClient, dispatch: Dispatch) -> AttemptResult {
     let Dispatch::Send {
         attempt,
         deadline,
@@ -206,8 +206,8 @@
     };
     let exchange = async {
         match http.request(request).await {
-            Ok(response) if forwarded => peer_answer(response, &name, limit).await,
-            Ok(response) => worker_answer(response, attempt, limit).await,
+            Ok(response) if forwarded => read_peer_response(response, &name, limit).await,
+            Ok(response) => read_worker_response(response, attempt, limit).await,
             Err(error) if error.is_connect() => (AttemptEnd::NotSent, None),
             Err(_) => (AttemptEnd::Broken, None),
         }
@@ -268,7 +268,11 @@
         .as_millis()
 }
 
-async fn worker_answer(response: Response<Incoming>, attempt: AttemptId, limit: usize) -> Ended {
+async fn read_worker_response(
+    response: Response<Incoming>,
+    attempt: AttemptId,
+    limit: usize,
+) -> AttemptResult {
     match response.headers().get(HEADER_REFUSED) {
         // Some copy of this very attempt was begun: the opposite of a certain "not run".
         Some(why) if why == REFUSED_SEEN => return (AttemptEnd::Broken, None),
@@ -276,21 +280,25 @@
         None => {}
     }
     let id = response.headers().get(HEADER_ID);
-    let is_ours = id.is_some_and(|id| id.as_bytes() == attempt.to_string().as_bytes());
-    if !is_ours {
+    let has_attempt_id = id.is_some_and(|id| id.as_bytes() == attempt.to_string().as_bytes());
+    if !has_attempt_id {
         return (AttemptEnd::Broken, None);
     }
     if response.status() != StatusCode::OK {
         return (AttemptEnd::Failed, None);
     }
-    match whole(response, limit).await {
-        Some(answer) => (AttemptEnd::Done, Some(answer)),
+    match read_complete(response, limit).await {
+        Some(response) => (AttemptEnd::Done, Some(response)),
         None => (AttemptEnd::Failed, None),
     }
 }
 
 /// Reads what a peer made of a request; only an answer that bears the request's id counts.
-async fn peer_answer(response: Response<Incoming>, name: &str, limit: usize) -> Ended {
+async fn read_peer_response(
+    response: Response<Incoming>,
+    name: &str,
+    limit: usize,
+) -> AttemptResult {
     let id = response.headers().get(problem::HEADER_REQUEST);
     if id.is_none_or(|id| id.as_bytes() != name.as_bytes()) {
         return (AttemptEnd::Broken, None);
@@ -300,8 +308,8 @@
     let status = response.status();
     match outcome {
         b"not-run" if status.is_server_error() => (AttemptEnd::Refused, None),
-        b"done" | b"not-run" | b"in-progress" => match whole(response, limit).await {
-            Some(answer) => (AttemptEnd::Done, Some(answer)),
+        b"done" | b"not-run" | b"in-progress" => match read_complete(response, limit).await {
+            Some(response) => (AttemptEnd::Done, Some(response)),
             None => (AttemptEnd::Broken, None),
         },
         _ => (AttemptEnd::Broken, None),
@@ -310,7 +318,7 @@
 
 /// Reads a body to its announced end; `None` when it is cut short, too large, or when nothing
 /// says where it ends.
-async fn whole(response: Response<Incoming>, limit: usize) -> Option<Answer> {
+async fn read_complete(response: Response<Incoming>, limit: usize) -> Option<TaskResponse> {
     let status = response.status().as_u16();
     let kind = response.headers().get(CONTENT_TYPE).cloned();
     let chunked = response.headers().contains_key("transfer-encoding");
@@ -319,5 +327,5 @@
         return None;
     }
     let body = Limited::new(body, limit).collect().await.ok()?.to_bytes();
-    Some(Answer { status, kind, body })
+    Some(TaskResponse { status, kind, body })
 }
