--- a/crates/havenladder/benches/claims.rs
+++ b/crates/havenladder/benches/claims.rs
@@ -1,5 +1,5 @@
-//! Claims a second through a log that takes 300 appends a second: requests that must not be
-//! repeated, sent through two entries.
+//! Measures how many claims per second two entries record through a log that accepts 300 appends
+//! per second. The requests are ones that must not run twice.
 
 #[path = "../tests/site/mod.rs"]
 mod site;
@@ -20,10 +20,10 @@
 const SETTINGS: &str = r#"{ "place": { "unavailable": "50%", "pools": { "pool": { "vms": 24,
   "services": { "order": { "repeatable": false, "timeout_ms": 20000 } } } } } }"#;
 
-/// Callers that each send one order after the other.
+/// Number of concurrent callers; each sends its orders one after another.
 const CALLERS: usize = 700;
 
-/// Time of the run.
+/// Duration of the measurement.
 const RUN_TIME: Duration = Duration::from_secs(6);
 
 fn main() {
--- a/crates/havenladder/benches/control.rs
+++ b/crates/havenladder/benches/control.rs
@@ -1,5 +1,5 @@
-//! Control of an entry at rest, at the documented pace: processor time, bytes and memory against
-//! the number of VMs in its hall, and against the number of entries.
+//! Measures the control overhead of an idle entry at the default intervals: processor time, traffic
+//! and memory as functions of the number of VMs in its data centre and of the number of entries.
 
 #[path = "../tests/site/mod.rs"]
 mod site;
@@ -7,7 +7,7 @@
 use site::{Pace, Site, plan};
 use std::{thread, time::Duration};
 
-/// Time of each measurement.
+/// Duration of each measurement.
 const RUN_TIME: Duration = Duration::from_secs(6);
 
 fn main() {
@@ -46,7 +46,7 @@
     );
 }
 
-/// Bytes between the first entry and its peers, both ways.
+/// Returns the bytes exchanged between the first entry and its peers in both directions.
 fn peer_bytes(site: &Site) -> u64 {
     let links = site.peer_links.iter();
     let own = links.filter(|((from, to), _)| *from == 0 || *to == 0);
--- a/crates/havenladder/benches/in_force.rs
+++ b/crates/havenladder/benches/in_force.rs
@@ -1,5 +1,5 @@
-//! How long accepted settings take until they are in force on every live entry, while entries are
-//! replaced: p50, p99 and the longest of a few hundred changes.
+//! Measures how long accepted settings take to be in force on every live entry while entries are
+//! replaced: p50, p99 and maximum of a few hundred changes.
 
 #[path = "../tests/site/mod.rs"]
 mod site;
@@ -8,10 +8,10 @@
 use site::{Pace, Site, plan};
 use std::{fs, time::Instant};
 
-/// Changes that are published.
+/// Number of changes that are published.
 const CHANGES: u32 = 300;
 
-/// Changes after which an entry is replaced.
+/// Number of changes after which one entry is replaced.
 const CHANGES_PER_REPLACEMENT: u32 = 25;
 
 fn settings(change: u32) -> String {
@@ -40,10 +40,10 @@
         assert!(applied.status.success(), "{applied:?}");
         took.saturating_record(started.elapsed().as_millis() as u64);
     }
-    // A file that stays behind does no harm.
+    // Failing to remove the temporary file does not affect the result.
     let _ = fs::remove_file(&file);
     println!(
-        "{CHANGES} changes, 6 entries, {} replaced: in force after p50 {} ms, p99 {} ms, at most {} ms",
+        "{CHANGES} changes, 6 entries, {} replaced: in force after p50 {} ms, p99 {} ms, maximum {} ms",
         CHANGES / CHANGES_PER_REPLACEMENT,
         took.value_at_quantile(0.5),
         took.value_at_quantile(0.99),
--- a/crates/havenladder/benches/load.rs
+++ b/crates/havenladder/benches/load.rs
@@ -1,5 +1,5 @@
-//! Goodput at 0.5, 1, 2 and 4 times capacity, beside a first-in-first-out baseline with random
-//! workers, in one run.
+//! Compares goodput at 0.5, 1, 2 and 4 times capacity with a baseline that queues first in, first
+//! out and picks workers at random, in one run.
 
 #[path = "../tests/site/mod.rs"]
 mod site;
@@ -8,10 +8,11 @@
 use site::{Site, plan};
 use std::time::Duration;
 
-/// Time of each run.
+/// Duration of each run.
 const RUN_TIME: Duration = Duration::from_secs(6);
 
-/// A refusal that takes longer was given up on while it waited, in microseconds.
+/// Longest time in microseconds that counts as an immediate refusal. A slower one means that the
+/// request had been queued before it was refused.
 const MAX_IMMEDIATE_US: u64 = 10_000;
 
 const SETTINGS: &str = r#"{ "place": { "unavailable": "50%", "pools": { "pool": { "vms": 4,
@@ -19,8 +20,8 @@
     "preview": { "class": "preview" }, "layout": {}, "proof": { "class": "large" }
   } } } } }"#;
 
-/// Three classes on the same workers; runs differ tenfold from one another and nothing declares
-/// them.
+/// Returns three classes of requests that share the same workers. Within a class, run times vary by
+/// a factor of ten, and no request declares its run time.
 fn kinds(times: f64, slots: f64) -> Vec<Kind> {
     let kind = |service: &str, low: f64, share: f64, patience: u64| {
         let mut kind = Kind {
--- a/crates/havenladder/benches/path.rs
+++ b/crates/havenladder/benches/path.rs
@@ -1,5 +1,6 @@
-//! The cost of the path: requests through an entry against requests straight to the same worker,
-//! in one run; requests a second on a core; memory at rest and with many requests in flight.
+//! Measures the overhead of an entry in one run: latency through an entry against latency straight
+//! to the same worker, requests per second of processor time, and memory when idle and with many
+//! requests in flight.
 
 #[path = "../tests/site/mod.rs"]
 mod site;
@@ -19,16 +20,16 @@
 const SETTINGS: &str = r#"{ "place": { "unavailable": "50%", "pools": { "pool": { "vms": 16,
   "services": { "service": { "timeout_ms": 60000, "queue_limit": 4000 } } } } } }"#;
 
-/// Requests of each latency run; the two ways take turns.
+/// Requests of the latency run for each of the two ways, which alternate.
 const LATENCY_REQUESTS: usize = 4_000;
 
-/// Time of the throughput run.
+/// Duration of the throughput run.
 const RUN_TIME: Duration = Duration::from_secs(4);
 
-/// Requests in flight in the throughput run.
+/// Number of concurrent callers in the throughput run.
 const CALLERS: usize = 48;
 
-/// Requests in flight in the memory run.
+/// Number of requests in flight in the memory run.
 const IN_FLIGHT: usize = 1_000;
 
 type Http = Client<HttpConnector, Full<Bytes>>;
