--- a/crates/havenladder/src/cli.rs
+++ b/crates/havenladder/src/cli.rs
@@ -1,20 +1,20 @@
-//! The command line.
+//! Arguments and subcommands of the command line.
 
 use clap::{Parser, Subcommand};
 use clap_complete::Shell;
 use std::path::PathBuf;
 
-/// Environment variable with the path of the process's file.
+/// Environment variable with the path of this process's settings file.
 const CONFIG_VARIABLE: &str = "HAVENLADDER_CONFIG";
 
 /// Fleet capacity and maintenance manager for services on borrowed VMs.
 #[derive(Parser)]
 #[command(version, about, after_help = EXIT_CODES)]
 pub struct Args {
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
-    /// File of this process's settings; commands read an entry's address and key from it.
+    /// Settings file of this process; commands read the entry's address and key from it.
     #[arg(long, global = true, env = CONFIG_VARIABLE, default_value = "havenladder.jsonc")]
     pub config: PathBuf,
     /// Print JSON instead of tables.
@@ -24,19 +24,19 @@
 
 const EXIT_CODES: &str = "\
 Exit codes: 0 done; 1 refused or not found; 2 wrong command line; 3 findings in a file; \
-4 the entry does not answer; 5 not in force everywhere in time.";
+4 the entry does not answer; 5 not in force on every live entry in time.";
 
-/// The commands.
+/// Top-level commands.
 #[derive(Subcommand)]
 pub enum Command {
     /// Run an entry.
     Serve,
-    /// Run an entry on the users' platform, by the settings file that the platform writes.
+    /// Run an entry on the users' platform, with the settings file that the platform writes.
     Entry,
     /// Check, publish and show settings.
     #[command(subcommand)]
     Settings(SettingsCommand),
-    /// Start and steer maintenance waves.
+    /// Start and control maintenance waves.
     #[command(subcommand)]
     Wave(WaveCommand),
     /// Show VMs and take them out of service.
@@ -45,31 +45,32 @@
     /// Show pools.
     #[command(subcommand)]
     Pool(PoolCommand),
-    /// Tell why a VM, level or request is as it is.
+    /// Explain the state of a VM, level or request.
     Explain {
-        /// A VM, a level such as place/pool/service, or a request's id.
+        /// ID of a VM, a level such as place/pool/service, or the ID of a request.
         subject: String,
     },
-    /// Show what pools had and needed over a time, from the logs of entries on the users' platform.
+    /// Show the capacity and demand of pools over time, from the logs of entries on the users'
+    /// platform.
     Day {
-        /// The logs, of one entry or of several in one file.
+        /// Log file of one entry, or of several entries combined.
         file: PathBuf,
     },
-    /// Report how fast services use up what their objectives leave.
+    /// Report how fast services use up their error budgets.
     Burn,
-    /// Show the entries and how far each has applied the log.
+    /// Show the entries and how far each one has applied the log.
     Entries,
-    /// Print what somebody needs who is to find a fault; keys are left out.
+    /// Print a report for diagnosing a fault; keys are left out.
     BugReport,
     /// Print the settings in force for this process; keys are left out.
     PrintConfig,
-    /// Time each kind of question to the entry.
+    /// Time each kind of request to the entry.
     Timings,
-    /// Print a fresh key for a request that must not be repeated.
+    /// Print a new key for a request that must not run twice.
     Key,
-    /// Print completions for a shell.
+    /// Print a completion script for a shell.
     Completions {
-        /// The shell.
+        /// Name of the shell.
         shell: Shell,
     },
 }
@@ -77,22 +78,22 @@
 /// Commands about settings.
 #[derive(Subcommand)]
 pub enum SettingsCommand {
-    /// Check a file and print every finding.
+    /// Check a settings file and print every finding.
     Check {
-        /// The file.
+        /// Settings file.
         file: PathBuf,
     },
-    /// Publish a file.
+    /// Publish a settings file.
     Apply {
-        /// The file.
+        /// Settings file.
         file: PathBuf,
-        /// Wait until it is in force on every live entry.
+        /// Wait until the settings are in force on every live entry.
         #[arg(long)]
         wait: bool,
     },
     /// Print the settings in force.
     Show,
-    /// Print who changed which path last.
+    /// Print who last changed each path.
     History,
 }
 
@@ -101,27 +102,27 @@
 pub enum WaveCommand {
     /// Reboot every VM of a place or pool once, as the budgets allow.
     Start {
-        /// The place or pool.
+        /// Place or pool.
         scope: String,
         /// Show progress until the wave has ended.
         #[arg(long)]
         wait: bool,
     },
-    /// Show how far waves have come.
+    /// Show the progress of all waves.
     Status,
-    /// Grant nothing new.
+    /// Pause a wave: grant no further VMs.
     Pause {
-        /// The wave.
+        /// ID of the wave.
         wave: u64,
     },
-    /// Go on.
+    /// Resume a paused wave.
     Resume {
-        /// The wave.
+        /// ID of the wave.
         wave: u64,
     },
-    /// End a wave; reboots that have begun are finished.
+    /// Cancel a wave; reboots that have begun are finished.
     Cancel {
-        /// The wave.
+        /// ID of the wave.
         wave: u64,
     },
 }
@@ -133,29 +134,29 @@
     List,
     /// Take a VM out of service until it is undrained.
     Drain {
-        /// The VM.
+        /// ID of the VM.
         vm: String,
     },
     /// Put a VM back into service.
     Undrain {
-        /// The VM.
+        /// ID of the VM.
         vm: String,
     },
-    /// Drain a VM and hand it back.
+    /// Drain a VM and release it to the platform.
     Release {
-        /// The VM.
+        /// ID of the VM.
         vm: String,
     },
     /// Drain a VM and move it to another pool.
     Move {
-        /// The VM.
+        /// ID of the VM.
         vm: String,
-        /// The pool, as place/pool.
+        /// Target pool, as place/pool.
         pool: String,
     },
     /// Remove a VM that is gone and will not be replaced.
     Forget {
-        /// The VM.
+        /// ID of the VM.
         vm: String,
     },
 }
--- a/crates/havenladder/src/client.rs
+++ b/crates/havenladder/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to peers and operators' listeners, by `ureq`.
+//! HTTP clients for the listeners of peers and operators, based on `ureq`.
 
 use fleet::{Fleet, decode_snapshot};
 use protocol::{BurnReply, HEADER_KEY, LogRecord, Offset, Slice, SnapshotReply, Status, decode};
@@ -6,26 +6,26 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// Time that a call to a peer may take, beside what it asks the peer to wait.
+/// Time limit of a call to a peer, in addition to the time for which the peer may hold the request.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time in which a connection must stand.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time for which a peer may hold a request for records.
+/// Maximum time for which a peer may hold a request for log records before it responds.
 pub const MAX_RELAY_WAIT: Duration = Duration::from_millis(500);
 
-/// The largest answer that is read.
+/// Largest response body that is read.
 const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Calls to peers.
+/// HTTP client for calls to peers.
 pub struct PeerClient {
     agent: Agent,
     key: String,
 }
 
 impl PeerClient {
-    /// Makes a client that sends `key`.
+    /// Creates a client that authenticates with `key`.
     pub fn new(key: &str) -> Self {
         let config = Agent::config_builder()
             .timeout_connect(Some(CONNECT_TIMEOUT))
@@ -37,22 +37,22 @@
         }
     }
 
-    /// Asks a peer for its status.
+    /// Requests the status of a peer.
     pub fn status(&self, addr: &str) -> Option<Status> {
         self.get(addr, "/status")
     }
 
-    /// Asks a peer for records from `from` on.
+    /// Requests the log records from offset `from` on.
     pub fn relay(&self, addr: &str, from: Offset) -> Option<Slice> {
         self.get(addr, &format!("/relay?from={from}"))
     }
 
-    /// Asks a peer for its burn counts.
+    /// Requests the burn counts of a peer.
     pub fn burn(&self, addr: &str) -> Option<BurnReply> {
         self.get(addr, "/burn")
     }
 
-    /// Asks a peer for its state, and applies the records that it sends along.
+    /// Requests a snapshot of a peer's state and applies the records that are sent with it.
     pub fn snapshot(&self, addr: &str) -> Option<Fleet> {
         let reply: SnapshotReply = self.get(addr, "/snapshot")?;
         let mut fleet = decode_snapshot(&reply.bytes).ok()?;
@@ -77,26 +77,26 @@
     }
 }
 
-/// Why an operator's call failed.
+/// Reason why an operator's call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// The entry could not be reached, or its answer was lost.
+    /// The entry could not be reached, or its response was lost.
     #[error("{addr} does not answer: {cause}; is the entry running, and is --config its file?")]
     Unreachable {
-        /// Its address.
+        /// Address of the entry.
         addr: String,
-        /// What went wrong.
+        /// Error of the HTTP client.
         cause: String,
     },
-    /// The entry refused.
+    /// The entry refused the request.
     #[error("{0}")]
     Refused(String),
 }
 
-/// Time that an operator's call may take.
+/// Time limit of an operator's call.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Calls to an entry's listener for operators.
+/// HTTP client for the operators' listener of an entry.
 pub struct OperatorClient {
     agent: Agent,
     addr: String,
@@ -104,7 +104,7 @@
 }
 
 impl OperatorClient {
-    /// Makes a client for the entry at `addr`.
+    /// Creates a client for the entry at `addr`.
     pub fn new(addr: String, key: String) -> Self {
         let config = Agent::config_builder()
             .timeout_connect(Some(CONNECT_TIMEOUT))
@@ -118,11 +118,11 @@
         }
     }
 
-    /// Asks for something.
+    /// Sends a GET request and decodes the response.
     ///
     /// # Errors
     ///
-    /// Fails when the entry cannot be reached or refuses.
+    /// Returns an error when the entry cannot be reached or refuses the request.
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, OperatorError> {
         let call = self
             .agent
@@ -132,11 +132,11 @@
         self.read_response(call)
     }
 
-    /// Asks to change something.
+    /// Sends a POST request with a JSON body and decodes the response.
     ///
     /// # Errors
     ///
-    /// Fails when the entry cannot be reached or refuses.
+    /// Returns an error when the entry cannot be reached or refuses the request.
     pub fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -171,7 +171,7 @@
     }
 }
 
-/// Returns what a problem says, or the whole text if it is none.
+/// Returns the `detail` field of a problem document, or the whole body if it is not one.
 fn problem_detail(body: &[u8]) -> String {
     let value: Option<serde_json::Value> = serde_json::from_slice(body).ok();
     let detail = value.as_ref().and_then(|value| value["detail"].as_str());
--- a/crates/havenladder/src/commands/bug_report.rs
+++ b/crates/havenladder/src/commands/bug_report.rs
@@ -1,13 +1,13 @@
-//! `bug-report`: what somebody needs who is to find a fault, without keys.
+//! `bug-report`: prints the settings and state that are needed to diagnose a fault, without keys.
 
 use super::{CommandError, Setup};
 use crate::configs;
 use serde_json::{Value, json};
 
-/// Questions whose answers go into the report.
+/// Paths of the entry whose responses go into the report.
 const PATHS: [&str; 3] = ["/members", "/state", "/burn"];
 
-/// Prints the report; what the entry does not answer is said so.
+/// Prints the report. A path that fails is reported with its error in place of the response.
 pub fn bug_report(setup: &Setup<'_>) -> Result<(), CommandError> {
     let config = configs::load(setup.config)?;
     let client = setup.client()?;
--- a/crates/havenladder/src/commands/burn.rs
+++ b/crates/havenladder/src/commands/burn.rs
@@ -1,13 +1,13 @@
-//! `burn`: the report on how fast services use up what their objectives leave.
+//! `burn`: reports how fast services use up their error budgets.
 
 use super::{CommandError, Setup, table};
 use crate::operate::{BurnReport, BurnRow};
 use std::collections::BTreeMap;
 
-/// Characters of the bar that shows what is left.
+/// Width in characters of the bar that shows the remaining error budget.
 const BAR_WIDTH: usize = 20;
 
-/// Prints the report.
+/// Fetches the burn report from the entry and prints it.
 pub fn burn(setup: &Setup<'_>) -> Result<(), CommandError> {
     let report: BurnReport = setup.client()?.get("/burn")?;
     setup.print(&report, show);
--- a/crates/havenladder/src/commands/day.rs
+++ b/crates/havenladder/src/commands/day.rs
@@ -1,22 +1,25 @@
-//! `day`: what pools had and needed over a time, and what stopped decisions, from the logs of entries.
+//! `day`: shows the capacity and demand of pools over time, and what blocked decisions, from the
+//! logs of entries.
 //!
-//! Reads what entries wrote to standard output, of one entry or of all in one file. Text before a line's JSON
-//! is passed over, so that logs collected with a prefix can be read as they are.
+//! Reads the standard output of one entry, or of several entries in one file. Any text before the
+//! JSON object of a line is skipped, so logs that were collected with a prefix can be read
+//! unchanged.
 
 use super::{CommandError, Setup, table};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, fs, path::Path};
 
-/// Thousandths of a core in a core.
+/// Thousandths of a core in one core.
 const MILLICORES_PER_CORE: f64 = 1_000.0;
 
-/// From how late an owner's rounds on it counts as full, in ms: three rounds and the append between them.
+/// Duration or delay of an owner's rounds, in ms, from which the owner counts as overloaded. It
+/// covers three rounds and the append between them.
 const OVERLOAD_MS: u64 = 50;
 
-/// How much of a log's time is kept, in characters: up to the second.
+/// Number of characters of a timestamp that are kept, which cuts it off after the seconds.
 const SECOND_LENGTH: usize = "2026-12-02T18:00:00".len();
 
-/// A line of a log; what a kind of line does not have is left out.
+/// One line of a log; fields that this kind of line lacks keep their defaults.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Line {
@@ -35,34 +38,36 @@
     latest: u64,
 }
 
-/// What one pool had and needed when it was last logged in a second.
+/// State of one pool in its last log line of a second.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 struct Row {
-    /// The second.
+    /// Timestamp, to the second.
     time: String,
-    /// The pool.
+    /// Name of the pool.
     pool: String,
-    /// Its VMs, and how many of them were idle.
+    /// Number of its VMs, and of those that were idle.
     vms: u64,
     idle: u64,
-    /// Cores that runs took, at their highest of late.
+    /// Recent peak of the cores used by runs.
     busy: f64,
-    /// Cores that waiting tasks asked for, and the part that could not be in time any more.
+    /// Cores requested by waiting tasks, and the part of them that could no longer meet its
+    /// deadline.
     waiting: f64,
     late: f64,
 }
 
-/// Changes of what entries reach in a second: hundreds of entries change at once.
+/// Number of entries whose connectivity changed in one second. They are counted, not listed, since
+/// hundreds of entries can change at once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 struct CutOffs {
-    /// How many entries were cut off.
+    /// Number of entries that became cut off.
     begun: u64,
-    /// How many were no longer.
+    /// Number of entries that were reconnected.
     ended: u64,
 }
 
 impl CutOffs {
-    /// Notes the change of one entry.
+    /// Counts the change of one entry.
     fn count(&mut self, cut_off: bool) {
         if cut_off {
             self.begun += 1;
@@ -72,40 +77,40 @@
     }
 }
 
-/// How full the owner was in a second.
+/// Load of the owner in one second.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 struct Rounds {
-    /// How many rounds of decisions it made.
+    /// Number of decision rounds.
     rounds: u64,
-    /// The longest that one took, in ms.
+    /// Duration of the longest round, in ms.
     longest: u64,
-    /// By how much it woke too late between two of them, at the most, in ms.
+    /// Largest delay of a wake-up between two rounds, in ms.
     latest: u64,
 }
 
 impl Rounds {
-    /// Whether the owner had more to do than it could.
+    /// Returns whether the owner had more work than it could do in time.
     fn is_overloaded(&self) -> bool {
         self.longest.max(self.latest) >= OVERLOAD_MS
     }
 }
 
-/// What is worth knowing of the logs.
+/// Summary of the logs.
 #[derive(Debug, Default, Serialize)]
 struct Day {
-    /// The pools, second by second.
+    /// State of the pools, one row per pool and second.
     pools: Vec<Row>,
-    /// How full the owner was, by second.
+    /// Load of the owner by second.
     owner: BTreeMap<String, Rounds>,
     /// Changes of owner.
     events: Vec<String>,
-    /// How many entries were cut off, or were no longer, by second.
+    /// Entries that became cut off or were reconnected, by second.
     cuts: BTreeMap<String, CutOffs>,
-    /// Requests that were given up or refused, by second.
+    /// Number of requests that failed or were refused, by second.
     refusals: BTreeMap<String, u64>,
 }
 
-/// Shows what the logs of entries tell of a time.
+/// Reads a log file and prints its summary.
 pub fn day(setup: &Setup<'_>, file: &Path) -> Result<(), CommandError> {
     let text = fs::read_to_string(file)
         .map_err(|error| CommandError::Io(file.display().to_string(), error))?;
@@ -114,7 +119,7 @@
     Ok(())
 }
 
-/// Reads logs; lines that are none are passed over.
+/// Summarizes log lines; lines without a JSON object are skipped.
 fn read(text: &str) -> Day {
     let mut day = Day::default();
     let mut pools = BTreeMap::new();
@@ -149,7 +154,7 @@
     day
 }
 
-/// Reads a line from its first brace on.
+/// Parses the JSON object that begins at the first brace of a line.
 fn parse(line: &str) -> Option<Line> {
     serde_json::from_str(&line[line.find('{')?..]).ok()
 }
@@ -204,11 +209,11 @@
     }
     for (time, cuts) in &day.cuts {
         println!(
-            "{time} entries cut off: {}, no longer: {}",
+            "{time} entries cut off: {}, reconnected: {}",
             cuts.begun, cuts.ended
         );
     }
     for (time, count) in &day.refusals {
-        println!("{time} refused or given up: {count}");
+        println!("{time} refused or failed: {count}");
     }
 }
--- a/crates/havenladder/src/commands/entries.rs
+++ b/crates/havenladder/src/commands/entries.rs
@@ -1,4 +1,4 @@
-//! `entries`: shows the entries and how far each has applied the log.
+//! `entries`: shows the entries and how far each one has applied the log.
 
 use super::{CommandError, Setup, table};
 use crate::operate::MemberReply;
--- a/crates/havenladder/src/commands/explain.rs
+++ b/crates/havenladder/src/commands/explain.rs
@@ -1,9 +1,9 @@
-//! `explain`: tells why a VM, level or request is as it is.
+//! `explain`: explains the state of a VM, level or request.
 
 use super::{CommandError, Setup, table};
 use crate::operate::Explanation;
 
-/// Explains one subject.
+/// Prints the entry's explanation of `subject`.
 pub fn explain(setup: &Setup<'_>, subject: &str) -> Result<(), CommandError> {
     let path = format!("/explain?subject={subject}");
     let explanation: Explanation = setup.client()?.get(&path)?;
--- a/crates/havenladder/src/commands/mod.rs
+++ b/crates/havenladder/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: one file each, one plain `match` that dispatches.
+//! The commands of the command line, one file each, dispatched by one `match`.
 
 mod bug_report;
 mod burn;
@@ -25,33 +25,33 @@
 use serde::Serialize;
 use std::{io, path::Path, process::ExitCode};
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The process's own file cannot be used.
+    /// The settings file of this process cannot be used.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// A file of settings has findings.
+    /// A settings file has findings.
     #[error("{0}")]
     Findings(#[from] Findings),
-    /// A file cannot be read, or an address cannot be used.
+    /// A file cannot be read, or an address cannot be bound.
     #[error("{0}: {1}")]
     Io(String, io::Error),
-    /// The entry does not answer or refuses.
+    /// The entry does not respond or refuses the request.
     #[error("{0}")]
     Operator(#[from] OperatorError),
-    /// The change had no effect.
+    /// The change was rejected and had no effect.
     #[error("nothing was changed: {0}")]
     Rejected(Reason),
-    /// The change is not in force everywhere in time.
+    /// The change was accepted but is not yet in force on every live entry.
     #[error("accepted at offset {offset}, but not yet in force on: {behind}")]
     NotInForce {
-        /// The offset.
+        /// Offset of the change in the log.
         offset: u64,
-        /// The entries.
+        /// Names of the entries that have not applied the change.
         behind: String,
     },
-    /// A part of the program cannot be started.
+    /// A part of the process cannot be started.
     #[error("{0}")]
     Start(String),
 }
@@ -68,27 +68,27 @@
     }
 }
 
-/// What a command is run with.
+/// Options that all commands share.
 pub struct Setup<'a> {
-    /// The process's own file.
+    /// Path of this process's settings file.
     pub config: &'a Path,
-    /// Whether to print JSON.
+    /// Whether to print JSON instead of tables.
     pub json: bool,
 }
 
 impl Setup<'_> {
-    /// Makes a client for the entry that the file names.
+    /// Creates a client for the entry that is named in the settings file.
     ///
     /// # Errors
     ///
-    /// Fails when the file has findings.
+    /// Returns an error when the settings file cannot be read or has findings.
     pub fn client(&self) -> Result<OperatorClient, CommandError> {
         let config = configs::load(self.config)?;
         let addr = config.operators.listen.to_string();
         Ok(OperatorClient::new(addr, config.operators.key))
     }
 
-    /// Prints a value as JSON, or hands it to `show`.
+    /// Prints `value` as JSON if JSON was requested, and passes it to `show` otherwise.
     pub fn print<T: Serialize>(&self, value: &T, show: impl FnOnce(&T)) {
         if !self.json {
             return show(value);
@@ -120,7 +120,7 @@
 fn dispatch(setup: &Setup<'_>, command: Command) -> Result<(), CommandError> {
     match command {
         Command::Serve => serve::serve(setup),
-        // It reads the platform's settings, not ours, and has been dispatched by then.
+        // `run` has dispatched this command already, since it reads the platform's settings file.
         Command::Entry => Ok(()),
         Command::Settings(command) => settings::settings(setup, command),
         Command::Wave(command) => wave::wave(setup, command),
@@ -157,7 +157,7 @@
     Ok(())
 }
 
-/// Gives an order and tells what became of it.
+/// Sends an operator's order and returns its receipt, or an error if the order was rejected.
 fn send_order(setup: &Setup<'_>, order: &Order) -> Result<Receipt, CommandError> {
     let receipt: Receipt = setup.client()?.post("/orders", order)?;
     match receipt.outcome {
--- a/crates/havenladder/src/commands/pool.rs
+++ b/crates/havenladder/src/commands/pool.rs
@@ -1,11 +1,11 @@
-//! `pool list`: pools with their sizes, budgets and how much of them is used.
+//! `pool list`: lists pools with their sizes, budgets and unavailable slots.
 
 use super::{CommandError, Setup, table};
 use crate::operate::StateReply;
 use serde::Serialize;
 use settings::Service;
 
-/// One line of the list.
+/// One row of the list.
 #[derive(Serialize)]
 struct Row {
     pool: String,
--- a/crates/havenladder/src/commands/serve.rs
+++ b/crates/havenladder/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: runs an entry until it is told to stop.
+//! `serve`: runs an entry until it is signalled to stop.
 
 use super::{CommandError, Setup};
 use crate::{
@@ -38,23 +38,23 @@
 use tiny_http::Server;
 use tokio::sync::mpsc;
 
-/// Exit code of a process in which a duty panicked.
+/// Exit code of a process in which a thread panicked.
 const PANIC_EXIT_CODE: i32 = 70;
 
-/// The receiving ends of the receivers.
+/// Receiving ends of the channels between threads.
 struct Receivers {
     placement: Receiver<Message>,
     claims: Vec<Receiver<ClaimMessage>>,
 }
 
-/// The listeners; all are open before anything is served.
+/// Listening sockets of the entry. All of them are open before any request is served.
 struct Listeners {
     editors: TcpListener,
     peers: Arc<Server>,
     operators: Arc<Server>,
 }
 
-/// Runs an entry.
+/// Runs an entry until it is signalled to stop.
 pub fn serve(setup: &Setup<'_>) -> Result<(), CommandError> {
     let config = configs::load(setup.config)?;
     logs::start(&config.logs);
@@ -71,8 +71,8 @@
     stop(&ctx).map_err(|error| CommandError::Start(error.to_string()))
 }
 
-/// Ends the process when a duty panics: one that is half there is worse than one that is
-/// replaced.
+/// Exits the process when a thread panics, since a process that runs without one of its threads is
+/// worse than one that is replaced.
 fn exit_on_panic() {
     let report = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
--- a/crates/havenladder/src/commands/settings.rs
+++ b/crates/havenladder/src/commands/settings.rs
@@ -1,4 +1,4 @@
-//! `settings`: checks, publishes and shows the tree.
+//! `settings`: checks, publishes and shows the settings tree.
 
 use super::{CommandError, Setup, send_order, table};
 use crate::{
@@ -15,13 +15,13 @@
     time::{Duration, Instant},
 };
 
-/// Time in which accepted settings must be in force on every live entry.
+/// Time limit for accepted settings to be in force on every live entry.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks at how far the entries are.
+/// Interval between two polls of the entries' offsets.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs one of the commands about settings.
+/// Runs a command about settings.
 pub fn settings(setup: &Setup<'_>, command: SettingsCommand) -> Result<(), CommandError> {
     match command {
         SettingsCommand::Check { file } => check(&file),
@@ -72,7 +72,8 @@
     Ok(())
 }
 
-/// The changes towards `wanted`, each with the version that it is based on.
+/// Returns the changes that lead from the settings in force to `wanted`, each with the version that
+/// it is based on.
 fn based_on(state: &StateReply, wanted: &Tree) -> Vec<PathChange> {
     diff(&state.tree, wanted)
         .into_iter()
--- a/crates/havenladder/src/commands/table.rs
+++ b/crates/havenladder/src/commands/table.rs
@@ -1,9 +1,9 @@
-//! Tables for people.
+//! Formatting of tables for the terminal.
 
 use comfy_table::{ContentArrangement, Table, presets::NOTHING};
 use std::time::SystemTime;
 
-/// Makes a table with these headings.
+/// Creates a table with the given headings.
 pub fn table(headings: &[&str]) -> Table {
     let mut table = Table::new();
     table
@@ -13,7 +13,7 @@
     table
 }
 
-/// Prints a table, or a line that says there is nothing.
+/// Prints a table, or `nothing` if the table has no rows.
 pub fn print(table: &Table, nothing: &str) {
     if table.row_count() == 0 {
         println!("{nothing}");
@@ -22,7 +22,7 @@
     }
 }
 
-/// Writes how long ago a time was, or how far ahead it is.
+/// Formats a time as its distance from now, in seconds.
 pub fn distance(time: SystemTime) -> String {
     match time.elapsed() {
         Ok(past) => format!("{} s ago", past.as_secs()),
--- a/crates/havenladder/src/commands/timings.rs
+++ b/crates/havenladder/src/commands/timings.rs
@@ -1,16 +1,16 @@
-//! `timings`: how long the entry takes for each kind of path.
+//! `timings`: measures how long the entry takes to respond on each path.
 
 use super::{CommandError, Setup, table};
 use serde::Serialize;
 use std::time::Instant;
 
-/// Questions that are timed.
+/// Paths that are timed.
 const PATHS: [&str; 4] = ["/members", "/state", "/burn", "/config"];
 
-/// How often each is asked; the fastest counts, since the others met something else.
+/// Number of requests per path. Only the fastest counts, since the others include unrelated delays.
 const SAMPLES: usize = 5;
 
-/// One line of the table.
+/// One row of the table.
 #[derive(Serialize)]
 struct Row {
     #[serde(rename = "question")]
@@ -18,7 +18,7 @@
     fastest_ms: f64,
 }
 
-/// Times the questions.
+/// Times the requests and prints the fastest of each path.
 pub fn timings(setup: &Setup<'_>) -> Result<(), CommandError> {
     let client = setup.client()?;
     let mut rows = Vec::new();
--- a/crates/havenladder/src/commands/vm.rs
+++ b/crates/havenladder/src/commands/vm.rs
@@ -1,4 +1,4 @@
-//! `vm`: lists VMs and takes them out of service or puts them back.
+//! `vm`: lists VMs, takes them out of service and puts them back.
 
 use super::{CommandError, Setup, send_order, table};
 use crate::{
@@ -7,7 +7,7 @@
 };
 use fleet::{Errand, Vm};
 
-/// Runs one of the commands about VMs.
+/// Runs a command about VMs.
 pub fn vm(setup: &Setup<'_>, command: VmCommand) -> Result<(), CommandError> {
     match command {
         VmCommand::List => list(setup),
--- a/crates/havenladder/src/commands/wave.rs
+++ b/crates/havenladder/src/commands/wave.rs
@@ -1,4 +1,4 @@
-//! `wave`: starts and steers maintenance waves and shows how far they have come.
+//! `wave`: starts and controls maintenance waves and shows their progress.
 
 use super::{CommandError, Setup, send_order, table};
 use crate::{
@@ -12,10 +12,10 @@
     time::Duration,
 };
 
-/// Time between two looks at a wave that is waited for.
+/// Interval between two polls of a wave that is waited for.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Runs one of the commands about waves.
+/// Runs a command about waves.
 pub fn wave(setup: &Setup<'_>, command: WaveCommand) -> Result<(), CommandError> {
     match command {
         WaveCommand::Start { scope, wait } => start(setup, scope, wait),
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// Shows progress until the wave has ended; quiet when nobody watches.
+/// Waits until the wave has ended, and shows its progress if standard error is a terminal.
 fn show_progress(setup: &Setup<'_>, id: WaveId) -> Result<(), CommandError> {
     let client = setup.client()?;
     loop {
