--- a/crates/havenladder/src/configs/claims.rs
+++ b/crates/havenladder/src/configs/claims.rs
@@ -1,14 +1,14 @@
-//! Settings of claims on keys.
+//! Settings of claims on idempotency keys.
 
 use super::millis;
 use serde::Serialize;
 use settings::Fields;
 use std::time::Duration;
 
-/// Claims on keys.
+/// Settings of claims on idempotency keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClaimsConfig {
-    /// Time in which a claim must be decided, or its request is refused.
+    /// Time limit for deciding a claim; after it the request is refused.
     pub patience: Duration,
 }
 
--- a/crates/havenladder/src/configs/editors.rs
+++ b/crates/havenladder/src/configs/editors.rs
@@ -1,20 +1,20 @@
-//! Settings of the listener for editors.
+//! Settings of the listener for callers.
 
 use super::{address, count, millis};
 use serde::Serialize;
 use settings::Fields;
 use std::{net::SocketAddr, time::Duration};
 
-/// The listener for editors, clerks and other callers.
+/// Settings of the listener for callers.
 #[derive(Clone, Debug, Serialize)]
 pub struct EditorsConfig {
-    /// Where it listens.
+    /// Address of the listener.
     pub listen: SocketAddr,
-    /// Connections that are open at once; further ones wait.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Time in which the headers of a request must be here.
+    /// Time limit for receiving the headers of a request.
     pub header_time: Duration,
-    /// Time in which the body of a request must be here.
+    /// Time limit for receiving the body of a request.
     pub body_time: Duration,
 }
 
--- a/crates/havenladder/src/configs/entry.rs
+++ b/crates/havenladder/src/configs/entry.rs
@@ -1,29 +1,29 @@
-//! Who the process is.
+//! Settings that identify the process.
 
 use protocol::{EntryId, HallId};
 use serde::Serialize;
 use settings::Fields;
 
-/// Names of the process and of its hall; neither has a default.
+/// Names of the entry and of its data centre; neither has a default.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct EntryConfig {
-    /// The entry's name, which no other entry has.
+    /// Name of the entry, unique among all entries.
     pub name: EntryId,
-    /// The hall that it stands in.
+    /// Name of the data centre in which the entry runs.
     pub hall: HallId,
 }
 
 impl EntryConfig {
-    /// Reads the top of the file.
+    /// Reads the top level of the file.
     pub fn read(fields: &Fields<'_>) -> Self {
         Self {
             name: required(fields, "entry", "the name of this entry"),
-            hall: required(fields, "hall", "the hall that this entry stands in"),
+            hall: required(fields, "hall", "the data centre of this entry"),
         }
     }
 }
 
-/// Reads a text that must be there.
+/// Reads a text, and reports a finding if it is missing or empty.
 pub fn required(fields: &Fields<'_>, key: &'static str, what: &str) -> String {
     let text = fields.text(key);
     if text.as_ref().is_none_or(String::is_empty) {
--- a/crates/havenladder/src/configs/logs.rs
+++ b/crates/havenladder/src/configs/logs.rs
@@ -1,17 +1,17 @@
-//! Settings of logs.
+//! Settings of the logs.
 
 use serde::Serialize;
 use settings::Fields;
 use std::str::FromStr;
 
-/// Form of the logs.
+/// Format of the logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// One line of text an event.
+    /// One line of text per event.
     #[default]
     Plain,
-    /// One JSON object an event.
+    /// One JSON object per event.
     Json,
 }
 
@@ -27,12 +27,12 @@
     }
 }
 
-/// Logs, which go to standard error.
+/// Settings of the logs, which are written to standard error.
 #[derive(Clone, Debug, Serialize)]
 pub struct LogsConfig {
-    /// Their form.
+    /// Format of the logs.
     pub format: LogFormat,
-    /// What is logged, as `info` or `havenladder=debug`.
+    /// Filter of logged events, such as `info` or `havenladder=debug`.
     pub filter: String,
 }
 
--- a/crates/havenladder/src/configs/mod.rs
+++ b/crates/havenladder/src/configs/mod.rs
@@ -1,7 +1,8 @@
-//! Settings of one process: a file of JSON with comments, checked whole before anything starts.
+//! Settings of one process, read from a file of JSON with comments. The whole file is checked
+//! before anything starts.
 //!
-//! One struct a feature, in a file of the feature's name; each `Default` is the documented
-//! default.
+//! Each feature has one struct, in a file of the feature's name; its `Default` holds the documented
+//! defaults.
 
 mod claims;
 mod editors;
@@ -31,34 +32,34 @@
 use settings::{Document, Fields, Findings};
 use std::{fs, io, path::Path, time::Duration};
 
-/// Everything that a process learns from its file.
+/// All settings of a process.
 #[derive(Clone, Debug, Serialize)]
 pub struct Config {
-    /// Who the process is.
+    /// Names of the entry and of its data centre.
     pub entry: EntryConfig,
-    /// The listener for editors, clerks and other callers.
+    /// Listener for callers.
     pub editors: EditorsConfig,
-    /// The listener for peers, and who they are.
+    /// Listener for peers, and the addresses of the peers.
     pub peers: PeersConfig,
-    /// The listener for operators.
+    /// Listener for operators.
     pub operators: OperatorsConfig,
-    /// Where the platform is.
+    /// Access to the platform.
     pub platform: PlatformConfig,
-    /// Limits of what is in progress.
+    /// Limits on requests in progress.
     pub placement: PlacementConfig,
-    /// Claims on keys.
+    /// Claims on idempotency keys.
     pub claims: ClaimsConfig,
-    /// Drains, reboots and moves.
+    /// Drains, reboots and moves of VMs.
     pub steward: StewardConfig,
-    /// Probes of the hall's workers.
+    /// Probes of the workers in this data centre.
     pub watch: WatchConfig,
     /// Snapshots in the log.
     pub snapshots: SnapshotsConfig,
-    /// Logs.
+    /// Format and filter of the logs.
     pub logs: LogsConfig,
 }
 
-/// Why a file of settings cannot be used.
+/// Reason why a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
@@ -69,11 +70,11 @@
     Findings(#[from] Findings),
 }
 
-/// Reads and checks a file.
+/// Reads and checks a settings file.
 ///
 /// # Errors
 ///
-/// Returns every finding together, each with its place.
+/// Returns an error when the file cannot be read, or all findings together with their positions.
 pub fn load(path: &Path) -> Result<Config, ConfigError> {
     let name = path.display().to_string();
     let text = match fs::read_to_string(path) {
@@ -107,7 +108,7 @@
     fields.object(key, read).unwrap_or_default()
 }
 
-/// Reads a time in milliseconds, or keeps the default.
+/// Reads a duration in milliseconds, or returns the default if the key is missing or invalid.
 fn millis(fields: &Fields<'_>, key: &'static str, default: Duration) -> Duration {
     const MAX_MS: u64 = 24 * 60 * 60 * 1_000;
     fields
@@ -115,7 +116,7 @@
         .map_or(default, Duration::from_millis)
 }
 
-/// Reads a count, or keeps the default.
+/// Reads a count of at most `max`, or returns the default if the key is missing or invalid.
 fn count(fields: &Fields<'_>, key: &'static str, max: u64, default: usize) -> usize {
     fields
         .number(key, 1..=max)
@@ -123,7 +124,7 @@
         .unwrap_or(default)
 }
 
-/// Reads an address, which must be an IP address with a port, or keeps the default.
+/// Reads an IP address with a port, or returns the default if the key is missing or invalid.
 fn address(
     fields: &Fields<'_>,
     key: &'static str,
--- a/crates/havenladder/src/configs/operators.rs
+++ b/crates/havenladder/src/configs/operators.rs
@@ -8,12 +8,12 @@
 use settings::Fields;
 use std::net::SocketAddr;
 
-/// The listener for operators.
+/// Settings of the listener for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct OperatorsConfig {
-    /// Where it listens.
+    /// Address of the listener.
     pub listen: SocketAddr,
-    /// The key that operators send; no default.
+    /// Key that operators must send; it has no default.
     #[serde(serialize_with = "hidden")]
     pub key: String,
 }
--- a/crates/havenladder/src/configs/peers.rs
+++ b/crates/havenladder/src/configs/peers.rs
@@ -1,4 +1,4 @@
-//! Settings of the listener for peers, and who the peers are.
+//! Settings of the listener for peers, and the addresses of the peers.
 
 use super::{address, entry::required, millis};
 use protocol::{EntryId, HallId};
@@ -6,35 +6,35 @@
 use settings::Fields;
 use std::{net::SocketAddr, time::Duration};
 
-/// The shortest key that is taken.
+/// Minimum length of a key, in bytes.
 const MIN_KEY_LENGTH: usize = 16;
 
-/// The listener for peers.
+/// Settings of the listener for peers.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeersConfig {
-    /// Where it listens.
+    /// Address of the listener.
     pub listen: SocketAddr,
-    /// The key that all entries share; no default.
+    /// Key that all entries share; it has no default.
     #[serde(serialize_with = "hidden")]
     pub key: String,
-    /// Time between two looks at a peer.
+    /// Interval between two polls of a peer's status.
     pub interval: Duration,
-    /// Time after which a peer that has not answered counts as not live.
+    /// Time without a response after which a peer no longer counts as live.
     pub patience: Duration,
-    /// The other entries.
+    /// Other entries.
     pub neighbours: Vec<Neighbour>,
 }
 
-/// Another entry.
+/// Names and addresses of another entry.
 #[derive(Clone, Debug, Serialize)]
 pub struct Neighbour {
-    /// Its name.
+    /// Name of the entry.
     pub entry: EntryId,
-    /// Its hall.
+    /// Data centre of the entry.
     pub hall: HallId,
-    /// Where it listens for editors.
+    /// Address of its listener for callers.
     pub editors: SocketAddr,
-    /// Where it listens for peers.
+    /// Address of its listener for peers.
     pub peers: SocketAddr,
 }
 
@@ -69,20 +69,20 @@
         let unset = SocketAddr::from(([0, 0, 0, 0], 0));
         let neighbour = Self {
             entry: required(fields, "entry", "the neighbour's name"),
-            hall: required(fields, "hall", "the neighbour's hall"),
+            hall: required(fields, "hall", "the neighbour's data centre"),
             editors: address(fields, "editors", unset),
             peers: address(fields, "peers", unset),
         };
         for (key, addr) in [("editors", neighbour.editors), ("peers", neighbour.peers)] {
             if addr == unset {
-                fields.report(key, "is missing: the neighbour's address for it");
+                fields.report(key, "is missing: the address of the neighbour's listener");
             }
         }
         neighbour
     }
 }
 
-/// Reads a key; a short one is a finding, and the finding does not show it.
+/// Reads a key. A key that is too short is reported as a finding that does not contain the key.
 pub fn read_key(fields: &Fields<'_>) -> String {
     let key = required(
         fields,
@@ -98,7 +98,7 @@
     key
 }
 
-/// Shows that a key is set, never the key.
+/// Serializes whether a key is set, but never the key itself.
 pub fn hidden<S: Serializer>(key: &str, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_str(if key.is_empty() { "missing" } else { "set" })
 }
--- a/crates/havenladder/src/configs/placement.rs
+++ b/crates/havenladder/src/configs/placement.rs
@@ -1,17 +1,17 @@
-//! Limits of what an entry has in progress.
+//! Limits on the requests that an entry has in progress.
 
 use super::count;
 use serde::Serialize;
 use settings::Fields;
 
-/// Limits of what an entry has in progress.
+/// Limits on the requests that an entry has in progress.
 #[derive(Clone, Debug, Serialize)]
 pub struct PlacementConfig {
-    /// Requests that have no outcome yet; more are refused at once.
+    /// Maximum number of requests without an outcome; further ones are refused at once.
     pub requests: usize,
-    /// Bytes of the bodies of these requests; more are refused at once.
+    /// Maximum total size of their bodies in bytes; requests beyond it are refused at once.
     pub bytes: usize,
-    /// Seed of the random choices; 0 takes one from the system.
+    /// Seed of the random choices; 0 takes a seed from the system.
     pub seed: u64,
 }
 
--- a/crates/havenladder/src/configs/platform.rs
+++ b/crates/havenladder/src/configs/platform.rs
@@ -1,18 +1,18 @@
-//! Settings of the way to the platform.
+//! Settings of the access to the platform.
 
 use super::{address, millis};
 use serde::Serialize;
 use settings::Fields;
 use std::{net::SocketAddr, time::Duration};
 
-/// Where the platform is.
+/// Settings of the access to the platform.
 #[derive(Clone, Debug, Serialize)]
 pub struct PlatformConfig {
-    /// Its address.
+    /// Address of the platform.
     pub address: SocketAddr,
-    /// How long a read of the log may wait for a record.
+    /// Time for which a read of the log may wait for a record.
     pub wait: Duration,
-    /// How long a proposal tries to reach the log before it is given up.
+    /// Time limit for appending a proposal to the log and learning its outcome.
     pub propose: Duration,
 }
 
--- a/crates/havenladder/src/configs/snapshots.rs
+++ b/crates/havenladder/src/configs/snapshots.rs
@@ -5,13 +5,13 @@
 use settings::Fields;
 use std::time::Duration;
 
-/// Snapshots in the log.
+/// Settings of the snapshots in the log.
 #[derive(Clone, Debug, Serialize)]
 pub struct SnapshotsConfig {
-    /// Records after which a new snapshot is written.
+    /// Number of new records after which a snapshot is written.
     pub records: usize,
-    /// Time after which a new snapshot is written if there are any new records; well below the
-    /// time for which the log keeps records.
+    /// Time after which a snapshot is written if there are any new records. It must be well below
+    /// the time for which the log retains records.
     pub interval: Duration,
 }
 
--- a/crates/havenladder/src/configs/steward.rs
+++ b/crates/havenladder/src/configs/steward.rs
@@ -1,16 +1,16 @@
-//! Settings of drains, reboots and moves.
+//! Settings of drains, reboots and moves of VMs.
 
 use super::millis;
 use serde::Serialize;
 use settings::Fields;
 use std::time::Duration;
 
-/// Drains, reboots and moves.
+/// Settings of drains, reboots and moves of VMs.
 #[derive(Clone, Debug, Serialize)]
 pub struct StewardConfig {
-    /// Time between two looks at what is to be done.
+    /// Interval between two checks for pending work.
     pub interval: Duration,
-    /// How long a lease on a VM runs.
+    /// Duration of a lease on a VM.
     pub lease: Duration,
 }
 
--- a/crates/havenladder/src/configs/watch.rs
+++ b/crates/havenladder/src/configs/watch.rs
@@ -1,18 +1,19 @@
-//! Settings of the probes of the hall's workers.
+//! Settings of the probes of the workers in this data centre.
 
 use super::{count, millis};
 use serde::Serialize;
 use settings::Fields;
 use std::time::Duration;
 
-/// Probes of the hall's workers.
+/// Settings of the probes of the workers in this data centre.
 #[derive(Clone, Debug, Serialize)]
 pub struct WatchConfig {
-    /// Time between two probes of a worker.
+    /// Interval between two rounds of probes.
     pub interval: Duration,
-    /// Time in which a worker must answer a probe.
+    /// Time limit for a worker to respond to a probe.
     pub patience: Duration,
-    /// Probes in a second at the most: a larger hall is probed in turn, suspects first.
+    /// Maximum number of probes per second. In a larger data centre workers are probed in rotation,
+    /// suspects first.
     pub probes: usize,
 }
 
