--- a/crates/havenladder/src/context.rs
+++ b/crates/havenladder/src/context.rs
@@ -1,4 +1,4 @@
-//! The one value that is made at the start and handed to every duty.
+//! State that all threads of the process share.
 
 use crate::{
     configs::Config,
@@ -24,65 +24,65 @@
     time::SystemTime,
 };
 
-/// Everything that duties share.
+/// Shared state of an entry's threads, created once at the start.
 pub struct Context {
-    /// The process's own settings.
+    /// Settings of this process.
     pub config: Config,
-    /// The platform.
+    /// Client of the platform.
     pub platform: HttpPlatform,
-    /// The agreed state.
+    /// Agreed state, built from the log.
     pub fleet: FleetCell,
-    /// The services in force, resolved.
+    /// Resolved settings of all services in force.
     pub services: ArcSwap<BTreeMap<ServiceId, Service>>,
-    /// The peers.
+    /// Latest status of each peer.
     pub peers: PeerTable,
-    /// What this entry sees of its workers.
+    /// Results of this entry's own probes of its workers.
     pub observations: LocalObservations,
-    /// The platform's list of VMs as it was read last.
+    /// Latest list of VMs from the platform.
     pub listed_vms: ArcSwap<Vec<VmInfo>>,
-    /// The way to the duty that places requests.
+    /// Sender of messages to the placement thread.
     pub placement: PlacementSender,
-    /// The way to the duty that claims keys.
+    /// Sender of messages to the claims threads.
     pub claims: ClaimsSender,
-    /// Room for each service in this hall.
+    /// Free and taken capacity for each service in this data centre.
     pub capacities: Mutex<BTreeMap<ServiceId, Room>>,
-    /// What became of the newest requests.
+    /// Outcomes of the newest requests.
     pub recent: Recent,
     /// Counts for the burn report.
     pub burn: Mutex<Burn>,
-    /// When this process began.
+    /// Time at which this process started.
     pub started_at: SystemTime,
-    /// Metrics.
+    /// Metrics of this process.
     pub metrics: Metrics,
-    /// Requests that have no outcome yet.
+    /// Number of requests without an outcome.
     pub in_progress: AtomicUsize,
-    /// Bytes of their bodies.
+    /// Total size of the bodies of these requests, in bytes.
     pub in_progress_bytes: AtomicUsize,
-    /// Claims and settlements that are not in the log yet.
+    /// Number of settlements of claims that are not in the log yet.
     pub unsettled: AtomicUsize,
-    /// Whether the log was reached lately.
+    /// Whether the last attempt to reach the log succeeded.
     pub reaches_log: AtomicBool,
-    /// Whether the process is about to stop.
+    /// Whether the process is shutting down.
     pub leaving: AtomicBool,
 }
 
 impl Context {
-    /// Tells whether the process takes requests.
+    /// Returns whether the process accepts requests.
     pub fn is_ready(&self) -> bool {
         self.fleet.is_loaded() && !self.is_leaving()
     }
 
-    /// Tells whether the process is about to stop.
+    /// Returns whether the process is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Tells whether the log was reached lately.
+    /// Returns whether the last attempt to reach the log succeeded.
     pub fn reaches_log(&self) -> bool {
         self.reaches_log.load(Ordering::Relaxed)
     }
 
-    /// Returns what this entry tells its peers.
+    /// Returns the status that this entry reports to its peers.
     pub fn status(&self) -> Status {
         Status {
             entry: self.config.entry.name.clone(),
--- a/crates/havenladder/src/explain.rs
+++ b/crates/havenladder/src/explain.rs
@@ -1,11 +1,12 @@
-//! Explains why a VM may or may not be drained now, what holds for a service, and what became of
-//! a request.
+//! Explains whether a VM may be drained now, which settings apply to a level, and how a request
+//! ended.
 
 use crate::{context::Context, operate::Explanation, sync::lock};
 use fleet::{Fleet, Health, Vm, holds};
 use settings::{nearest, sources};
 
-/// Explains a VM, a pool, a service or a request; `None` if nothing bears that name.
+/// Explains a VM, a level of the settings or a recent request. Returns `None` if `subject` names
+/// none of them.
 pub fn explain(ctx: &Context, subject: &str) -> Option<Explanation> {
     let fleet = ctx.fleet.get();
     let lines = if let Some(vm) = fleet.vms.get(subject) {
@@ -32,7 +33,7 @@
     })
 }
 
-/// Returns the name that is nearest to one that nothing bears.
+/// Returns the known name of a VM or level that is most similar to `subject`.
 pub fn suggestion(ctx: &Context, subject: &str) -> Option<String> {
     let fleet = ctx.fleet.get();
     let names = fleet.vms.keys().chain(fleet.tree.nodes.keys());
--- a/crates/havenladder/src/fleet_cell.rs
+++ b/crates/havenladder/src/fleet_cell.rs
@@ -1,4 +1,4 @@
-//! The agreed state of this process, and the newest records for peers to read.
+//! Holder of the agreed state of this process, and of the newest log records for peers to read.
 
 use crate::sync::{lock, read, write};
 use fleet::{Fleet, Outcome};
@@ -9,20 +9,20 @@
     time::{Duration, Instant},
 };
 
-/// Records that are kept for peers at the most.
+/// Maximum number of records that are kept for peers.
 const TAIL_RECORDS: usize = 4_096;
 
-/// Bytes of records that are kept for peers at the most.
+/// Maximum total size in bytes of the records that are kept for peers.
 const TAIL_BYTES: usize = 4 << 20;
 
-/// The newest records, as they were read.
+/// Newest records of the log, in order.
 #[derive(Default)]
 struct Tail {
     records: VecDeque<LogRecord>,
     bytes: usize,
 }
 
-/// The agreed state; it only ever moves to higher offsets.
+/// Holder of the agreed state, which only ever moves to higher offsets.
 #[derive(Default)]
 pub struct FleetCell {
     fleet: RwLock<Fleet>,
@@ -32,17 +32,17 @@
 }
 
 impl FleetCell {
-    /// Tells whether a state has been loaded; before that nothing may be served from it.
+    /// Returns whether a state has been loaded. Nothing may be served before that.
     pub fn is_loaded(&self) -> bool {
         lock(&self.next).is_some()
     }
 
-    /// Locks the state for reading; hold it briefly.
+    /// Locks the state for reading. The guard must be held only briefly, since it blocks updates.
     pub fn get(&self) -> RwLockReadGuard<'_, Fleet> {
         read(&self.fleet)
     }
 
-    /// Takes in a loaded state if it is ahead of the present one.
+    /// Replaces the state by a loaded one if that is newer.
     pub fn load(&self, loaded: Fleet) {
         let next = loaded.next;
         {
@@ -56,8 +56,8 @@
         self.announce(next);
     }
 
-    /// Applies the records that come next, passing over those that were applied before, and
-    /// returns each with what was decided. Stops before a record that would leave a hole.
+    /// Applies the records that come next and returns each with its outcomes. Skips records that
+    /// were applied before, and stops before a record that would leave a gap.
     pub fn apply(&self, records: Vec<LogRecord>) -> Vec<(LogRecord, Vec<Outcome>)> {
         let mut applied = Vec::new();
         let next = {
@@ -81,7 +81,7 @@
         applied
     }
 
-    /// Returns records from `from` on for a peer, waiting up to `wait` for the first.
+    /// Returns the retained records from offset `from` on, waiting up to `wait` until there is one.
     pub fn slice(&self, from: Offset, wait: Duration) -> Slice {
         self.wait(Instant::now() + wait, |next| next > from);
         let next = self.get().next;
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Waits until the next offset satisfies `is_met`, or until the deadline.
+    /// Waits until the next offset satisfies `is_met`, and returns false if the deadline passes
+    /// first.
     pub fn wait(&self, deadline: Instant, is_met: impl Fn(Offset) -> bool) -> bool {
         let mut next = lock(&self.next);
         loop {
--- a/crates/havenladder/src/key.rs
+++ b/crates/havenladder/src/key.rs
@@ -2,7 +2,7 @@
 
 use subtle::ConstantTimeEq;
 
-/// Tells whether `candidate` is `key`; how long it takes says nothing about where they differ.
+/// Returns whether `candidate` equals `key`. The time it takes does not reveal where they differ.
 pub fn is_key(candidate: &str, key: &str) -> bool {
     candidate.as_bytes().ct_eq(key.as_bytes()).into()
 }
--- a/crates/havenladder/src/logs.rs
+++ b/crates/havenladder/src/logs.rs
@@ -1,10 +1,10 @@
-//! Logs by `tracing`, to standard error.
+//! Logging to standard error with `tracing`.
 
 use crate::configs::{LogFormat, LogsConfig};
 use std::io::stderr;
 use tracing_subscriber::EnvFilter;
 
-/// Starts logging as the settings say.
+/// Starts logging in the configured format and with the configured filter.
 pub fn start(config: &LogsConfig) {
     let filter = EnvFilter::try_new(&config.filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt()
--- a/crates/havenladder/src/main.rs
+++ b/crates/havenladder/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `havenladder`: entries, and the commands by which operators drive them.
+//! The program `havenladder`: runs entries, and the commands with which operators control them.
 
 mod cli;
 mod client;
@@ -25,7 +25,8 @@
 use mimalloc::MiMalloc;
 use std::process::ExitCode;
 
-/// A fifth of an owner's processor time at 1,100 workers went to the system's allocator.
+/// Global allocator. The system's allocator took a fifth of an owner's processor time at 1,100
+/// workers.
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
--- a/crates/havenladder/src/metrics.rs
+++ b/crates/havenladder/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by `opentelemetry`, in the form that usual scrapers read.
+//! Metrics recorded with `opentelemetry` and exported in the text format of Prometheus.
 
 use opentelemetry::{
     KeyValue,
@@ -8,7 +8,7 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 use std::time::Duration;
 
-/// All metrics of an entry; docs/OPERATIONS.md names them.
+/// Metrics of an entry; docs/OPERATIONS.md describes them.
 pub struct Metrics {
     registry: Registry,
     requests: Counter<u64>,
@@ -22,11 +22,11 @@
 }
 
 impl Metrics {
-    /// Makes the metrics of this process.
+    /// Creates the metrics of this process.
     ///
     /// # Errors
     ///
-    /// Fails when the exporter cannot be registered.
+    /// Returns an error when the exporter cannot be registered.
     pub fn new() -> Result<Self, String> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Counts a request that got its outcome.
+    /// Records a request that has ended, with its outcome and duration.
     pub fn request(&self, service: &str, outcome: &'static str, took: Duration) {
         let service = KeyValue::new("service", service.to_owned());
         let labels = [service, KeyValue::new("outcome", outcome)];
@@ -59,28 +59,28 @@
         self.latency.record(took.as_secs_f64(), &labels);
     }
 
-    /// Counts an attempt that ended.
+    /// Counts an attempt that has ended.
     pub fn attempt(&self, end: &'static str) {
         self.attempts.add(1, &[KeyValue::new("end", end)]);
     }
 
-    /// Counts a proposal.
+    /// Counts a proposal and its outcome.
     pub fn proposal(&self, outcome: &'static str) {
         self.proposals.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Notes how far the log has been applied.
+    /// Records the number of applied log records and the next offset to apply.
     pub fn applied(&self, records: u64, next: u64) {
         self.applied.add(records, &[]);
         self.offset.record(next, &[]);
     }
 
-    /// Notes how many requests have no outcome yet.
+    /// Records the number of requests without an outcome.
     pub fn in_progress(&self, requests: usize) {
         self.in_progress.record(requests as u64, &[]);
     }
 
-    /// Writes all metrics in the text form of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     pub fn text(&self) -> String {
         let mut text = Vec::new();
         let written = TextEncoder::new().encode(&self.registry.gather(), &mut text);
--- a/crates/havenladder/src/operate.rs
+++ b/crates/havenladder/src/operate.rs
@@ -1,4 +1,4 @@
-//! What operators and entries say to each other, in JSON.
+//! Messages between operators' commands and entries, in JSON.
 
 use fleet::{Count, Errand, Mark, Outcome, PathChange, Progress, Vm, Wave, WaveChange, WaveId};
 use protocol::{BurnCell, EntryId, HallId, Offset, PoolId, ServiceId, VmId};
@@ -6,123 +6,123 @@
 use settings::{Path, Source, Tree};
 use std::{collections::BTreeMap, time::SystemTime};
 
-/// What an operator wants changed.
+/// Change that an operator requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Order {
-    /// Publish settings.
+    /// Publishes settings.
     Settings(Vec<PathChange>),
-    /// Start or steer a wave.
+    /// Starts or controls a wave.
     Wave(WaveChange),
-    /// Take a VM out of service.
+    /// Takes a VM out of service.
     Errand {
-        /// The VM.
+        /// ID of the VM.
         vm: VmId,
-        /// What for.
+        /// Purpose for which the VM is taken out of service.
         errand: Errand,
     },
-    /// Put a VM back into service.
+    /// Puts a VM back into service.
     Undo {
-        /// The VM.
+        /// ID of the VM.
         vm: VmId,
     },
-    /// Remove a VM that is gone.
+    /// Removes a VM that is gone.
     Forget {
-        /// The VM.
+        /// ID of the VM.
         vm: VmId,
     },
 }
 
-/// What became of it.
+/// Result of an operator's order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Receipt {
-    /// The offset at which it was decided.
+    /// Offset of the log record that holds the change.
     pub offset: Offset,
-    /// What was decided.
+    /// Outcome of the change.
     pub outcome: Outcome,
 }
 
-/// The agreed state as an entry knows it.
+/// Agreed state as one entry has applied it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StateReply {
-    /// Who speaks.
+    /// Name of the entry that responds.
     pub entry: EntryId,
-    /// The next offset that it will apply.
+    /// Next offset that the entry will apply.
     pub next: Offset,
-    /// Whether it reached the log lately.
+    /// Whether the entry's last attempt to reach the log succeeded.
     pub platform: bool,
-    /// The settings.
+    /// Settings tree in force.
     pub tree: Tree,
-    /// Who changed each path last.
+    /// Last change of each path: its offset and author.
     pub versions: BTreeMap<Path, Mark>,
-    /// The VMs.
+    /// VMs by ID.
     pub vms: BTreeMap<VmId, Vm>,
-    /// Slots by pool.
+    /// Numbers of VMs and slots by pool.
     pub counts: BTreeMap<PoolId, Count>,
-    /// The waves.
+    /// Waves by ID.
     pub waves: BTreeMap<WaveId, WaveReply>,
 }
 
-/// One wave.
+/// Wave and its progress.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WaveReply {
-    /// What was started.
+    /// Scope and state of the wave.
     pub wave: Wave,
-    /// How far it has come.
+    /// Numbers of VMs in each stage of the wave.
     pub progress: Progress,
-    /// When it should end at the pace so far; `None` before the first VM is done.
+    /// Estimated end of the wave at its present pace; `None` before the first VM is done.
     pub ends: Option<SystemTime>,
 }
 
-/// One entry as another sees it.
+/// Entry as seen by the entry that responds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberReply {
-    /// The entry.
+    /// Name of the entry.
     pub entry: EntryId,
-    /// Its hall.
+    /// Data centre of the entry.
     pub hall: HallId,
-    /// The next offset that it will apply; `None` if it does not answer.
+    /// Next offset that the entry will apply; `None` if it does not respond.
     pub next: Option<Offset>,
-    /// Whether it reached the log lately.
+    /// Whether the entry's last attempt to reach the log succeeded.
     pub platform: bool,
 }
 
-/// The burn report.
+/// Burn report over all entries that responded.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BurnReport {
-    /// Names of the windows, the shortest first.
+    /// Names of the windows, from the shortest to the longest.
     pub windows: Vec<String>,
-    /// Entries whose counts are in the sums.
+    /// Entries whose counts are included.
     pub answered: Vec<EntryId>,
-    /// Entries that did not answer.
+    /// Entries that did not respond, whose counts are missing.
     pub silent: Vec<EntryId>,
-    /// The latest time from which on an entry has counted.
+    /// Latest start of counting among the included entries.
     pub since: SystemTime,
-    /// The services.
+    /// Rows of the report by service.
     pub services: BTreeMap<ServiceId, BurnRow>,
 }
 
-/// One service of the burn report.
+/// Row of one service in the burn report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BurnRow {
-    /// The objective.
+    /// Objective of the service, as a share of good requests.
     pub objective: f64,
     /// Counts by window.
     pub cells: Vec<BurnCell>,
     /// Burn rates by window.
     pub rates: Vec<f64>,
-    /// Share of what the objective leaves that is left over the longest window.
+    /// Share of the error budget that remains over the longest window.
     pub left: f64,
-    /// Whether a short and a long window both burn too fast.
+    /// Alert that is raised when a short and a long window both burn too fast.
     pub alert: Option<String>,
 }
 
-/// Why something is as it is.
+/// Explanation of a VM, level or request.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Explanation {
-    /// What was asked about.
+    /// Name of what is explained.
     pub subject: String,
-    /// The answer, a line each.
+    /// Lines of the explanation.
     pub lines: Vec<String>,
-    /// Where each value of a service came from.
+    /// Level at which each setting of a service is set.
     pub sources: Vec<Source>,
 }
--- a/crates/havenladder/src/outcome.rs
+++ b/crates/havenladder/src/outcome.rs
@@ -6,10 +6,10 @@
 use serving::{AttemptEnd, ClaimState, NotRun, Outcome, Settled, Why};
 use std::time::{Duration, Instant};
 
-/// Time after which a caller may ask again about a request that is in progress.
+/// Time after which a caller may retry a request whose key is in progress.
 const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Returns the outcome's name in metrics and logs.
+/// Returns the name of an outcome in metrics and logs.
 pub fn name(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Done(_) => "done",
@@ -19,7 +19,8 @@
     }
 }
 
-/// Returns what the burn report counts a request as: `None` if it does not count at all.
+/// Returns how the burn report counts a request: `None` if it is not counted, `Some(None)` if it is
+/// good, and the kind of loss otherwise.
 pub fn loss(outcome: &Outcome, in_time: bool) -> Option<Option<Loss>> {
     match outcome {
         Outcome::Done(_) if in_time => Some(None),
@@ -36,7 +37,7 @@
     }
 }
 
-/// Makes the answer for every outcome that has no worker's answer.
+/// Returns the problem document for an outcome that has no response of a worker.
 pub fn problem(outcome: &Outcome) -> Problem {
     match outcome {
         Outcome::NotRun(refusal) => not_run(refusal),
@@ -125,7 +126,7 @@
     }
 }
 
-/// Returns the name of an attempt's end in metrics.
+/// Returns the name of the end of an attempt in metrics.
 pub fn end_name(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Done => "done",
--- a/crates/havenladder/src/peer_table.rs
+++ b/crates/havenladder/src/peer_table.rs
@@ -1,4 +1,4 @@
-//! What the peers last said of themselves.
+//! Latest status that each peer has reported.
 
 use crate::{configs::Config, sync::lock};
 use protocol::{EntryId, HallId, Status};
@@ -8,19 +8,19 @@
     time::{Duration, Instant},
 };
 
-/// The newest status of each peer that answers.
+/// Latest status of each peer, with the time until which it is valid.
 #[derive(Default)]
 pub struct PeerTable {
     statuses: Mutex<BTreeMap<EntryId, (Status, Instant)>>,
 }
 
 impl PeerTable {
-    /// Notes a peer's status, which holds until `until`.
+    /// Records a peer's status, which is valid until `expires`.
     pub fn record(&self, status: Status, expires: Instant) {
         lock(&self.statuses).insert(status.entry.clone(), (status, expires));
     }
 
-    /// Returns the status of each peer that has answered lately.
+    /// Returns the statuses that are still valid.
     pub fn live(&self) -> Vec<Status> {
         let now = Instant::now();
         lock(&self.statuses)
@@ -30,7 +30,8 @@
             .collect()
     }
 
-    /// Returns the live entries that can carry out errands, this one included, with their halls.
+    /// Returns the live entries that can carry out work on VMs, with their data centres. This entry
+    /// is included if `reaches_log` is true.
     pub fn members(&self, config: &Config, reaches_log: bool) -> BTreeMap<EntryId, HallId> {
         let mut members: BTreeMap<EntryId, HallId> = self
             .live()
@@ -45,7 +46,8 @@
     }
 }
 
-/// Time for which a status holds: several rounds, so that one lost answer means nothing.
+/// Returns the time until which a status that arrives now is valid. It covers at least two polls,
+/// so that one lost response does not make a peer count as down.
 pub fn status_expiry(config: &Config) -> Instant {
     let two_rounds: Duration = config.peers.interval * 2;
     Instant::now() + config.peers.patience.max(two_rounds)
--- a/crates/havenladder/src/problem.rs
+++ b/crates/havenladder/src/problem.rs
@@ -1,4 +1,4 @@
-//! Errors in the usual form of problem details (RFC 9457), with the outcome beside them.
+//! Error responses as problem details (RFC 9457), extended by the outcome of the request.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,28 +12,28 @@
 /// Response header with the outcome: `done`, `not-run`, `in-progress` or `unknown`.
 pub const HEADER_OUTCOME: HeaderName = HeaderName::from_static("havenladder-outcome");
 
-/// Response header with the request's id, the same in all logs.
+/// Response header with the ID of the request, which is the same in all logs.
 pub const HEADER_REQUEST: HeaderName = HeaderName::from_static("havenladder-request");
 
-/// An answer that is not the worker's.
+/// Error response that an entry creates itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// A short name that programs can tell apart.
+    /// Short machine-readable name of the problem.
     pub kind: &'static str,
-    /// What happened and what to do next.
+    /// Explanation for the caller of what happened and what to do next.
     pub detail: String,
-    /// The header or part of the request that is wrong.
+    /// Header or part of the request that is wrong.
     pub field: Option<&'static str>,
-    /// The outcome.
+    /// Outcome of the request.
     pub outcome: &'static str,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Problem {
-    /// A request that is wrong in itself; it was not run.
+    /// Creates the problem for an invalid request, which was not run.
     pub fn bad(status: StatusCode, field: &'static str, detail: impl Into<String>) -> Self {
         Self {
             status,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Makes the response.
+    /// Returns the problem as an HTTP response.
     pub fn response(&self) -> Response<Full<Bytes>> {
         let body = json!({
             "type": format!("urn:havenladder:{}", self.kind),
@@ -63,7 +63,7 @@
         headers.insert(CONTENT_TYPE, kind);
         headers.insert(HEADER_OUTCOME, HeaderValue::from_static(self.outcome));
         if let Some(retry_after) = self.retry_after {
-            // Whole seconds, rounded up: the header knows no smaller unit.
+            // The header holds whole seconds; rounding up keeps callers from retrying too early.
             let seconds = retry_after.as_millis().div_ceil(1_000);
             headers.insert(RETRY_AFTER, HeaderValue::from(seconds as u64));
         }
--- a/crates/havenladder/src/propose.rs
+++ b/crates/havenladder/src/propose.rs
@@ -1,4 +1,4 @@
-//! Appends proposals to the log and learns what was decided, also when an answer is lost.
+//! Appends proposals to the log and learns their outcomes, even when a response is lost.
 
 use crate::context::Context;
 use fleet::{Change, Outcome, Record};
@@ -9,43 +9,44 @@
     time::{Duration, Instant, SystemTime},
 };
 
-/// The stream of the fleet.
+/// Name of the log stream that holds the changes of the fleet.
 pub const FLEET: &str = "fleet";
 
-/// Time between two tries to reach the log.
+/// Interval between two attempts to reach the log.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time for which an append waits to see its own record before it appends it once more.
+/// Time for which an append waits until its own record is applied here, before it is repeated.
 const READ_BACK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What was decided about a proposal.
+/// Outcome of a proposal.
 #[derive(Debug)]
 pub struct Decision {
-    /// The record's offset.
+    /// Offset of the record.
     pub offset: Offset,
-    /// The outcome of each change.
+    /// Outcome of each change.
     pub outcomes: Vec<Outcome>,
 }
 
-/// Why nothing is known to have been decided.
+/// Reason why the outcome of a proposal is not known.
 #[derive(Debug, thiserror::Error)]
 pub enum ProposeError {
-    /// The log took nothing, and will not.
+    /// The log did not accept the record and will not do so later.
     #[error("the platform's log cannot be reached; nothing was changed: {0}")]
     NotTaken(CallError),
-    /// The log may have taken the record, or may do so until it expires.
+    /// The log may have accepted the record, or may still do so until the record expires.
     #[error("the platform's log did not confirm the change in time; it may still take effect")]
     Unknown,
 }
 
-/// Appends `changes` as one record and waits for what the fold decides.
+/// Appends `changes` as one record and waits until it is applied here.
 ///
-/// The record has one id on every try, so that the fold takes it once however often an answer is
-/// lost, and it expires, so that a late copy cannot take effect after this has given up.
+/// Every attempt uses the same record ID, so the record takes effect once even if a response is
+/// lost and the append is repeated. The record expires, so a delayed copy cannot take effect after
+/// this function has returned an error.
 ///
 /// # Errors
 ///
-/// Tells whether the record may still take effect.
+/// Returns an error that tells whether the record may still take effect.
 pub fn propose(ctx: &Context, changes: Vec<Change>) -> Result<Decision, ProposeError> {
     let timeout = ctx.config.platform.propose;
     let record = Record {
@@ -94,7 +95,8 @@
     }
 }
 
-/// Waits until the fold of this process has met the record.
+/// Waits until this process has applied the record, and returns its outcomes. Returns `None` on a
+/// timeout.
 fn read_back(ctx: &Context, id: RecordId, deadline: Instant) -> Option<Decision> {
     let until = deadline.min(Instant::now() + READ_BACK_TIMEOUT);
     loop {
--- a/crates/havenladder/src/recent.rs
+++ b/crates/havenladder/src/recent.rs
@@ -1,35 +1,35 @@
-//! What became of the newest requests of this entry, for `explain`.
+//! Outcomes of the newest requests of this entry, for `explain`.
 
 use crate::sync::lock;
 use serde::{Deserialize, Serialize};
 use std::{collections::VecDeque, sync::Mutex, time::SystemTime};
 
-/// Requests that are remembered.
+/// Maximum number of requests that are kept.
 const MAX_TRACES: usize = 1_024;
 
-/// One request that got its outcome.
+/// Request that has ended, with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trace {
-    /// The request's id, as its answer bore it.
+    /// ID of the request, as sent in the response.
     pub request: String,
-    /// Its service.
+    /// Name of the service.
     pub service: String,
-    /// When it got its outcome.
+    /// Time at which the outcome was decided.
     pub at: SystemTime,
-    /// Its outcome.
+    /// Name of the outcome.
     pub outcome: String,
-    /// What its caller was told.
+    /// Explanation that was sent to the caller.
     pub detail: String,
 }
 
-/// The newest requests.
+/// Bounded list of the newest requests.
 #[derive(Default)]
 pub struct Recent {
     traces: Mutex<VecDeque<Trace>>,
 }
 
 impl Recent {
-    /// Notes a request.
+    /// Records a request and drops the oldest one if the list is full.
     pub fn record(&self, trace: Trace) {
         let mut traces = lock(&self.traces);
         if traces.len() >= MAX_TRACES {
@@ -38,7 +38,7 @@
         traces.push_back(trace);
     }
 
-    /// Finds a request by its id.
+    /// Returns the newest request with this ID.
     pub fn find(&self, request: &str) -> Option<Trace> {
         lock(&self.traces)
             .iter()
