--- a/crates/havenladder/src/threads/claims.rs
+++ b/crates/havenladder/src/threads/claims.rs
@@ -1,4 +1,5 @@
-//! The duty that claims keys in the log, many in one append, and reads the verdicts back.
+//! Threads that record claims on idempotency keys in the log, many per append, and read back which
+//! claims won.
 
 use crate::context::Context;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, bounded};
@@ -16,73 +17,76 @@
 
 use super::placement::Message;
 
-/// Streams of claims; all entries must agree on how many there are.
+/// Number of log streams for claims. It must be the same on all entries.
 const SHARDS: u64 = 4;
 
-/// Claims that one record carries at the most.
+/// Maximum number of claims and settlements in one record.
 const MAX_ENTRIES: usize = 512;
 
-/// Time for which a wait for claims or records is interrupted at the latest.
+/// Longest time for which a read of the log blocks while claims are pending, and delay before the
+/// log is tried again after an error.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far the clocks of entries and log may differ.
+/// Maximum difference between the clocks of the entries and the log.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(60);
 
-/// What this duty is told.
+/// Message to a claims thread.
 #[derive(Debug)]
 pub enum ClaimMessage {
-    /// Claim a key for a request.
+    /// Claims a key for a request.
     Claim(RequestId, Claim),
-    /// Record what became of a request whose claim won.
+    /// Records the outcome of a request whose claim won.
     Settle(Claim, ClaimState),
 }
 
-/// The way to the duty: one ring a shard.
+/// Sender of messages to the claims threads, with one bounded channel per shard.
 #[derive(Clone, Debug)]
 pub struct ClaimsSender {
     shards: Vec<Sender<ClaimMessage>>,
 }
 
 impl ClaimsSender {
-    /// Makes a ring for an entry that may have `requests` in progress.
+    /// Creates the channels for an entry that may have `requests` requests in progress.
     pub fn new(requests: usize) -> (Self, Vec<Receiver<ClaimMessage>>) {
         let (shards, receivers) = (0..SHARDS).map(|_| bounded(requests * 2 + 64)).unzip();
         (Self { shards }, receivers)
     }
 
-    /// Hands over a message; the ring has room for all that requests in progress can cause.
+    /// Sends a message to the shard of its service. The channel has capacity for all messages that
+    /// the requests in progress can cause.
     pub fn send(&self, message: ClaimMessage) {
         let (ClaimMessage::Claim(_, claim) | ClaimMessage::Settle(claim, _)) = &message;
         let shard = shard_of(&claim.service);
-        // The ring closes only when the process ends.
+        // Sending fails only when the process ends.
         let _ = self.shards[shard].send(message);
     }
 }
 
-/// Returns the shard of a service; a service's claims all go through one stream.
+/// Returns the shard of a service. All claims of a service go through the same stream.
 fn shard_of(service: &str) -> usize {
     let names: Vec<String> = (0..SHARDS).map(|shard| shard.to_string()).collect();
     let first = protocol::ranked(names.iter().map(String::as_str), service)[0];
     first.parse().unwrap_or_default()
 }
 
-/// A claim that has no verdict yet.
+/// Claim that the log has not decided yet.
 struct PendingClaim {
     request: RequestId,
     deadline: Instant,
     claim: Claim,
 }
 
-/// One shard as this duty knows it.
+/// State of one shard.
 struct Shard<'c> {
     ctx: &'c Context,
     stream: String,
     book: ClaimBook,
     next: Option<Offset>,
-    /// Everything that the log took from then on has been read.
+    /// Time from which on every record of the stream has been read.
     complete_since: SystemTime,
     waiting: HashMap<AttemptId, PendingClaim>,
-    /// Claims that were given up: if the log takes one after all, its key is freed.
+    /// Claims whose requests were refused because the log did not decide them in time, each with
+    /// the time until which it is kept. If the log accepts one later, its key is released.
     abandoned: BTreeMap<AttemptId, (Claim, Instant)>,
     unsent: Vec<Entry>,
 }
@@ -132,7 +136,8 @@
     fn accept(&mut self, message: ClaimMessage) {
         match message {
             ClaimMessage::Claim(request, mut claim) => {
-                // A claim that the log takes after its request was refused must not hold the key.
+                // The claim expires when its request is refused, so that a claim which the log
+                // accepts later does not keep the key.
                 let patience = SystemTime::now() + self.ctx.config.claims.patience;
                 claim.expires = claim.expires.min(patience);
                 let waiting = PendingClaim {
@@ -147,13 +152,15 @@
         }
     }
 
-    /// Forgets a stream that was not used for so long that it is quicker to begin anew.
+    /// Drops the state of a stream that has been idle for as long as keys are valid. Reading the
+    /// stream from a recent offset is then faster than catching up.
     fn reset(&mut self) {
         self.next = None;
         self.book = ClaimBook::default();
     }
 
-    /// Reads what is new; begins where the oldest key that could still win was issued.
+    /// Reads new records of the stream and applies them. The first read begins at the offset at
+    /// which the oldest key that is still valid was issued.
     fn read_new(&mut self) -> Result<(), CallError> {
         let wait = if self.unsent.is_empty() && !self.waiting.is_empty() {
             POLL_INTERVAL
@@ -189,22 +196,22 @@
         self.ctx.platform.offset_at(&self.stream, oldest)
     }
 
-    /// Notes from when on the stream is known whole: a log that forgets sooner than keys age
-    /// leaves older keys undecidable.
+    /// Records the time from which on the stream is known completely. If the log retains records
+    /// for a shorter time than keys are valid, claims on older keys cannot be decided.
     fn record_complete_since(&mut self, slice: &Slice) {
         let oldest = SystemTime::now() - KEY_AGE - MAX_CLOCK_SKEW;
         let first = slice.records.first().filter(|_| slice.oldest > 0);
         self.complete_since = first.map_or(oldest, |record| record.at.max(oldest));
     }
 
-    /// Tells whether a key is so old that a claim on it may have been forgotten.
+    /// Returns whether the key is so old that the log may no longer hold an earlier claim on it.
     fn is_undecidable(&self, claim: &Claim) -> bool {
         claim.key.datetime() < self.complete_since + KEY_AHEAD
             && self.complete_since > oldest_valid_issue()
     }
 
-    /// Appends what is new in one record. After a lost answer it appends the same claims again:
-    /// each has an id of its own, so that a second copy changes nothing.
+    /// Appends all unsent claims and settlements as one record. They are appended again after a
+    /// lost response; every claim has its own ID, so a second copy has no effect.
     fn append(&mut self) -> Result<(), CallError> {
         if self.unsent.is_empty() {
             return Ok(());
@@ -222,7 +229,7 @@
         let is_appended = appended.is_ok();
         let now = SystemTime::now();
         let unsettled_before = self.unsettled();
-        // A settlement is tried until nobody could claim its key any more.
+        // A settlement is retried until its key is too old to be claimed.
         self.unsent
             .retain(|entry| !is_appended && !is_expired(entry, now));
         let settled = unsettled_before - self.unsettled();
@@ -230,7 +237,7 @@
         appended.map(|_| ())
     }
 
-    /// Settlements that are not in the log yet.
+    /// Returns the number of settlements that are not in the log yet.
     fn unsettled(&self) -> usize {
         let is_settlement = |entry: &&Entry| matches!(entry, Entry::Settle { .. });
         self.unsent.iter().filter(is_settlement).count()
@@ -246,7 +253,8 @@
             }
             return;
         }
-        // The request was refused when the log could not be reached; now its claim turns up.
+        // The request was refused since the log could not be reached, and the log has accepted its
+        // claim after all.
         if let Some((claim, _)) = self.abandoned.remove(&claim)
             && settled == Settled::Won
         {
@@ -254,7 +262,7 @@
         }
     }
 
-    /// Frees the key of a claim that won but whose request was not run.
+    /// Releases the key of a claim that won although its request was not run.
     fn release_key(&mut self, claim: Claim) {
         self.ctx.unsettled.fetch_add(1, Ordering::Relaxed);
         self.unsent.push(settlement(claim, ClaimState::NotRun));
@@ -288,7 +296,7 @@
     }
 }
 
-/// Tells whether a settlement has become pointless: its key is too old to be claimed.
+/// Returns whether an entry is obsolete: a settlement whose key is too old to be claimed.
 fn is_expired(entry: &Entry, now: SystemTime) -> bool {
     match entry {
         Entry::Settle { key, .. } => key.datetime() + KEY_AGE < now,
@@ -296,7 +304,7 @@
     }
 }
 
-/// Keys issued before this are refused in any case.
+/// Returns the issue time before which every key is refused.
 fn oldest_valid_issue() -> SystemTime {
     SystemTime::now() - KEY_AGE - KEY_AHEAD
 }
--- a/crates/havenladder/src/threads/editors.rs
+++ b/crates/havenladder/src/threads/editors.rs
@@ -1,8 +1,8 @@
-//! The duty towards editors, clerks and other callers: HTTP in, one answer out.
+//! Thread that serves callers over HTTP.
 //!
-//! The listener is `hyper` on a small runtime of one thread: a slow or half-open connection
-//! costs no thread, and a caller that hangs up is noticed. What a request is checked for, in
-//! which order, is in [`mod@check`].
+//! It runs `hyper` on a single-threaded runtime: slow or half-open connections occupy no thread,
+//! and a caller that disconnects is noticed. [`mod@check`] holds the checks of a request and their
+//! order.
 
 mod check;
 
@@ -44,31 +44,31 @@
     time::{sleep, timeout},
 };
 
-/// Path at which the balancer asks whether the process lives.
+/// Path at which the load balancer checks whether the process is alive.
 const LIVE: &str = "/live";
 
-/// Path at which the balancer asks whether the process takes requests.
+/// Path at which the load balancer checks whether the process accepts requests.
 const READY: &str = "/ready";
 
-/// Bytes of headers that one connection may hold.
+/// Maximum size in bytes of the header buffer of one connection.
 const MAX_HEADER_BYTES: usize = 16 << 10;
 
-/// Time after which accepting goes on when the system has no more file descriptors.
+/// Delay before connections are accepted again after an error, such as a lack of file descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after which a caller that found the entry full is asked to come back.
+/// Time after which a caller may retry when the entry is overloaded.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 type HttpResponse = Response<Full<Bytes>>;
 
-/// Numbers of this entry's requests.
+/// Counter for the IDs of this entry's requests.
 static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
-/// Serves editors until the process ends.
+/// Serves callers until the process ends.
 ///
 /// # Panics
 ///
-/// Panics when the system gives no event queue: without it the process is of no use.
+/// Panics when the system provides no event queue, without which the process cannot work.
 pub fn editors(ctx: &Arc<Context>, listener: StdListener) {
     let runtime = runtime().expect("the system gives an event queue");
     runtime.block_on(accept_all(ctx, listener));
@@ -111,7 +111,7 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        tracing::debug!(%error, "a connection ended early");
+        tracing::debug!(%error, "a connection was closed early");
     }
 }
 
@@ -130,14 +130,15 @@
     response
 }
 
-/// Counts a request as in progress for as long as it lives.
+/// Guard that counts a request and its body as in progress until it is dropped.
 struct InProgress<'c> {
     ctx: &'c Context,
     bytes: usize,
 }
 
 impl<'c> InProgress<'c> {
-    /// Takes a place for a request with a body of `bytes`, if there is one.
+    /// Counts a request with a body of `bytes` as in progress. Returns `None` if that exceeds a
+    /// limit.
     fn take(ctx: &'c Context, bytes: usize) -> Option<Self> {
         let requests_before = ctx.in_progress.fetch_add(1, Ordering::Relaxed);
         let bytes_before = ctx.in_progress_bytes.fetch_add(bytes, Ordering::Relaxed);
@@ -156,7 +157,7 @@
     }
 }
 
-/// Tells the scheduler when a caller goes away before its answer.
+/// Guard that reports the request as cancelled if the caller disconnects before the response.
 struct CancelOnDrop<'c> {
     ctx: &'c Context,
     id: RequestId,
@@ -185,7 +186,7 @@
     response
 }
 
-/// The id of a request in all logs: a peer's, or a fresh one.
+/// Returns the ID of a request in all logs: the one that a peer has sent, or a new one.
 fn request_name(request: &Request<Incoming>) -> String {
     let header = request.headers().get(HEADER_REQUEST);
     let header = header.and_then(|value| value.to_str().ok());
@@ -276,7 +277,7 @@
         job: checked.job(id),
         name: name.to_owned(),
         body,
-        limit: checked.settings.body_limit,
+        max_response_bytes: checked.settings.body_limit,
         claim,
         key: checked.key.map(|key| key.to_string()),
         reply,
@@ -315,13 +316,13 @@
     problem.response()
 }
 
-fn done_response(answer: TaskResponse) -> HttpResponse {
-    let mut response = Response::new(Full::new(answer.body));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
+fn done_response(task_response: TaskResponse) -> HttpResponse {
+    let mut response = Response::new(Full::new(task_response.body));
+    *response.status_mut() = StatusCode::from_u16(task_response.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
     headers.insert(HEADER_OUTCOME, HeaderValue::from_static("done"));
-    if let Some(kind) = answer.kind {
-        headers.insert(CONTENT_TYPE, kind);
+    if let Some(content_type) = task_response.content_type {
+        headers.insert(CONTENT_TYPE, content_type);
     }
     response
 }
--- a/crates/havenladder/src/threads/editors/check.rs
+++ b/crates/havenladder/src/threads/editors/check.rs
@@ -1,4 +1,4 @@
-//! What a request is checked for before its body is read.
+//! Checks of a request before its body is read.
 
 use crate::{context::Context, problem::Problem};
 use bytes::Bytes;
@@ -13,38 +13,38 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Path below which services live.
+/// Prefix of the paths of services.
 const SERVICES: &str = "/v1/";
 
-/// Request header: the latest time for the answer, in milliseconds since 1970.
+/// Request header with the deadline of the response, in milliseconds since 1970.
 const HEADER_DEADLINE: &str = "havenladder-deadline";
 
-/// Request header: the caller's key (the draft standard of that name).
+/// Request header with the caller's key, named as in the draft standard.
 const HEADER_KEY: &str = "idempotency-key";
 
-/// The furthest that a deadline may lie ahead.
+/// Longest time from now that a deadline may have.
 const MAX_DEADLINE_AHEAD: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// A request that is in order.
+/// Request that has passed all checks.
 pub struct CheckedRequest {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// What is in force for it.
+    /// Settings in force for the service.
     pub settings: Service,
-    /// The announced length of the body.
+    /// Announced length of the body, in bytes.
     pub length: usize,
-    /// When the answer is of no more use.
+    /// Time after which the response is of no use to the caller.
     pub deadline: Instant,
-    /// The same by the wall clock.
+    /// Deadline by the wall clock.
     expires: SystemTime,
-    /// The caller's key, if the service needs one.
+    /// Caller's key, if the service requires one.
     pub key: Option<Key>,
-    /// Whether a peer has passed the request on.
+    /// Whether a peer has forwarded the request.
     pub forwarded: bool,
 }
 
 impl CheckedRequest {
-    /// Makes what the scheduler sees of the request.
+    /// Returns the description of the request for the scheduler.
     pub fn job(&self, id: RequestId) -> Job {
         Job {
             id,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Makes the claim on the request's key.
+    /// Returns the claim on the request's key, or `None` if the service requires no key.
     pub fn claim(&self, body: &Bytes) -> Option<Claim> {
         Some(Claim {
             service: self.service.clone(),
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 ///
-/// Returns the first problem; nothing was run.
+/// Returns the first problem that is found; the request was not run.
 pub fn check(ctx: &Context, request: &Request<Incoming>) -> Result<CheckedRequest, Problem> {
     if !ctx.fleet.is_loaded() {
         return Err(not_loaded());
@@ -125,8 +125,8 @@
     Err(Problem::bad(StatusCode::NOT_FOUND, "path", detail))
 }
 
-/// A length must be announced once and be a number; chunks are not taken, since a length and
-/// chunks together can be read in two ways.
+/// Returns the announced length of the body, which must be a single number. Chunked bodies are
+/// rejected, since a request with both a length and chunks can be read in two ways.
 fn length(headers: &HeaderMap, limit: usize) -> Result<usize, Problem> {
     let bad = |status, detail: String| Problem::bad(status, "content-length", detail);
     if headers.contains_key(TRANSFER_ENCODING) {
--- a/crates/havenladder/src/threads/placement.rs
+++ b/crates/havenladder/src/threads/placement.rs
@@ -1,4 +1,4 @@
-//! The duty that places requests: it owns the scheduler and carries out its commands.
+//! Thread that places requests: it owns the scheduler and executes its commands.
 
 use crate::{
     context::Context,
@@ -19,86 +19,86 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that wait for this duty at the most, for each request that may be in progress.
+/// Capacity of the message channel per request that may be in progress.
 const MESSAGES_PER_REQUEST: usize = 4;
 
-/// Time between two ticks of the scheduler.
+/// Interval between two ticks of the scheduler.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Time between two ticks while no request is in progress.
+/// Interval between two ticks while no request is in progress.
 const IDLE_TICK: Duration = Duration::from_millis(200);
 
-/// Time between two looks at the capacities that peers are told of.
+/// Interval between two updates of the capacities that are reported to peers.
 const CAPACITY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A whole answer.
+/// Complete response of a worker or a peer.
 #[derive(Clone, Debug)]
 pub struct TaskResponse {
-    /// Its HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// Its content type, if it has one.
-    pub kind: Option<HeaderValue>,
-    /// Its body, checked against the announced length.
+    /// Content type, if there is one.
+    pub content_type: Option<HeaderValue>,
+    /// Body, complete according to its framing.
     pub body: Bytes,
 }
 
-/// What an editor's connection gets back.
+/// Reply to the connection of a caller.
 #[derive(Debug)]
 pub struct Reply {
-    /// The outcome.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// The whole answer, when the outcome is done.
+    /// Complete response; present only if the outcome is done.
     pub response: Option<TaskResponse>,
 }
 
-/// A request on its way in.
+/// New request of a caller.
 #[derive(Debug)]
 pub struct Arrival {
-    /// What the scheduler sees of it.
+    /// Description of the request for the scheduler.
     pub job: Job,
-    /// The id that it has in all logs and on every attempt.
+    /// ID of the request in all logs and on every attempt.
     pub name: String,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
-    /// The largest answer that is taken.
-    pub limit: usize,
-    /// Its claim, if it must not be repeated.
+    /// Maximum size of a response, in bytes.
+    pub max_response_bytes: usize,
+    /// Claim on the request's key, if it must not run twice.
     pub claim: Option<Claim>,
-    /// The caller's key as it came, to be passed on with the request.
+    /// Caller's key as received, which is forwarded to peers.
     pub key: Option<String>,
-    /// Where its outcome goes.
+    /// Channel for the reply.
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// What this duty is told.
+/// Message to the placement thread.
 #[derive(Debug)]
 pub enum Message {
-    /// A request came.
+    /// A request has arrived.
     Arrived(Box<Arrival>),
-    /// Something else happened.
+    /// Another event of the scheduler has occurred.
     Happened(Event),
-    /// An attempt ended.
+    /// An attempt has ended.
     Ended(AttemptId, AttemptEnd, Option<TaskResponse>),
 }
 
-/// The way to this duty.
+/// Sender of messages to the placement thread.
 #[derive(Clone, Debug)]
 pub struct PlacementSender {
     sender: Sender<Message>,
 }
 
 impl PlacementSender {
-    /// Makes a ring for an entry that may have `requests` in progress.
+    /// Creates the channel for an entry that may have `requests` requests in progress.
     pub fn new(requests: usize) -> (Self, Receiver<Message>) {
         let (sender, receiver) = bounded(requests * MESSAGES_PER_REQUEST + 64);
         (Self { sender }, receiver)
     }
 
-    /// Hands over a request, or gives it back when the ring is full.
+    /// Sends a request without waiting.
     ///
     /// # Errors
     ///
-    /// Returns the request.
+    /// Returns the request when the channel is full.
     pub fn arrive(&self, arrival: Box<Arrival>) -> Result<(), Box<Arrival>> {
         match self.sender.try_send(Message::Arrived(arrival)) {
             Ok(()) => Ok(()),
@@ -110,25 +110,26 @@
         }
     }
 
-    /// Tells of anything else; the ring has room for all that requests in progress can cause.
+    /// Sends any other message. The channel has capacity for all messages that the requests in
+    /// progress can cause.
     pub fn notify(&self, message: Message) {
-        // The ring closes only when the process ends.
+        // Sending fails only when the process ends.
         let _ = self.sender.send(message);
     }
 }
 
-/// A request that has no outcome yet.
+/// Request that has no outcome yet.
 struct Pending {
     name: String,
     body: Bytes,
-    limit: usize,
+    max_response_bytes: usize,
     key: Option<String>,
     service: String,
     repeatable: bool,
     reply: oneshot::Sender<Reply>,
 }
 
-/// What the duty keeps beside the scheduler.
+/// State of the placement thread.
 struct Placement<'c> {
     ctx: &'c Context,
     scheduler: Scheduler,
@@ -190,13 +191,14 @@
                     self.responses.insert(attempt, response);
                 }
                 self.handle_event(Event::Ended(attempt, end));
-                // An answer that nobody took belongs to an attempt that was given up.
+                // A response that is still here belongs to an attempt that was abandoned.
                 self.responses.remove(&attempt);
             }
         }
     }
 
-    /// Only requests that wait can become hopeless; an idle entry need not look often.
+    /// Returns the time until the next tick. Only waiting requests can become too late, so an idle
+    /// entry ticks less often.
     fn tick_interval(&self) -> Duration {
         if self.scheduler.is_empty() {
             IDLE_TICK
@@ -210,7 +212,7 @@
         let pending = Pending {
             name: arrival.name,
             body: arrival.body,
-            limit: arrival.limit,
+            max_response_bytes: arrival.max_response_bytes,
             key: arrival.key,
             service: arrival.job.service.clone(),
             repeatable: arrival.job.repeatable,
@@ -252,7 +254,12 @@
                 let seconds = until
                     .saturating_duration_since(Instant::now())
                     .as_secs_f64();
-                tracing::warn!(vm, seconds, reason = "failed tasks in a row", "set aside");
+                tracing::warn!(
+                    vm,
+                    seconds,
+                    reason = "consecutive failed tasks",
+                    "paused placement on a worker"
+                );
             }
             Command::Answer(id, outcome) => self.reply(id, outcome),
         }
@@ -287,14 +294,14 @@
             name: pending.name.clone(),
             key: pending.key.clone(),
             body: pending.body.clone(),
-            limit: pending.limit,
+            max_bytes: pending.max_response_bytes,
             repeatable: pending.repeatable,
         };
         self.dispatch(dispatch);
     }
 
     fn dispatch(&self, dispatch: Dispatch) {
-        // The ring has room for all that requests in progress can cause.
+        // The channel has capacity for all dispatches that the requests in progress can cause.
         let _ = self.workers.blocking_send(dispatch);
     }
 
@@ -308,11 +315,11 @@
             _ => None,
         };
         tracing::info!(request = %pending.name, service = %pending.service, ?outcome, "outcome");
-        // A caller that went away gets nothing.
+        // Sending fails if the caller has disconnected.
         let _ = pending.reply.send(Reply { outcome, response });
     }
 
-    /// Records in the log what became of a request whose claim won.
+    /// Records in the log the outcome of a request whose claim won.
     fn settle(&mut self, id: RequestId, outcome: &Outcome) {
         let Some((claim, won)) = self.claims.remove(&id) else {
             return;
--- a/crates/havenladder/src/threads/workers.rs
+++ b/crates/havenladder/src/threads/workers.rs
@@ -1,7 +1,8 @@
-//! The duty that speaks to workers, and to peers that requests are passed on to.
+//! Thread that sends attempts to workers, and to peers to which requests are forwarded.
 //!
-//! It decides nothing but how an attempt ended: certain refusals are told apart from broken
-//! connections, and an answer counts only when it is whole and bears its attempt's id.
+//! It only determines how an attempt ended. A refusal, after which the attempt has certainly not
+//! run, is distinguished from a broken connection. A response counts only if it is complete and
+//! carries the ID of its attempt.
 
 use crate::{
     context::Context,
@@ -36,63 +37,63 @@
 };
 use tokio::{sync::mpsc, task::JoinHandle, time::timeout_at};
 
-/// Time in which a connection must stand.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time that telling a worker to stop a task may take.
+/// Time limit of the request that stops a task on a worker.
 const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Connections to one worker that are kept open while idle.
+/// Maximum number of idle connections that are kept per worker.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// What this duty is told.
+/// Message to the workers thread.
 #[derive(Debug)]
 pub enum Dispatch {
-    /// Send an attempt.
+    /// Sends an attempt.
     Send {
-        /// The attempt.
+        /// ID of the attempt.
         attempt: AttemptId,
-        /// Where it goes.
+        /// Address of the worker or peer.
         addr: String,
-        /// Whether that is a peer.
+        /// Whether the address is that of a peer.
         forwarded: bool,
-        /// The pool that it is placed in.
+        /// Pool in which the request is placed.
         pool: PoolId,
-        /// The service.
+        /// Name of the service.
         service: ServiceId,
-        /// The request's id in all logs.
+        /// ID of the request in all logs.
         name: String,
-        /// The caller's key, for a peer.
+        /// Caller's key, which is sent to a peer.
         key: Option<String>,
-        /// The body.
+        /// Body of the request.
         body: Bytes,
-        /// The largest answer that is taken.
-        limit: usize,
-        /// Whether a connection may be used that a worker may just have closed.
+        /// Maximum size of the response, in bytes.
+        max_bytes: usize,
+        /// Whether the attempt may reuse a connection that the worker may just have closed.
         repeatable: bool,
-        /// When the answer is of no more use.
+        /// Time after which the response is of no use.
         deadline: Instant,
     },
-    /// Stop an attempt.
+    /// Stops an attempt.
     Stop(AttemptId),
 }
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// An attempt on its way.
+/// Attempt in progress.
 struct RunningAttempt {
     task: JoinHandle<()>,
     addr: String,
 }
 
-/// How an attempt ended, with its answer if that is whole.
+/// End of an attempt, with the response if it is complete.
 type AttemptResult = (AttemptEnd, Option<TaskResponse>);
 
 /// Sends attempts until the process ends.
 ///
 /// # Panics
 ///
-/// Panics when the system gives no event queue: without it the process is of no use.
+/// Panics when the system provides no event queue, without which the process cannot work.
 pub fn workers(ctx: &Arc<Context>, dispatches: mpsc::Receiver<Dispatch>) {
     let runtime = runtime().expect("the system gives an event queue");
     runtime.block_on(send_all(ctx, dispatches));
@@ -156,13 +157,13 @@
         let (end, response) = run_attempt(&http, dispatch).await;
         ctx.metrics.attempt(outcome::end_name(end));
         ctx.placement.notify(Message::Ended(attempt, end, response));
-        // The list of running attempts goes with the process.
+        // Sending fails only when the process ends.
         let _ = ended.send(attempt).await;
     });
     running.insert(attempt, RunningAttempt { task, addr });
 }
 
-/// Drops an attempt's connection and tells the worker to stop the task.
+/// Drops the connection of an attempt and requests that the worker stop the task.
 fn stop(http: &HttpClient, running: Option<RunningAttempt>, attempt: AttemptId) {
     let Some(running) = running else {
         return;
@@ -177,7 +178,7 @@
     };
     let call = http.request(request);
     tokio::spawn(async move {
-        // The lease ends the task if this does not reach the worker.
+        // If this request fails, the task ends with its lease.
         let _ = tokio::time::timeout(STOP_TIMEOUT, call).await;
     });
 }
@@ -187,17 +188,17 @@
         attempt,
         deadline,
         forwarded,
-        limit,
+        max_bytes,
         name,
         ..
     } = &dispatch
     else {
         return (AttemptEnd::NotSent, None);
     };
-    let (attempt, deadline, forwarded, limit) = (*attempt, *deadline, *forwarded, *limit);
+    let (attempt, deadline, forwarded, max_bytes) = (*attempt, *deadline, *forwarded, *max_bytes);
     let name = name.clone();
-    // The last look at the clock before the request leaves: a process that was frozen since it
-    // placed the request must not send it now.
+    // The deadline is checked right before the request is sent, so that a process that was
+    // suspended after placing the request does not send it now.
     if Instant::now() >= deadline {
         return (AttemptEnd::NotSent, None);
     }
@@ -206,8 +207,8 @@
     };
     let exchange = async {
         match http.request(request).await {
-            Ok(response) if forwarded => read_peer_response(response, &name, limit).await,
-            Ok(response) => read_worker_response(response, attempt, limit).await,
+            Ok(response) if forwarded => read_peer_response(response, &name, max_bytes).await,
+            Ok(response) => read_worker_response(response, attempt, max_bytes).await,
             Err(error) if error.is_connect() => (AttemptEnd::NotSent, None),
             Err(_) => (AttemptEnd::Broken, None),
         }
@@ -259,7 +260,7 @@
     format!("http://{addr}{TASKS}{attempt}")
 }
 
-/// Returns a deadline by the wall clock, in milliseconds since 1970.
+/// Converts a deadline to milliseconds since 1970 by the wall clock.
 fn unix_ms(deadline: Instant) -> u128 {
     let left = deadline.saturating_duration_since(Instant::now());
     let at = SystemTime::now() + left;
@@ -271,10 +272,10 @@
 async fn read_worker_response(
     response: Response<Incoming>,
     attempt: AttemptId,
-    limit: usize,
+    max_bytes: usize,
 ) -> AttemptResult {
     match response.headers().get(HEADER_REFUSED) {
-        // Some copy of this very attempt was begun: the opposite of a certain "not run".
+        // The worker has already begun a copy of this attempt, so the attempt may have run.
         Some(why) if why == REFUSED_SEEN => return (AttemptEnd::Broken, None),
         Some(_) => return (AttemptEnd::Refused, None),
         None => {}
@@ -287,17 +288,17 @@
     if response.status() != StatusCode::OK {
         return (AttemptEnd::Failed, None);
     }
-    match read_complete(response, limit).await {
+    match read_complete(response, max_bytes).await {
         Some(response) => (AttemptEnd::Done, Some(response)),
         None => (AttemptEnd::Failed, None),
     }
 }
 
-/// Reads what a peer made of a request; only an answer that bears the request's id counts.
+/// Reads the response of a peer, which counts only if it carries the ID of the request.
 async fn read_peer_response(
     response: Response<Incoming>,
     name: &str,
-    limit: usize,
+    max_bytes: usize,
 ) -> AttemptResult {
     let id = response.headers().get(problem::HEADER_REQUEST);
     if id.is_none_or(|id| id.as_bytes() != name.as_bytes()) {
@@ -308,7 +309,7 @@
     let status = response.status();
     match outcome {
         b"not-run" if status.is_server_error() => (AttemptEnd::Refused, None),
-        b"done" | b"not-run" | b"in-progress" => match read_complete(response, limit).await {
+        b"done" | b"not-run" | b"in-progress" => match read_complete(response, max_bytes).await {
             Some(response) => (AttemptEnd::Done, Some(response)),
             None => (AttemptEnd::Broken, None),
         },
@@ -316,16 +317,24 @@
     }
 }
 
-/// Reads a body to its announced end; `None` when it is cut short, too large, or when nothing
-/// says where it ends.
-async fn read_complete(response: Response<Incoming>, limit: usize) -> Option<TaskResponse> {
+/// Reads a body to its announced end. Returns `None` if the body is cut short, exceeds `max_bytes`, or
+/// has no announced end.
+async fn read_complete(response: Response<Incoming>, max_bytes: usize) -> Option<TaskResponse> {
     let status = response.status().as_u16();
-    let kind = response.headers().get(CONTENT_TYPE).cloned();
+    let content_type = response.headers().get(CONTENT_TYPE).cloned();
     let chunked = response.headers().contains_key("transfer-encoding");
     let body = response.into_body();
     if body.size_hint().exact().is_none() && !chunked {
         return None;
     }
-    let body = Limited::new(body, limit).collect().await.ok()?.to_bytes();
-    Some(TaskResponse { status, kind, body })
+    let body = Limited::new(body, max_bytes)
+        .collect()
+        .await
+        .ok()?
+        .to_bytes();
+    Some(TaskResponse {
+        status,
+        content_type,
+        body,
+    })
 }
