--- a/crates/havenladder/src/local_observations.rs
+++ b/crates/havenladder/src/local_observations.rs
@@ -1,4 +1,4 @@
-//! What this entry sees of its hall's workers itself, ahead of the agreed state.
+//! Observations that this entry makes of the workers in its data centre, ahead of the agreed state.
 
 use crate::sync::lock;
 use protocol::VmId;
@@ -7,33 +7,33 @@
     sync::Mutex,
 };
 
-/// VMs of the hall by what the last probes said.
+/// Latest observation of each VM of the data centre.
 #[derive(Default)]
 pub struct LocalObservations {
     observations: Mutex<BTreeMap<VmId, LocalObservation>>,
 }
 
-/// What the last probes of one VM said.
+/// Latest observation of one VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalObservation {
-    /// Probes that failed since the last one that was answered.
+    /// Number of failed probes since the last successful one.
     pub misses: u32,
     /// Whether the platform lists the VM as leaving.
     pub leaving: bool,
 }
 
-/// Probes in a row that must fail before a worker is suspected to be down.
+/// Number of consecutive failed probes after which a worker is suspected to be down.
 const SUSPECT_AFTER: u32 = 2;
 
 impl LocalObservation {
-    /// Tells whether the worker is suspected to be down.
+    /// Returns whether the worker is suspected to be down.
     pub fn is_suspect(self) -> bool {
         self.misses >= SUSPECT_AFTER
     }
 }
 
 impl LocalObservations {
-    /// Notes one probe.
+    /// Records the result of one probe.
     pub fn record_probe(&self, vm: &str, answered: bool) {
         let mut observations = lock(&self.observations);
         let observation = observations.entry(vm.to_owned()).or_default();
@@ -49,12 +49,12 @@
         missed.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Returns what is known of each VM.
+    /// Returns the observations of all VMs.
     pub fn all(&self) -> BTreeMap<VmId, LocalObservation> {
         lock(&self.observations).clone()
     }
 
-    /// Notes which VMs the platform lists as leaving.
+    /// Records which VMs the platform lists as leaving.
     pub fn set_leaving(&self, leaving: &BTreeSet<VmId>) {
         let mut observations = lock(&self.observations);
         for vm in leaving {
@@ -65,13 +65,14 @@
         }
     }
 
-    /// Forgets VMs that are not among `known`.
+    /// Removes the observations of VMs that are not in `known`.
     pub fn retain(&self, known: &BTreeSet<VmId>) {
         lock(&self.observations).retain(|vm, _| known.contains(vm));
     }
 
-    /// Returns VMs that should get no new work by what this entry sees.
-    pub fn unfit(&self) -> BTreeSet<VmId> {
+    /// Returns the VMs that should get no new work, since they are suspected to be down or are
+    /// leaving.
+    pub fn unusable(&self) -> BTreeSet<VmId> {
         lock(&self.observations)
             .iter()
             .filter(|(_, observation)| observation.is_suspect() || observation.leaving)
--- a/crates/havenladder/src/threads/follow.rs
+++ b/crates/havenladder/src/threads/follow.rs
@@ -1,4 +1,5 @@
-//! The duty that follows the log: it loads a state, applies what comes, and never goes back.
+//! Thread that replicates the log: loads a state, applies new records, and never goes back to lower
+//! offsets.
 
 use crate::{
     client::PeerClient,
@@ -19,21 +20,21 @@
     time::Duration,
 };
 
-/// Entries of a hall that read the platform's log; the others follow them.
+/// Number of entries per data centre that read the platform's log. The others read from them.
 const READERS_PER_DATA_CENTRE: usize = 2;
 
-/// Time between two tries when nobody can be reached.
+/// Delay before the next attempt when neither the log nor a peer can be reached.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What one round of reading came to.
+/// Result of one read.
 enum ReadResult {
-    /// Records that come next, or none for now.
+    /// Slice with the next records, which may be empty.
     Read(Slice),
-    /// Nobody could be reached.
+    /// Neither the log nor a peer could be reached.
     Unreachable,
 }
 
-/// Follows the log until the process ends.
+/// Replicates the log until the process ends.
 pub fn follow(ctx: &Arc<Context>) {
     let peers = PeerClient::new(&ctx.config.peers.key);
     while !ctx.fleet.is_loaded() {
@@ -47,7 +48,12 @@
         match read_next(ctx, &peers, next) {
             ReadResult::Read(slice) if slice.has_gap(next) => {
                 let (oldest, behind) = (slice.oldest, slice.oldest - next);
-                tracing::warn!(next, oldest, behind, "gap: the log has forgotten records");
+                tracing::warn!(
+                    next,
+                    oldest,
+                    behind,
+                    "gap: the log no longer retains the next records"
+                );
                 if !load(ctx, &peers) {
                     sleep(RETRY_INTERVAL);
                 }
@@ -58,11 +64,12 @@
     }
 }
 
-/// Loads a state from the log, or from a peer while the log cannot be reached.
+/// Loads a state from the log, or from a peer if the log has none to offer. Returns whether that
+/// succeeded.
 fn load(ctx: &Context, peers: &PeerClient) -> bool {
     let loaded = load_from_log(ctx).or_else(|| load_from_peer(ctx, peers));
     let Some(fleet) = loaded else {
-        tracing::warn!("no state could be loaded yet; nothing is served");
+        tracing::warn!("could not load the agreed state yet; serving nothing");
         return false;
     };
     tracing::info!(next = fleet.next, "loaded the agreed state");
@@ -71,7 +78,7 @@
     true
 }
 
-/// The newest snapshot of the log, or the empty state if the log still holds every record.
+/// Returns the newest snapshot of the log, or the empty state if the log still holds every record.
 fn load_from_log(ctx: &Context) -> Option<Fleet> {
     let slice = ctx.platform.read(FLEET, 0, Duration::ZERO).ok()?;
     ctx.reaches_log.store(true, Ordering::Relaxed);
@@ -84,13 +91,13 @@
         tracing::warn!(
             next = fleet.next,
             oldest = slice.oldest,
-            "gap behind the newest snapshot"
+            "gap between the newest snapshot and the oldest retained record"
         );
     }
     is_contiguous.then_some(fleet)
 }
 
-/// The state of the peer that is furthest ahead.
+/// Returns the state of the peer that has applied the most records.
 fn load_from_peer(ctx: &Context, peers: &PeerClient) -> Option<Fleet> {
     ctx.config
         .peers
@@ -100,7 +107,8 @@
         .max_by_key(|fleet| fleet.next)
 }
 
-/// Reads from the log or, as one of the hall's other entries, from one that does.
+/// Reads the next records from the log if this entry is one of the readers of its data centre.
+/// Otherwise reads from a peer first. Each falls back to the other source if its own does not respond.
 fn read_next(ctx: &Context, peers: &PeerClient, next: Offset) -> ReadResult {
     let is_reader = is_reader(ctx);
     if !is_reader && let Some(slice) = read_from_peer(ctx, peers, next) {
@@ -132,7 +140,8 @@
     rank.is_none_or(|rank| rank < READERS_PER_DATA_CENTRE)
 }
 
-/// Reads from the first peer that is ahead: those of the own hall before others.
+/// Reads from the first peer that responds, among those that reach the log or are ahead. Peers in
+/// the same data centre come first.
 fn read_from_peer(ctx: &Context, peers: &PeerClient, next: Offset) -> Option<Slice> {
     let ahead: Vec<String> = ctx
         .peers
@@ -172,7 +181,7 @@
     }
 }
 
-/// Tells the placing duty what the agreed state now says.
+/// Sends the services and workers of the agreed state to the placement thread.
 pub fn publish(ctx: &Context) {
     let services = services(&ctx.fleet.get());
     if **ctx.services.load() != services {
@@ -190,14 +199,15 @@
         .collect()
 }
 
-/// The hall's workers that take new work, by the agreed state and by what this entry sees.
+/// Returns the workers of this data centre that accept new work, according to both the agreed state
+/// and this entry's own observations.
 fn workers(ctx: &Context) -> Vec<WorkerInfo> {
-    let unfit = ctx.observations.unfit();
+    let unusable = ctx.observations.unusable();
     let fleet = ctx.fleet.get();
     fleet
         .vms
         .iter()
-        .filter(|(id, vm)| vm.hall == ctx.config.entry.hall && !unfit.contains(*id))
+        .filter(|(id, vm)| vm.hall == ctx.config.entry.hall && !unusable.contains(*id))
         .filter(|(_, vm)| vm.is_available())
         .map(|(id, vm)| WorkerInfo {
             vm: id.clone(),
--- a/crates/havenladder/src/threads/mod.rs
+++ b/crates/havenladder/src/threads/mod.rs
@@ -1,4 +1,4 @@
-//! The duties of an entry: one thread each, joined by bounded rings.
+//! Threads of an entry, connected by bounded channels.
 
 pub mod claims;
 pub mod editors;
@@ -15,14 +15,14 @@
 use crate::context::Context;
 use std::{io, sync::Arc, thread};
 
-/// Stack of a duty's thread; none recurses.
+/// Stack size of a thread. It can be small, since no thread recurses.
 const STACK_BYTES: usize = 512 << 10;
 
-/// Starts a duty in a thread of its own.
+/// Starts a named thread.
 ///
 /// # Errors
 ///
-/// Fails when the system gives no thread.
+/// Returns an error when the system cannot create the thread.
 pub fn spawn(
     name: &str,
     ctx: &Arc<Context>,
@@ -36,11 +36,11 @@
     Ok(())
 }
 
-/// Makes the small runtime of a duty that holds many connections.
+/// Creates a single-threaded runtime for a thread with many connections.
 ///
 /// # Errors
 ///
-/// Fails when the system gives no event queue.
+/// Returns an error when the system provides no event queue.
 pub fn runtime() -> io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/havenladder/src/threads/operators.rs
+++ b/crates/havenladder/src/threads/operators.rs
@@ -1,4 +1,4 @@
-//! The duty towards operators: JSON over HTTP, behind a key.
+//! Threads that serve operators: JSON over HTTP, authenticated by a key.
 
 mod burn;
 
@@ -18,16 +18,16 @@
 };
 use tiny_http::{Header, Method, Request, Response, Server};
 
-/// Threads that answer operators.
+/// Number of threads that serve operators.
 pub const LISTENER_THREADS: usize = 4;
 
-/// The largest order that is read, in bytes.
+/// Maximum size of an order, in bytes.
 const MAX_ORDER_BYTES: u64 = 8 << 20;
 
-/// An answer: its status, content type and body.
+/// Response to an operator.
 struct OperatorResponse {
     status: u16,
-    kind: &'static str,
+    content_type: &'static str,
     body: Vec<u8>,
 }
 
@@ -36,7 +36,7 @@
         match serde_json::to_vec(value) {
             Ok(body) => Self {
                 status: 200,
-                kind: "application/json",
+                content_type: "application/json",
                 body,
             },
             Err(error) => Self::problem(500, &error.to_string()),
@@ -47,13 +47,13 @@
         let body = serde_json::json!({ "status": status, "detail": detail });
         Self {
             status,
-            kind: "application/problem+json",
+            content_type: "application/problem+json",
             body: body.to_string().into_bytes(),
         }
     }
 }
 
-/// Answers operators until the process ends.
+/// Serves operators until the process ends.
 pub fn operators(ctx: &Arc<Context>, server: &Server) {
     while let Ok(mut request) = server.recv() {
         let response = if has_key(&request, &ctx.config.operators.key) {
@@ -67,10 +67,10 @@
 
 fn respond(request: Request, response: OperatorResponse) {
     let mut http_response = Response::from_data(response.body).with_status_code(response.status);
-    if let Ok(kind) = Header::from_bytes("content-type", response.kind) {
-        http_response.add_header(kind);
+    if let Ok(content_type) = Header::from_bytes("content-type", response.content_type) {
+        http_response.add_header(content_type);
     }
-    // An operator that went away asks again.
+    // An operator that has disconnected sends the request again.
     let _ = request.respond(http_response);
 }
 
@@ -80,7 +80,7 @@
     match (request.method(), path) {
         (Method::Get, "/metrics") => OperatorResponse {
             status: 200,
-            kind: "text/plain; version=0.0.4",
+            content_type: "text/plain; version=0.0.4",
             body: ctx.metrics.text().into_bytes(),
         },
         (Method::Get, "/state") => OperatorResponse::json(&state(ctx)),
@@ -121,7 +121,8 @@
     }
 }
 
-/// When the wave ends if it goes on as so far.
+/// Estimates when the wave ends if it keeps its present pace. Returns `None` if no VM is done yet
+/// or none is pending.
 fn estimate_end(wave: &Wave, done: usize, pending: usize) -> Option<SystemTime> {
     if done == 0 || pending == 0 {
         return None;
@@ -178,7 +179,7 @@
         Ok(order) => order,
         Err(error) => return OperatorResponse::problem(400, &format!("not an order: {error}")),
     };
-    tracing::info!(?order, "an operator's order");
+    tracing::info!(?order, "received an operator's order");
     match change_for(ctx, order) {
         Ok(change) => propose_change(ctx, change),
         Err(detail) => OperatorResponse::problem(404, &detail),
@@ -198,7 +199,7 @@
     }
 }
 
-/// Makes the proposal that an order asks for, from the state as it is now.
+/// Returns the change to propose for an order, based on the present state.
 fn change_for(ctx: &Context, order: Order) -> Result<Change, String> {
     let fleet = ctx.fleet.get();
     match order {
--- a/crates/havenladder/src/threads/operators/burn.rs
+++ b/crates/havenladder/src/threads/operators/burn.rs
@@ -1,4 +1,4 @@
-//! The burn report: the sum over all entries that answer.
+//! Burn report: the sum of the counts of all entries that respond.
 
 use crate::{
     client::PeerClient,
@@ -11,13 +11,13 @@
 use settings::Service;
 use std::collections::BTreeMap;
 
-/// Burn rate at which five minutes and an hour together call for somebody at once.
+/// Burn rate over both five minutes and one hour that requires attention at once.
 const FAST_RATE: f64 = 14.4;
 
-/// Burn rate at which half an hour and six hours together call for somebody today.
+/// Burn rate over both half an hour and six hours that requires attention on the same day.
 const SLOW_RATE: f64 = 6.0;
 
-/// Asks every entry and sums what they counted.
+/// Collects the counts of all entries and sums them.
 pub fn report(ctx: &Context) -> BurnReport {
     let client = PeerClient::new(&ctx.config.peers.key);
     let mut replies = vec![peers::burn(ctx)];
@@ -88,8 +88,8 @@
     }
 }
 
-/// Both a short and a long window must burn: the short one alone is a blip, and the long one
-/// alone is over already.
+/// Returns an alert if a short and a long window both burn too fast. A short window alone may be a
+/// brief spike, and a long window alone may reflect a fault that is already over.
 fn alert(rates: &[f64]) -> Option<String> {
     let &[five, thirty, hour, six] = rates else {
         return None;
--- a/crates/havenladder/src/threads/peers.rs
+++ b/crates/havenladder/src/threads/peers.rs
@@ -1,4 +1,4 @@
-//! The duties towards peers: answering them, and asking each how it is.
+//! Threads that serve peers and poll their status.
 
 use crate::{
     client::{MAX_RELAY_WAIT, PeerClient},
@@ -19,10 +19,10 @@
 };
 use tiny_http::{Header, Request, Response, Server};
 
-/// Threads that answer peers; each may hold one request for records.
+/// Number of threads that serve peers. Each of them may be blocked by one request for records.
 pub const LISTENER_THREADS: usize = 12;
 
-/// Answers peers until the process ends.
+/// Serves peers until the process ends.
 pub fn serve_peers(ctx: &Arc<Context>, server: &Server) {
     while let Ok(request) = server.recv() {
         handle(ctx, request);
@@ -67,7 +67,7 @@
     })
 }
 
-/// Returns what this entry has counted.
+/// Returns the burn counts of this entry.
 pub fn burn(ctx: &Context) -> BurnReply {
     BurnReply {
         entry: ctx.config.entry.name.clone(),
@@ -80,7 +80,7 @@
     encode(message).ok()
 }
 
-/// Tells whether a request bears the key, as a header of its own or as a bearer token.
+/// Returns whether a request carries the key, either in its own header or as a bearer token.
 pub fn has_key(request: &Request, key: &str) -> bool {
     request.headers().iter().any(|header| {
         let value = header.value.as_str();
@@ -96,14 +96,14 @@
 
 fn respond(request: Request, status: u16, body: Vec<u8>) {
     let mut response = Response::from_data(body).with_status_code(status);
-    if let Ok(kind) = Header::from_bytes("content-type", "application/msgpack") {
-        response.add_header(kind);
+    if let Ok(content_type) = Header::from_bytes("content-type", "application/msgpack") {
+        response.add_header(content_type);
     }
-    // A peer that went away asks again.
+    // A peer that has disconnected sends the request again.
     let _ = request.respond(response);
 }
 
-/// Asks every peer how it is, until the process ends.
+/// Polls the status of every peer until the process ends.
 pub fn poll_peers(ctx: &Arc<Context>) {
     let client = PeerClient::new(&ctx.config.peers.key);
     loop {
@@ -120,7 +120,7 @@
     }
 }
 
-/// The live entries of other halls, with the room they see.
+/// Returns the live entries of other data centres, with the capacity that they report.
 fn peers_in_other_halls(ctx: &Context) -> Vec<Peer> {
     ctx.peers
         .live()
--- a/crates/havenladder/src/threads/snapshots.rs
+++ b/crates/havenladder/src/threads/snapshots.rs
@@ -1,7 +1,7 @@
-//! The duty that keeps a snapshot of the agreed state in the log.
+//! Thread that writes snapshots of the agreed state to the log.
 //!
-//! The fold is the same everywhere, so it does no harm when two entries write one; the first by
-//! rank does, and the next only when the newest one has grown old all the same.
+//! All entries compute the same state, so it does no harm if two entries write a snapshot. The
+//! first entry by rank writes it, and the next one only if there is still no recent snapshot.
 
 use crate::context::Context;
 use fleet::{Chunk, Fleet, assemble, chunks, encode_snapshot};
@@ -13,16 +13,16 @@
     time::{Duration, Instant},
 };
 
-/// The stream of snapshots.
+/// Name of the log stream that holds the snapshots.
 const SNAPSHOTS: &str = "snapshots";
 
-/// Records of the stream that are looked through for the newest whole snapshot.
+/// Number of records at the end of the stream that are searched for the newest complete snapshot.
 const SEARCHED_RECORDS: Offset = 64;
 
-/// Time between two looks at whether a snapshot is due.
+/// Interval between two checks whether a snapshot is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Keeps snapshots in the log until the process ends.
+/// Writes snapshots to the log until the process ends.
 pub fn snapshots(ctx: &Arc<Context>) {
     let mut written: Offset = 0;
     let mut due = Instant::now() + ctx.config.snapshots.interval;
@@ -38,7 +38,7 @@
         if !(has_enough_records || is_old) {
             continue;
         }
-        // Those that rank lower wait a little, and find it written.
+        // Entries of lower rank wait longer, and usually find that the snapshot has been written.
         sleep(CHECK_INTERVAL * rank_of(ctx));
         let newest = newest(&ctx.platform).map_or(0, |fleet| fleet.next);
         written = if newest > written {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns the newest whole snapshot of the log.
+/// Returns the newest complete snapshot in the log.
 pub fn newest(platform: &HttpPlatform) -> Option<Fleet> {
     let bounds = platform.read(SNAPSHOTS, Offset::MAX, Duration::ZERO).ok()?;
     let mut from = bounds
--- a/crates/havenladder/src/threads/steward.rs
+++ b/crates/havenladder/src/threads/steward.rs
@@ -1,4 +1,4 @@
-//! The duty that plans errands and carries out those whose leases this entry holds.
+//! Thread that plans the grants of VMs and carries out those whose leases this entry holds.
 
 mod drift;
 
@@ -19,17 +19,18 @@
     time::{Duration, Instant, SystemTime},
 };
 
-/// Time after which a plan is made anew although nothing has changed: leases end by time alone.
+/// Interval after which a new plan is made even if nothing has changed, since leases expire without
+/// a record in the log.
 const REPLAN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A VM with an errand that falls to this entry.
+/// Granted VM for which this entry is responsible.
 struct AssignedGrant {
     id: VmId,
     vm: Vm,
     grant: Grant,
 }
 
-/// Plans and carries out until the process ends.
+/// Plans and carries out grants until the process ends.
 pub fn steward(ctx: &Arc<Context>) {
     let mut plan_inputs = PlanInputs::default();
     loop {
@@ -39,14 +40,15 @@
         }
         let remaining = next.saturating_duration_since(Instant::now());
         let applied = ctx.fleet.get().next;
-        // A new record may be a grant; it is not left waiting for the next round.
+        // A new record may hold a grant, which is then carried out without waiting for the next
+        // round.
         ctx.fleet
             .wait(Instant::now() + remaining, |next| next > applied);
         sleep(Duration::from_millis(1));
     }
 }
 
-/// What the last plan was made from.
+/// Inputs of the last plan, and the time until which the plan is used.
 #[derive(Default)]
 struct PlanInputs {
     next: Offset,
@@ -55,7 +57,7 @@
 }
 
 impl PlanInputs {
-    /// Tells whether a new plan could come to anything else, and notes that it is made now.
+    /// Returns whether a new plan could differ from the last one. If so, records the new inputs.
     fn is_due(&mut self, next: Offset, members: &BTreeMap<EntryId, HallId>) -> bool {
         let now = Instant::now();
         let is_fresh = self.expires.is_some_and(|expires| now < expires);
@@ -97,7 +99,7 @@
     }
 }
 
-/// Proposes changes and logs what was decided; tells whether all of them took effect.
+/// Proposes changes and logs their outcomes. Returns whether all of them took effect.
 fn propose_changes(ctx: &Context, changes: Vec<Change>) -> bool {
     match propose(ctx, changes.clone()) {
         Ok(decided) => {
@@ -107,14 +109,14 @@
             decided.outcomes.iter().all(|one| *one == Outcome::Applied)
         }
         Err(error @ (ProposeError::NotTaken(_) | ProposeError::Unknown)) => {
-            tracing::warn!(%error, "could not propose");
+            tracing::warn!(%error, "could not propose changes");
             false
         }
     }
 }
 
-/// Errands whose leases this entry holds. What needs no lease falls to the first live entry of the
-/// hall.
+/// Returns the grants whose leases this entry holds. A grant without a lease is carried out by the
+/// first live entry of the VM's data centre by rank.
 fn assigned_grants(ctx: &Context, members: &BTreeMap<EntryId, HallId>) -> Vec<AssignedGrant> {
     let view = view(ctx, members);
     let fleet = ctx.fleet.get();
@@ -139,7 +141,7 @@
     let info = match ctx.platform.look(&assigned.id) {
         Ok(info) => info,
         Err(error) => {
-            tracing::warn!(vm = %assigned.id, %error, "could not look at the VM");
+            tracing::warn!(vm = %assigned.id, %error, "could not read the state of the VM");
             return;
         }
     };
@@ -165,7 +167,7 @@
     let (vm, grant) = (assigned.id.clone(), assigned.grant.id);
     match action {
         Action::Wait => {}
-        Action::Lapsed => tracing::warn!(%vm, grant, "the lease has ended; not acting"),
+        Action::Lapsed => tracing::warn!(%vm, grant, "the lease has expired; taking no action"),
         Action::Renew => {
             propose_changes(ctx, vec![renewal(ctx, assigned)]);
         }
@@ -192,16 +194,16 @@
     })
 }
 
-/// Calls the platform; the last thing before the call is a look at the clock, so that a process
-/// that was frozen over its lease does nothing.
+/// Calls the platform. The lease is checked right before the call, so that a process that was
+/// suspended beyond the end of its lease does nothing.
 fn call(ctx: &Context, assigned: &AssignedGrant, call: &VmCall) {
     if assigned.grant.has_lease() && SystemTime::now() >= assigned.grant.deadline {
-        tracing::warn!(vm = %assigned.id, ?call, "the lease ended before the call; not calling");
+        tracing::warn!(vm = %assigned.id, ?call, "the lease expired before the call; not calling");
         return;
     }
     match ctx.platform.call(&assigned.id, call) {
         Ok(()) => tracing::info!(vm = %assigned.id, ?call, "called"),
-        // The next round looks at what became of it.
+        // The next round checks whether the call took effect.
         Err(error) => tracing::warn!(vm = %assigned.id, ?call, %error, "call failed"),
     }
 }
@@ -217,10 +219,11 @@
     }
 }
 
-/// Slots of the VM's pool that this entry finds silent and the agreed state still counts as up.
+/// Returns the number of slots in the VM's pool that this entry observes as down or leaving while
+/// the agreed state still counts them as available.
 fn unreported_slots(ctx: &Context, fleet: &Fleet, vm: &Vm) -> u32 {
-    let unfit = ctx.observations.unfit();
-    unfit
+    let unusable = ctx.observations.unusable();
+    unusable
         .iter()
         .filter_map(|id| fleet.vms.get(id))
         .filter(|other| other.pool == vm.pool && other.is_available())
--- a/crates/havenladder/src/threads/steward/drift.rs
+++ b/crates/havenladder/src/threads/steward/drift.rs
@@ -1,4 +1,4 @@
-//! VMs that the platform shows otherwise than the agreed state has them, and no grant says why.
+//! VMs whose state on the platform differs from the agreed state without a grant that explains it.
 
 use super::view;
 use crate::context::Context;
@@ -7,8 +7,8 @@
 use protocol::{EntryId, HallId, VmId};
 use std::collections::BTreeMap;
 
-/// VMs without an errand that fall to this entry and that the platform shows otherwise than the
-/// agreed state has them: drained, or serving another pool.
+/// Returns the VMs without a grant for which this entry is responsible and whose state on the
+/// platform differs from the agreed state: they are drained, or assigned to another pool.
 pub fn drifted_vms(ctx: &Context, members: &BTreeMap<EntryId, HallId>) -> Vec<(VmId, Vm)> {
     let view = view(ctx, members);
     let fleet = ctx.fleet.get();
@@ -27,8 +27,8 @@
     info.drained || info.pool != vm.pool
 }
 
-/// Ends a drain that nothing asks for any more, and tells a worker which pool it serves. The
-/// token is the VM's version, so that a newer grant's calls win over this one.
+/// Undrains a VM that should not be drained, and assigns it to its pool. The token is derived from
+/// the VM's version, so that calls of a newer grant take precedence.
 pub fn correct(ctx: &Context, id: &str, vm: &Vm) {
     let Ok(Some(info)) = ctx.platform.look(id) else {
         return;
@@ -42,9 +42,9 @@
             vm = id,
             token,
             pool = vm.pool,
-            "put the VM at its pool's service"
+            "reassigned the VM to its pool"
         ),
         Err(CallError::Refused(_)) => {}
-        Err(error) => tracing::warn!(vm = id, %error, "could not put the VM at service"),
+        Err(error) => tracing::warn!(vm = id, %error, "could not reassign the VM to its pool"),
     }
 }
--- a/crates/havenladder/src/threads/stop.rs
+++ b/crates/havenladder/src/threads/stop.rs
@@ -1,5 +1,5 @@
-//! The duty that stops the process: on the first signal when everything in progress is finished,
-//! on the second at once.
+//! Thread that stops the process: after the first signal once nothing is in progress, and after the
+//! second one at once.
 
 use crate::{context::Context, threads::placement::Message};
 use serving::Event;
@@ -15,34 +15,35 @@
     time::{Duration, Instant},
 };
 
-/// Time for which requests are still taken, so that the balancer sees that the entry is leaving.
+/// Time for which requests are still accepted after the signal, so that the load balancer can
+/// notice that the entry is shutting down.
 const GRACE_PERIOD: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks at whether anything is in progress.
+/// Interval between two checks whether anything is in progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time for which answers that have been given are still written out.
+/// Time for sending responses that are already complete.
 const FLUSH_PERIOD: Duration = Duration::from_millis(100);
 
-/// The longest time that a planned stop waits for what is in progress.
+/// Maximum time that a graceful stop waits for requests in progress.
 const STOP_TIMEOUT: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Exit code of a process that was told twice to stop.
+/// Exit code of a process that received a second stop signal.
 const FORCED_EXIT_CODE: i32 = 130;
 
-/// Waits for signals until the process ends.
+/// Handles signals until the process ends.
 ///
 /// # Errors
 ///
-/// Fails when the signals cannot be taken.
+/// Returns an error when the signal handlers cannot be installed.
 pub fn stop(ctx: &Arc<Context>) -> io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     for _ in signals.forever() {
         if ctx.leaving.swap(true, Ordering::Relaxed) {
-            tracing::warn!("told to stop a second time; stopping at once");
+            tracing::warn!("received a second stop signal; exiting at once");
             exit(FORCED_EXIT_CODE);
         }
-        tracing::info!("leaving: no longer ready, finishing what is in progress");
+        tracing::info!("shutting down: no longer ready, finishing requests in progress");
         let ctx = Arc::clone(ctx);
         spawn(move || leave(&ctx));
     }
@@ -57,7 +58,7 @@
         sleep(POLL_INTERVAL);
     }
     sleep(FLUSH_PERIOD);
-    tracing::info!("nothing is in progress; stopped");
+    tracing::info!("nothing is in progress; exiting");
     exit(0);
 }
 
--- a/crates/havenladder/src/threads/watch.rs
+++ b/crates/havenladder/src/threads/watch.rs
@@ -1,7 +1,7 @@
-//! The duty that watches the hall's workers and the platform's list of VMs.
+//! Thread that observes the workers of the data centre and the platform's list of VMs.
 //!
-//! What it sees steers this entry's own placing at once; the agreed state is told of changes
-//! only, many in one record, by the first entry of the hall by rank for each VM.
+//! Observations affect this entry's own placement at once. Only changes are proposed to the agreed
+//! state, many in one record, and for each VM only by the first entry of its data centre by rank.
 
 mod report;
 
@@ -34,28 +34,29 @@
     time::{Instant, sleep_until, timeout},
 };
 
-/// The largest report of a worker that is read, in bytes.
+/// Maximum size of a worker's usage report, in bytes.
 const MAX_USAGE_BYTES: usize = 4 << 10;
 
-/// Connections to one worker that are kept for probes: none, since each would hold buffers.
+/// Maximum number of idle connections per worker that are kept for probes. It is zero, since each
+/// connection would hold buffers.
 const MAX_IDLE_CONNECTIONS: usize = 0;
 
 type ProbeClient = Client<HttpConnector, Empty<Bytes>>;
 
-/// A VM that is to be probed, with its worker's address.
+/// VM to probe and the address of its worker.
 type Target = (VmId, String);
 
-/// What one probe brought.
+/// Result of one probe.
 struct ProbeResult {
     vm: VmId,
     usage: Option<Usage>,
 }
 
-/// Watches until the process ends.
+/// Observes workers until the process ends.
 ///
 /// # Panics
 ///
-/// Panics when the system gives no event queue: without it the process is of no use.
+/// Panics when the system provides no event queue, without which the process cannot work.
 pub fn watch(ctx: &Arc<Context>) {
     let runtime = runtime().expect("the system gives an event queue");
     let mut connector = HttpConnector::new();
@@ -75,7 +76,7 @@
 }
 
 fn round(ctx: &Context, runtime: &Runtime, probe: &ProbeClient, targets: Vec<Target>) {
-    let before = ctx.observations.unfit();
+    let before = ctx.observations.unusable();
     let patience = ctx.config.watch.patience;
     let probed = runtime.block_on(probe_all(probe, targets, patience));
     let listed = list_vms(ctx);
@@ -83,10 +84,11 @@
         record_leaving(ctx, listed);
     }
     record_probes(ctx, &probed);
-    if ctx.observations.unfit() != before {
+    if ctx.observations.unusable() != before {
         publish(ctx);
     }
-    // Without the list it is not known whether a silent VM is down or cut off with the platform.
+    // Without the list, a VM that is down cannot be told from one that this entry merely cannot
+    // reach together with the platform.
     let Some(listed) = listed else {
         return;
     };
@@ -99,13 +101,13 @@
     if !seen.is_empty() {
         tracing::info!(?seen, "observed");
         if let Err(error) = propose(ctx, vec![Change::Observe(seen)]) {
-            tracing::warn!(%error, "could not record what was observed");
+            tracing::warn!(%error, "could not record the observations");
         }
     }
 }
 
-/// The platform's list for this entry's hall, and for halls that have no live entry left and fall
-/// to this one.
+/// Returns the platform's list of VMs of this data centre, and of those data centres without a live
+/// entry for which this entry is responsible.
 fn list_vms(ctx: &Context) -> Option<Vec<VmInfo>> {
     let mut listed = ctx.platform.list(&ctx.config.entry.hall).ok()?;
     for hall in orphaned_halls(ctx) {
@@ -130,8 +132,8 @@
         .collect()
 }
 
-/// The hall's VMs whose next_index it is to be probed: suspects always, others one after the other, as
-/// many as the limit allows.
+/// Returns the VMs to probe in this round: all suspects, and others in rotation as far as the limit
+/// allows.
 fn targets(ctx: &Context, next_index: &mut usize) -> Vec<Target> {
     let suspects = ctx.observations.suspects();
     let known: Vec<Target> = {
--- a/crates/havenladder/src/threads/watch/report.rs
+++ b/crates/havenladder/src/threads/watch/report.rs
@@ -1,4 +1,4 @@
-//! What the agreed state is told of VMs: changes only, each by one entry.
+//! Changes of VMs that are proposed to the agreed state, each by one entry only.
 
 use crate::{context::Context, local_observations::LocalObservation};
 use fleet::{Health, Observation, Seen, Vm};
@@ -6,7 +6,7 @@
 use protocol::{EntryId, HallId, VmId, first_in_hall, ranked};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the agreed state should be told, of the VMs that fall to this entry.
+/// Returns the changes to propose for the VMs for which this entry is responsible.
 pub fn changes(
     ctx: &Context,
     listed: &[VmInfo],
@@ -52,8 +52,8 @@
     changes
 }
 
-/// The live entry that records what becomes of a VM: one of its hall, or the one that the hall
-/// has fallen to if it has none left.
+/// Returns the live entry that reports changes of a VM: one in the VM's data centre, or the one
+/// that is responsible for the data centre if it has no live entry.
 fn reporter<'m>(members: &'m BTreeMap<EntryId, HallId>, id: &str, hall: &str) -> Option<&'m str> {
     first_in_hall(members, hall, id).or_else(|| {
         let all = members.keys().map(String::as_str);
@@ -61,8 +61,8 @@
     })
 }
 
-/// Weighs the lagging list against the probes: the list alone never brings a VM up again that
-/// this entry itself finds silent, and an old list never takes a count of boots back.
+/// Combines the platform's list, which lags behind, with this entry's probes. The list alone never
+/// marks a VM as up that fails the probes, and an outdated list never decreases the boot count.
 fn observe(
     info: &VmInfo,
     vm: Option<&Vm>,
