--- a/crates/havenladder/benches/claims.rs
+++ b/crates/havenladder/benches/claims.rs
@@ -35,7 +35,7 @@
         .build()
         .expect("a runtime");
     let before = site.appends();
-    let done = runtime.block_on(offer(&site));
+    let done = runtime.block_on(send_orders(&site));
     let appends = site.appends() - before;
     let seconds = RUN_TIME.as_secs_f64();
     println!(
@@ -45,7 +45,7 @@
     );
 }
 
-async fn offer(site: &Site) -> u64 {
+async fn send_orders(site: &Site) -> u64 {
     let http: Client<HttpConnector, Full<bytes::Bytes>> =
         Client::builder(TokioExecutor::new()).build(HttpConnector::new());
     let started = Instant::now();
--- a/crates/havenladder/benches/load.rs
+++ b/crates/havenladder/benches/load.rs
@@ -22,7 +22,7 @@
 
 /// Returns three classes of requests that share the same workers. Within a class, run times vary by
 /// a factor of ten, and no request declares its run time.
-fn kinds(times: f64, slots: f64) -> Vec<Kind> {
+fn kinds(load_factor: f64, slots: f64) -> Vec<Kind> {
     let kind = |service: &str, low: f64, share: f64, patience: u64| {
         let mut kind = Kind {
             service: format!("place/pool/{service}"),
@@ -31,7 +31,7 @@
             run_ms: (low, low * 10.0),
             patience: Duration::from_millis(patience),
         };
-        kind.rate = times * slots * share / kind.mean_run();
+        kind.rate = load_factor * slots * share / kind.mean_run();
         kind
     };
     vec![
@@ -53,8 +53,8 @@
     println!(
         "load  way       class    offered   good  share  refused   lost  p99-good  p99-refusal"
     );
-    for times in [0.5, 1.0, 2.0, 4.0] {
-        let kinds = kinds(times, slots as f64);
+    for load_factor in [0.5, 1.0, 2.0, 4.0] {
+        let kinds = kinds(load_factor, slots as f64);
         let baseline = Way::Baseline {
             workers: workers.clone(),
             slots,
@@ -64,12 +64,12 @@
             ("baseline", baseline),
         ] {
             let tallies = runtime.block_on(offer(way, &kinds, RUN_TIME, 7));
-            report(times, name, &kinds, &tallies);
+            report(load_factor, name, &kinds, &tallies);
         }
     }
 }
 
-fn report(times: f64, name: &str, kinds: &[Kind], tallies: &[Tally]) {
+fn report(load_factor: f64, name: &str, kinds: &[Kind], tallies: &[Tally]) {
     let mut work = 0.0;
     for (kind, tally) in kinds.iter().zip(tallies) {
         let class = kind.service.rsplit('/').next().unwrap_or_default();
@@ -77,7 +77,7 @@
             histogram.value_at_quantile(0.99) as f64 / 1e3
         };
         println!(
-            "{times:>4}  {name:<9} {class:<8} {:>7} {:>6} {:>6.3} {:>8} {:>6} {:>7.1}ms {:>9.2}ms {:>8.3}",
+            "{load_factor:>4}  {name:<9} {class:<8} {:>7} {:>6} {:>6.3} {:>8} {:>6} {:>7.1}ms {:>9.2}ms {:>8.3}",
             tally.offered,
             tally.good,
             tally.good as f64 / tally.offered.max(1) as f64,
@@ -92,7 +92,7 @@
     }
     let good: u64 = tallies.iter().map(|tally| tally.good).sum();
     println!(
-        "{times:>4}  {name:<9} all: good {good} ({:.0}/s), good work {work:.1} slot-seconds",
+        "{load_factor:>4}  {name:<9} all: good {good} ({:.0}/s), good work {work:.1} slot-seconds",
         good as f64 / RUN_TIME.as_secs_f64()
     );
 }
--- a/crates/havenladder/src/commands/bug_report.rs
+++ b/crates/havenladder/src/commands/bug_report.rs
@@ -1,6 +1,6 @@
 //! `bug-report`: prints the settings and state that are needed to diagnose a fault, without keys.
 
-use super::{CommandError, Setup};
+use super::{CommandError, GlobalOptions};
 use crate::configs;
 use serde_json::{Value, json};
 
@@ -8,9 +8,9 @@
 const PATHS: [&str; 3] = ["/members", "/state", "/burn"];
 
 /// Prints the report. A path that fails is reported with its error in place of the response.
-pub fn bug_report(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let config = configs::load(setup.config)?;
-    let client = setup.client()?;
+pub fn bug_report(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let config = configs::load(options.config)?;
+    let client = options.client()?;
     let mut report = json!({
         "version": env!("CARGO_PKG_VERSION"),
         "system": std::env::consts::OS,
--- a/crates/havenladder/src/commands/burn.rs
+++ b/crates/havenladder/src/commands/burn.rs
@@ -1,6 +1,6 @@
 //! `burn`: reports how fast services use up their error budgets.
 
-use super::{CommandError, Setup, table};
+use super::{CommandError, GlobalOptions, table};
 use crate::operate::{BurnReport, BurnRow};
 use std::collections::BTreeMap;
 
@@ -8,9 +8,9 @@
 const BAR_WIDTH: usize = 20;
 
 /// Fetches the burn report from the entry and prints it.
-pub fn burn(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let report: BurnReport = setup.client()?.get("/burn")?;
-    setup.print(&report, show);
+pub fn burn(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let report: BurnReport = options.client()?.get("/burn")?;
+    options.print(&report, show);
     Ok(())
 }
 
@@ -20,7 +20,7 @@
     headings.extend(["LEFT", "", "LOST TO"]);
     let mut table = table::table(&headings);
     for (service, row) in &report.services {
-        table.add_row(line(service, row));
+        table.add_row(table_row(service, row));
     }
     table::print(&table, "no services");
     for (service, row) in &report.services {
@@ -31,32 +31,32 @@
     let answered = report.answered.join(", ");
     println!(
         "counted by {answered}, since {}",
-        table::distance(report.since)
+        table::relative_time(report.since)
     );
     if !report.silent.is_empty() {
         println!("did not answer, not counted: {}", report.silent.join(", "));
     }
 }
 
-fn line(service: &str, row: &BurnRow) -> Vec<String> {
-    let longest = row.cells.last().cloned().unwrap_or_default();
-    let total = longest.total();
+fn table_row(service: &str, row: &BurnRow) -> Vec<String> {
+    let longest_window = row.cells.last().cloned().unwrap_or_default();
+    let total = longest_window.total();
     let good = if total == 0 {
         "-".to_owned()
     } else {
-        format!("{:.3} %", 100.0 * longest.good as f64 / total as f64)
+        format!("{:.3} %", 100.0 * longest_window.good as f64 / total as f64)
     };
-    let mut line = vec![
+    let mut cells = vec![
         service.to_owned(),
         format!("{:.2} %", 100.0 * row.objective),
         good,
         total.to_string(),
     ];
-    line.extend(row.rates.iter().map(|rate| format!("{rate:.1}x")));
-    line.push(format!("{:.0} %", 100.0 * row.left));
-    line.push(bar(row.left));
-    line.push(causes(&longest.lost));
-    line
+    cells.extend(row.rates.iter().map(|rate| format!("{rate:.1}x")));
+    cells.push(format!("{:.0} %", 100.0 * row.left));
+    cells.push(bar(row.left));
+    cells.push(causes(&longest_window.lost));
+    cells
 }
 
 fn bar(left: f64) -> String {
--- a/crates/havenladder/src/commands/day.rs
+++ b/crates/havenladder/src/commands/day.rs
@@ -5,7 +5,7 @@
 //! JSON object of a line is skipped, so logs that were collected with a prefix can be read
 //! unchanged.
 
-use super::{CommandError, Setup, table};
+use super::{CommandError, GlobalOptions, table};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, fs, path::Path};
 
@@ -111,19 +111,19 @@
 }
 
 /// Reads a log file and prints its summary.
-pub fn day(setup: &Setup<'_>, file: &Path) -> Result<(), CommandError> {
+pub fn day(options: &GlobalOptions<'_>, file: &Path) -> Result<(), CommandError> {
     let text = fs::read_to_string(file)
         .map_err(|error| CommandError::Io(file.display().to_string(), error))?;
-    let day = read(&text);
-    setup.print(&day, show);
+    let day = summarize(&text);
+    options.print(&day, show);
     Ok(())
 }
 
 /// Summarizes log lines; lines without a JSON object are skipped.
-fn read(text: &str) -> Day {
+fn summarize(text: &str) -> Day {
     let mut day = Day::default();
     let mut pools = BTreeMap::new();
-    for line in text.lines().filter_map(parse) {
+    for line in text.lines().filter_map(parse_line) {
         let Some(second) = line.timestamp.get(..SECOND_LENGTH) else {
             continue;
         };
@@ -155,7 +155,7 @@
 }
 
 /// Parses the JSON object that begins at the first brace of a line.
-fn parse(line: &str) -> Option<Line> {
+fn parse_line(line: &str) -> Option<Line> {
     serde_json::from_str(&line[line.find('{')?..]).ok()
 }
 
--- a/crates/havenladder/src/commands/entries.rs
+++ b/crates/havenladder/src/commands/entries.rs
@@ -1,12 +1,12 @@
 //! `entries`: shows the entries and how far each one has applied the log.
 
-use super::{CommandError, Setup, table};
+use super::{CommandError, GlobalOptions, table};
 use crate::operate::MemberReply;
 
 /// Lists the entries.
-pub fn entries(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let members: Vec<MemberReply> = setup.client()?.get("/members")?;
-    setup.print(&members, |members| {
+pub fn entries(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let members: Vec<MemberReply> = options.client()?.get("/members")?;
+    options.print(&members, |members| {
         let mut table = table::table(&["ENTRY", "HALL", "NEXT OFFSET", "LOG"]);
         for member in members {
             let next = member.next.map(|next| next.to_string());
--- a/crates/havenladder/src/commands/explain.rs
+++ b/crates/havenladder/src/commands/explain.rs
@@ -1,13 +1,13 @@
 //! `explain`: explains the state of a VM, level or request.
 
-use super::{CommandError, Setup, table};
+use super::{CommandError, GlobalOptions, table};
 use crate::operate::Explanation;
 
 /// Prints the entry's explanation of `subject`.
-pub fn explain(setup: &Setup<'_>, subject: &str) -> Result<(), CommandError> {
+pub fn explain(options: &GlobalOptions<'_>, subject: &str) -> Result<(), CommandError> {
     let path = format!("/explain?subject={subject}");
-    let explanation: Explanation = setup.client()?.get(&path)?;
-    setup.print(&explanation, |explanation| {
+    let explanation: Explanation = options.client()?.get(&path)?;
+    options.print(&explanation, |explanation| {
         println!("{}", explanation.subject);
         for line in &explanation.lines {
             println!("  {line}");
--- a/crates/havenladder/src/commands/mod.rs
+++ b/crates/havenladder/src/commands/mod.rs
@@ -69,14 +69,14 @@
 }
 
 /// Options that all commands share.
-pub struct Setup<'a> {
+pub struct GlobalOptions<'a> {
     /// Path of this process's settings file.
     pub config: &'a Path,
     /// Whether to print JSON instead of tables.
     pub json: bool,
 }
 
-impl Setup<'_> {
+impl GlobalOptions<'_> {
     /// Creates a client for the entry that is named in the settings file.
     ///
     /// # Errors
@@ -104,11 +104,11 @@
     if matches!(args.command, Command::Entry) {
         return crate::entry::run();
     }
-    let setup = Setup {
+    let options = GlobalOptions {
         config: &args.config,
         json: args.json,
     };
-    match dispatch(&setup, args.command) {
+    match dispatch(&options, args.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
@@ -117,22 +117,22 @@
     }
 }
 
-fn dispatch(setup: &Setup<'_>, command: Command) -> Result<(), CommandError> {
+fn dispatch(options: &GlobalOptions<'_>, command: Command) -> Result<(), CommandError> {
     match command {
-        Command::Serve => serve::serve(setup),
+        Command::Serve => serve::serve(options),
         // `run` has dispatched this command already, since it reads the platform's settings file.
         Command::Entry => Ok(()),
-        Command::Settings(command) => settings::settings(setup, command),
-        Command::Wave(command) => wave::wave(setup, command),
-        Command::Vm(command) => vm::vm(setup, command),
-        Command::Pool(_) => pool::pool(setup),
-        Command::Explain { subject } => explain::explain(setup, &subject),
-        Command::Day { file } => day::day(setup, &file),
-        Command::Burn => burn::burn(setup),
-        Command::Entries => entries::entries(setup),
-        Command::BugReport => bug_report::bug_report(setup),
-        Command::PrintConfig => print_config(setup),
-        Command::Timings => timings::timings(setup),
+        Command::Settings(command) => settings::settings(options, command),
+        Command::Wave(command) => wave::wave(options, command),
+        Command::Vm(command) => vm::vm(options, command),
+        Command::Pool(_) => pool::pool(options),
+        Command::Explain { subject } => explain::explain(options, &subject),
+        Command::Day { file } => day::day(options, &file),
+        Command::Burn => burn::burn(options),
+        Command::Entries => entries::entries(options),
+        Command::BugReport => bug_report::bug_report(options),
+        Command::PrintConfig => print_config(options),
+        Command::Timings => timings::timings(options),
         Command::Key => {
             println!("{}", ulid::Ulid::new());
             Ok(())
@@ -149,8 +149,8 @@
     }
 }
 
-fn print_config(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let config = configs::load(setup.config)?;
+fn print_config(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let config = configs::load(options.config)?;
     if let Ok(text) = serde_json::to_string_pretty(&config) {
         println!("{text}");
     }
@@ -158,8 +158,8 @@
 }
 
 /// Sends an operator's order and returns its receipt, or an error if the order was rejected.
-fn send_order(setup: &Setup<'_>, order: &Order) -> Result<Receipt, CommandError> {
-    let receipt: Receipt = setup.client()?.post("/orders", order)?;
+fn send_order(options: &GlobalOptions<'_>, order: &Order) -> Result<Receipt, CommandError> {
+    let receipt: Receipt = options.client()?.post("/orders", order)?;
     match receipt.outcome {
         Outcome::Rejected(reason) => Err(CommandError::Rejected(reason)),
         Outcome::Applied | Outcome::Unchanged => Ok(receipt),
--- a/crates/havenladder/src/commands/pool.rs
+++ b/crates/havenladder/src/commands/pool.rs
@@ -1,6 +1,6 @@
 //! `pool list`: lists pools with their sizes, budgets and unavailable slots.
 
-use super::{CommandError, Setup, table};
+use super::{CommandError, GlobalOptions, table};
 use crate::operate::StateReply;
 use serde::Serialize;
 use settings::Service;
@@ -18,10 +18,10 @@
 }
 
 /// Lists the pools.
-pub fn pool(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let state: StateReply = setup.client()?.get("/state")?;
+pub fn pool(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let state: StateReply = options.client()?.get("/state")?;
     let rows = rows(&state);
-    setup.print(&rows, |rows| {
+    options.print(&rows, |rows| {
         let headings = [
             "POOL",
             "VMS",
--- a/crates/havenladder/src/commands/serve.rs
+++ b/crates/havenladder/src/commands/serve.rs
@@ -1,6 +1,6 @@
 //! `serve`: runs an entry until it is signalled to stop.
 
-use super::{CommandError, Setup};
+use super::{CommandError, GlobalOptions};
 use crate::{
     configs::{self, Config},
     context::Context,
@@ -9,7 +9,7 @@
     logs,
     metrics::Metrics,
     peer_table::PeerTable,
-    recent::Recent,
+    recent::RecentRequests,
     threads::{
         self,
         claims::{ClaimMessage, ClaimsSender, claims},
@@ -55,8 +55,8 @@
 }
 
 /// Runs an entry until it is signalled to stop.
-pub fn serve(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let config = configs::load(setup.config)?;
+pub fn serve(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let config = configs::load(options.config)?;
     logs::start(&config.logs);
     exit_on_panic();
     let listeners = listen(&config)?;
@@ -111,7 +111,7 @@
         placement,
         claims,
         capacities: Default::default(),
-        recent: Recent::default(),
+        recent: RecentRequests::default(),
         burn: Default::default(),
         started_at: SystemTime::now(),
         metrics: Metrics::new().map_err(CommandError::Start)?,
@@ -136,9 +136,9 @@
         placement(ctx, &messages, sender);
     })?;
     threads::spawn("workers", ctx, move |ctx| workers(ctx, dispatches))?;
-    for (shard, jobs) in receivers.claims.into_iter().enumerate() {
+    for (shard, messages) in receivers.claims.into_iter().enumerate() {
         let name = format!("claims-{shard}");
-        threads::spawn(&name, ctx, move |ctx| claims(ctx, shard, &jobs))?;
+        threads::spawn(&name, ctx, move |ctx| claims(ctx, shard, &messages))?;
     }
     threads::spawn("follow", ctx, follow)?;
     threads::spawn("watch", ctx, watch)?;
--- a/crates/havenladder/src/commands/settings.rs
+++ b/crates/havenladder/src/commands/settings.rs
@@ -1,6 +1,6 @@
 //! `settings`: checks, publishes and shows the settings tree.
 
-use super::{CommandError, Setup, send_order, table};
+use super::{CommandError, GlobalOptions, send_order, table};
 use crate::{
     cli::SettingsCommand,
     client::OperatorClient,
@@ -22,12 +22,12 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a command about settings.
-pub fn settings(setup: &Setup<'_>, command: SettingsCommand) -> Result<(), CommandError> {
+pub fn settings(options: &GlobalOptions<'_>, command: SettingsCommand) -> Result<(), CommandError> {
     match command {
         SettingsCommand::Check { file } => check(&file),
-        SettingsCommand::Apply { file, wait } => apply(setup, &file, wait),
-        SettingsCommand::Show => show(setup),
-        SettingsCommand::History => history(setup),
+        SettingsCommand::Apply { file, wait } => apply(options, &file, wait),
+        SettingsCommand::Show => show(options),
+        SettingsCommand::History => history(options),
     }
 }
 
@@ -46,21 +46,21 @@
     Ok(())
 }
 
-fn apply(setup: &Setup<'_>, file: &Path, wait: bool) -> Result<(), CommandError> {
+fn apply(options: &GlobalOptions<'_>, file: &Path, wait: bool) -> Result<(), CommandError> {
     let wanted = read(file)?;
-    let client = setup.client()?;
+    let client = options.client()?;
     let state: StateReply = client.get("/state")?;
-    let changes = based_on(&state, &wanted);
+    let changes = changes_towards(&state, &wanted);
     if changes.is_empty() {
         println!("already in force");
         return Ok(());
     }
     let count = changes.len();
-    let receipt = send_order(setup, &Order::Settings(changes))?;
+    let receipt = send_order(options, &Order::Settings(changes))?;
     if wait {
         wait_in_force(&client, receipt.offset)?;
     }
-    setup.print(&receipt, |receipt| {
+    options.print(&receipt, |receipt| {
         let offset = receipt.offset;
         let force = if wait {
             " and in force on every live entry"
@@ -74,7 +74,7 @@
 
 /// Returns the changes that lead from the settings in force to `wanted`, each with the version that
 /// it is based on.
-fn based_on(state: &StateReply, wanted: &Tree) -> Vec<PathChange> {
+fn changes_towards(state: &StateReply, wanted: &Tree) -> Vec<PathChange> {
     diff(&state.tree, wanted)
         .into_iter()
         .map(|change| PathChange {
@@ -108,24 +108,24 @@
     }
 }
 
-fn show(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let state: StateReply = setup.client()?.get("/state")?;
+fn show(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let state: StateReply = options.client()?.get("/state")?;
     if let Ok(text) = serde_json::to_string_pretty(&state.tree.nodes) {
         println!("{text}");
     }
     Ok(())
 }
 
-fn history(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let state: StateReply = setup.client()?.get("/state")?;
-    setup.print(&state.versions, |versions| {
+fn history(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let state: StateReply = options.client()?.get("/state")?;
+    options.print(&state.versions, |versions| {
         let mut table = table::table(&["PATH", "OFFSET", "BY", "WHEN"]);
         for (path, mark) in versions {
             table.add_row([
                 path.clone(),
                 mark.offset.to_string(),
                 mark.by.clone(),
-                table::distance(mark.at),
+                table::relative_time(mark.at),
             ]);
         }
         table::print(&table, "no settings yet");
--- a/crates/havenladder/src/commands/table.rs
+++ b/crates/havenladder/src/commands/table.rs
@@ -23,7 +23,7 @@
 }
 
 /// Formats a time as its distance from now, in seconds.
-pub fn distance(time: SystemTime) -> String {
+pub fn relative_time(time: SystemTime) -> String {
     match time.elapsed() {
         Ok(past) => format!("{} s ago", past.as_secs()),
         Err(ahead) => format!("in {} s", ahead.duration().as_secs()),
--- a/crates/havenladder/src/commands/timings.rs
+++ b/crates/havenladder/src/commands/timings.rs
@@ -1,6 +1,6 @@
 //! `timings`: measures how long the entry takes to respond on each path.
 
-use super::{CommandError, Setup, table};
+use super::{CommandError, GlobalOptions, table};
 use serde::Serialize;
 use std::time::Instant;
 
@@ -19,8 +19,8 @@
 }
 
 /// Times the requests and prints the fastest of each path.
-pub fn timings(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let client = setup.client()?;
+pub fn timings(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let client = options.client()?;
     let mut rows = Vec::new();
     for path in PATHS {
         let mut fastest = f64::INFINITY;
@@ -34,7 +34,7 @@
             fastest_ms: fastest,
         });
     }
-    setup.print(&rows, |rows| {
+    options.print(&rows, |rows| {
         let mut table = table::table(&["QUESTION", "FASTEST OF 5"]);
         for row in rows {
             table.add_row([row.path.to_owned(), format!("{:.2} ms", row.fastest_ms)]);
--- a/crates/havenladder/src/commands/vm.rs
+++ b/crates/havenladder/src/commands/vm.rs
@@ -1,6 +1,6 @@
 //! `vm`: lists VMs, takes them out of service and puts them back.
 
-use super::{CommandError, Setup, send_order, table};
+use super::{CommandError, GlobalOptions, send_order, table};
 use crate::{
     cli::VmCommand,
     operate::{Order, StateReply},
@@ -8,24 +8,24 @@
 use fleet::{Errand, Vm};
 
 /// Runs a command about VMs.
-pub fn vm(setup: &Setup<'_>, command: VmCommand) -> Result<(), CommandError> {
+pub fn vm(options: &GlobalOptions<'_>, command: VmCommand) -> Result<(), CommandError> {
     match command {
-        VmCommand::List => list(setup),
-        VmCommand::Drain { vm } => grant(setup, vm, Errand::Drain),
-        VmCommand::Release { vm } => grant(setup, vm, Errand::Release),
-        VmCommand::Move { vm, pool } => grant(setup, vm, Errand::Move { to: pool }),
-        VmCommand::Undrain { vm } => change(setup, &Order::Undo { vm }),
-        VmCommand::Forget { vm } => change(setup, &Order::Forget { vm }),
+        VmCommand::List => list(options),
+        VmCommand::Drain { vm } => grant(options, vm, Errand::Drain),
+        VmCommand::Release { vm } => grant(options, vm, Errand::Release),
+        VmCommand::Move { vm, pool } => grant(options, vm, Errand::Move { to: pool }),
+        VmCommand::Undrain { vm } => change(options, &Order::Undo { vm }),
+        VmCommand::Forget { vm } => change(options, &Order::Forget { vm }),
     }
 }
 
-fn grant(setup: &Setup<'_>, vm: String, errand: Errand) -> Result<(), CommandError> {
-    change(setup, &Order::Errand { vm, errand })
+fn grant(options: &GlobalOptions<'_>, vm: String, errand: Errand) -> Result<(), CommandError> {
+    change(options, &Order::Errand { vm, errand })
 }
 
-fn change(setup: &Setup<'_>, wanted: &Order) -> Result<(), CommandError> {
-    let receipt = send_order(setup, wanted)?;
-    setup.print(&receipt, |receipt| {
+fn change(options: &GlobalOptions<'_>, wanted: &Order) -> Result<(), CommandError> {
+    let receipt = send_order(options, wanted)?;
+    options.print(&receipt, |receipt| {
         println!(
             "decided at offset {}; see `havenladder vm list`",
             receipt.offset
@@ -34,9 +34,9 @@
     Ok(())
 }
 
-fn list(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let state: StateReply = setup.client()?.get("/state")?;
-    setup.print(&state.vms, |vms| {
+fn list(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let state: StateReply = options.client()?.get("/state")?;
+    options.print(&state.vms, |vms| {
         let mut table = table::table(&["VM", "POOL", "HALL", "RACK", "SLOTS", "BOOT", "STATE"]);
         for (id, vm) in vms {
             table.add_row([
--- a/crates/havenladder/src/commands/wave.rs
+++ b/crates/havenladder/src/commands/wave.rs
@@ -1,6 +1,6 @@
 //! `wave`: starts and controls maintenance waves and shows their progress.
 
-use super::{CommandError, Setup, send_order, table};
+use super::{CommandError, GlobalOptions, send_order, table};
 use crate::{
     cli::WaveCommand,
     operate::{Order, StateReply, WaveReply},
@@ -16,46 +16,46 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Runs a command about waves.
-pub fn wave(setup: &Setup<'_>, command: WaveCommand) -> Result<(), CommandError> {
+pub fn wave(options: &GlobalOptions<'_>, command: WaveCommand) -> Result<(), CommandError> {
     match command {
-        WaveCommand::Start { scope, wait } => start(setup, scope, wait),
-        WaveCommand::Status => status(setup),
-        WaveCommand::Pause { wave } => change(setup, WaveChange::Pause(wave)),
-        WaveCommand::Resume { wave } => change(setup, WaveChange::Resume(wave)),
-        WaveCommand::Cancel { wave } => change(setup, WaveChange::Cancel(wave)),
+        WaveCommand::Start { scope, wait } => start(options, scope, wait),
+        WaveCommand::Status => status(options),
+        WaveCommand::Pause { wave } => change(options, WaveChange::Pause(wave)),
+        WaveCommand::Resume { wave } => change(options, WaveChange::Resume(wave)),
+        WaveCommand::Cancel { wave } => change(options, WaveChange::Cancel(wave)),
     }
 }
 
-fn start(setup: &Setup<'_>, scope: String, wait: bool) -> Result<(), CommandError> {
-    let receipt = send_order(setup, &Order::Wave(WaveChange::Start { scope }))?;
+fn start(options: &GlobalOptions<'_>, scope: String, wait: bool) -> Result<(), CommandError> {
+    let receipt = send_order(options, &Order::Wave(WaveChange::Start { scope }))?;
     let wave = receipt.offset;
     if wait {
-        show_progress(setup, wave)?;
+        show_progress(options, wave)?;
     }
-    setup.print(&receipt, |_| {
+    options.print(&receipt, |_| {
         println!("wave {wave}; see `havenladder wave status`");
     });
     Ok(())
 }
 
-fn change(setup: &Setup<'_>, change: WaveChange) -> Result<(), CommandError> {
-    let receipt = send_order(setup, &Order::Wave(change))?;
-    setup.print(&receipt, |receipt| {
+fn change(options: &GlobalOptions<'_>, change: WaveChange) -> Result<(), CommandError> {
+    let receipt = send_order(options, &Order::Wave(change))?;
+    options.print(&receipt, |receipt| {
         println!("decided at offset {}", receipt.offset);
     });
     Ok(())
 }
 
 /// Waits until the wave has ended, and shows its progress if standard error is a terminal.
-fn show_progress(setup: &Setup<'_>, id: WaveId) -> Result<(), CommandError> {
-    let client = setup.client()?;
+fn show_progress(options: &GlobalOptions<'_>, id: WaveId) -> Result<(), CommandError> {
+    let client = options.client()?;
     loop {
         let state: StateReply = client.get("/state")?;
         let Some(reply) = state.waves.get(&id) else {
             return Ok(());
         };
         if stderr().is_terminal() {
-            eprint!("\r{}    ", line(reply));
+            eprint!("\r{}    ", progress_line(reply));
         }
         if matches!(reply.wave.state, WaveState::Done | WaveState::Cancelled) {
             return Ok(());
@@ -64,18 +64,18 @@
     }
 }
 
-fn line(reply: &WaveReply) -> String {
+fn progress_line(reply: &WaveReply) -> String {
     let progress = &reply.progress;
-    let ends = reply.ends.map(table::distance).unwrap_or_default();
+    let ends = reply.ends.map(table::relative_time).unwrap_or_default();
     format!(
         "{} of {} VMs done, {} active {ends}",
         progress.done, progress.total, progress.active
     )
 }
 
-fn status(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let state: StateReply = setup.client()?.get("/state")?;
-    setup.print(&state.waves, |waves| {
+fn status(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let state: StateReply = options.client()?.get("/state")?;
+    options.print(&state.waves, |waves| {
         let headings = [
             "WAVE", "SCOPE", "STATE", "DONE", "ACTIVE", "DOWN", "TOTAL", "ENDS",
         ];
@@ -89,7 +89,7 @@
                 reply.progress.active.to_string(),
                 reply.progress.down.to_string(),
                 reply.progress.total.to_string(),
-                reply.ends.map_or_else(|| "-".into(), table::distance),
+                reply.ends.map_or_else(|| "-".into(), table::relative_time),
             ]);
         }
         table::print(&table, "no waves");
--- a/crates/havenladder/src/context.rs
+++ b/crates/havenladder/src/context.rs
@@ -6,7 +6,7 @@
     local_observations::LocalObservations,
     metrics::Metrics,
     peer_table::PeerTable,
-    recent::Recent,
+    recent::RecentRequests,
     sync::lock,
     threads::{claims::ClaimsSender, placement::PlacementSender},
 };
@@ -47,7 +47,7 @@
     /// Free and taken capacity for each service in this data centre.
     pub capacities: Mutex<BTreeMap<ServiceId, Room>>,
     /// Outcomes of the newest requests.
-    pub recent: Recent,
+    pub recent: RecentRequests,
     /// Counts for the burn report.
     pub burn: Mutex<Burn>,
     /// Time at which this process started.
--- a/crates/havenladder/src/fleet_cell.rs
+++ b/crates/havenladder/src/fleet_cell.rs
@@ -75,7 +75,7 @@
             fleet.next
         };
         if !applied.is_empty() {
-            self.keep(applied.iter().map(|(record, _)| record));
+            self.append_to_tail(applied.iter().map(|(record, _)| record));
             self.announce(next);
         }
         applied
@@ -120,7 +120,7 @@
         }
     }
 
-    fn keep<'a>(&self, records: impl Iterator<Item = &'a LogRecord>) {
+    fn append_to_tail<'a>(&self, records: impl Iterator<Item = &'a LogRecord>) {
         let mut tail = lock(&self.tail);
         for record in records {
             tail.bytes += record.data.len();
--- a/crates/havenladder/src/recent.rs
+++ b/crates/havenladder/src/recent.rs
@@ -24,11 +24,11 @@
 
 /// Bounded list of the newest requests.
 #[derive(Default)]
-pub struct Recent {
+pub struct RecentRequests {
     traces: Mutex<VecDeque<Trace>>,
 }
 
-impl Recent {
+impl RecentRequests {
     /// Records a request and drops the oldest one if the list is full.
     pub fn record(&self, trace: Trace) {
         let mut traces = lock(&self.traces);
--- a/crates/havenladder/src/threads/claims.rs
+++ b/crates/havenladder/src/threads/claims.rs
@@ -84,7 +84,7 @@
     next: Option<Offset>,
     /// Time from which on every record of the stream has been read.
     complete_since: SystemTime,
-    waiting: HashMap<AttemptId, PendingClaim>,
+    pending: HashMap<AttemptId, PendingClaim>,
     /// Claims whose requests were refused because the log did not decide them in time, each with
     /// the time until which it is kept. If the log accepts one later, its key is released.
     abandoned: BTreeMap<AttemptId, (Claim, Instant)>,
@@ -99,7 +99,7 @@
         book: ClaimBook::default(),
         next: None,
         complete_since: SystemTime::UNIX_EPOCH,
-        waiting: HashMap::new(),
+        pending: HashMap::new(),
         abandoned: BTreeMap::new(),
         unsent: Vec::new(),
     };
@@ -124,13 +124,13 @@
         if reached.is_err() {
             std::thread::sleep(POLL_INTERVAL);
         }
-        shard.abandon_late();
+        shard.abandon_overdue();
     }
 }
 
 impl Shard<'_> {
     fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.unsent.is_empty() && self.abandoned.is_empty()
+        self.pending.is_empty() && self.unsent.is_empty() && self.abandoned.is_empty()
     }
 
     fn accept(&mut self, message: ClaimMessage) {
@@ -140,12 +140,12 @@
                 // accepts later does not keep the key.
                 let patience = SystemTime::now() + self.ctx.config.claims.patience;
                 claim.expires = claim.expires.min(patience);
-                let waiting = PendingClaim {
+                let pending = PendingClaim {
                     request,
                     deadline: Instant::now() + self.ctx.config.claims.patience,
                     claim: claim.clone(),
                 };
-                self.waiting.insert(claim.claim, waiting);
+                self.pending.insert(claim.claim, pending);
                 self.unsent.push(Entry::Claim(claim));
             }
             ClaimMessage::Settle(claim, state) => self.unsent.push(settlement(claim, state)),
@@ -159,10 +159,10 @@
         self.book = ClaimBook::default();
     }
 
-    /// Reads new records of the stream and applies them. The first read begins at the offset at
-    /// which the oldest key that is still valid was issued.
+    /// Reads new records of the stream and applies them. The first read begins at the time at
+    /// which the oldest key that is still valid may have been issued.
     fn read_new(&mut self) -> Result<(), CallError> {
-        let wait = if self.unsent.is_empty() && !self.waiting.is_empty() {
+        let wait = if self.unsent.is_empty() && !self.pending.is_empty() {
             POLL_INTERVAL
         } else {
             Duration::ZERO
@@ -244,12 +244,12 @@
     }
 
     fn apply_verdict(&mut self, claim: AttemptId, settled: Settled) {
-        if let Some(waiting) = self.waiting.remove(&claim) {
-            if settled == Settled::Won && self.is_undecidable(&waiting.claim) {
-                self.release_key(waiting.claim);
-                self.notify(waiting.request, Settled::TooOld);
+        if let Some(pending) = self.pending.remove(&claim) {
+            if settled == Settled::Won && self.is_undecidable(&pending.claim) {
+                self.release_key(pending.claim);
+                self.notify(pending.request, Settled::TooOld);
             } else {
-                self.notify(waiting.request, settled);
+                self.notify(pending.request, settled);
             }
             return;
         }
@@ -269,30 +269,31 @@
     }
 
     /// Refuses requests whose claims were not decided in time.
-    fn abandon_late(&mut self) {
+    fn abandon_overdue(&mut self) {
         let now = Instant::now();
-        let late: Vec<AttemptId> = self
-            .waiting
+        let overdue: Vec<AttemptId> = self
+            .pending
             .iter()
-            .filter(|(_, waiting)| now >= waiting.deadline)
+            .filter(|(_, pending)| now >= pending.deadline)
             .map(|(claim, _)| *claim)
             .collect();
-        for id in late {
-            let Some(waiting) = self.waiting.remove(&id) else {
+        for id in overdue {
+            let Some(pending) = self.pending.remove(&id) else {
                 continue;
             };
             self.unsent
                 .retain(|entry| !matches!(entry, Entry::Claim(claim) if claim.claim == id));
-            let until = now + self.ctx.config.claims.patience * 2;
-            self.abandoned.insert(id, (waiting.claim, until));
-            self.notify(waiting.request, Settled::LogDown);
+            let keep_until = now + self.ctx.config.claims.patience * 2;
+            self.abandoned.insert(id, (pending.claim, keep_until));
+            self.notify(pending.request, Settled::LogDown);
         }
-        self.abandoned.retain(|_, (_, until)| now < *until);
+        self.abandoned
+            .retain(|_, (_, keep_until)| now < *keep_until);
     }
 
     fn notify(&self, request: RequestId, settled: Settled) {
         let event = Event::Claimed(request, settled);
-        self.ctx.placement.notify(Message::Happened(event));
+        self.ctx.placement.notify(Message::Event(event));
     }
 }
 
--- a/crates/havenladder/src/threads/editors.rs
+++ b/crates/havenladder/src/threads/editors.rs
@@ -70,7 +70,7 @@
 ///
 /// Panics when the system provides no event queue, without which the process cannot work.
 pub fn editors(ctx: &Arc<Context>, listener: StdListener) {
-    let runtime = runtime().expect("the system gives an event queue");
+    let runtime = runtime().expect("the system provides an event queue");
     runtime.block_on(accept_all(ctx, listener));
 }
 
@@ -85,7 +85,7 @@
             Ok((stream, _)) => {
                 let ctx = Arc::clone(ctx);
                 tokio::spawn(async move {
-                    connection(&ctx, stream).await;
+                    serve_connection(&ctx, stream).await;
                     drop(permit);
                 });
             }
@@ -97,7 +97,7 @@
     }
 }
 
-async fn connection(ctx: &Arc<Context>, stream: TcpStream) {
+async fn serve_connection(ctx: &Arc<Context>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let served = Arc::clone(ctx);
     let service = service_fn(move |request| {
@@ -161,14 +161,14 @@
 struct CancelOnDrop<'c> {
     ctx: &'c Context,
     id: RequestId,
-    answered: bool,
+    replied: bool,
 }
 
 impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        if !self.answered {
+        if !self.replied {
             let event = Event::Cancelled(self.id);
-            self.ctx.placement.notify(Message::Happened(event));
+            self.ctx.placement.notify(Message::Event(event));
         }
     }
 }
@@ -240,13 +240,13 @@
     let mut cancel_on_drop = CancelOnDrop {
         ctx,
         id,
-        answered: false,
+        replied: false,
     };
     let reply = match ctx.placement.arrive(Box::new(arrival)) {
         Ok(()) => reply_receiver.await.ok(),
         Err(_) => None,
     };
-    cancel_on_drop.answered = true;
+    cancel_on_drop.replied = true;
     let reply = reply.unwrap_or(Reply {
         outcome: Outcome::NotRun(NotRun {
             why: Why::Overload,
--- a/crates/havenladder/src/threads/follow.rs
+++ b/crates/havenladder/src/threads/follow.rs
@@ -219,5 +219,5 @@
 }
 
 fn notify_placement(ctx: &Context, event: Event) {
-    ctx.placement.notify(Message::Happened(event));
+    ctx.placement.notify(Message::Event(event));
 }
--- a/crates/havenladder/src/threads/operators.rs
+++ b/crates/havenladder/src/threads/operators.rs
@@ -88,7 +88,7 @@
         (Method::Get, "/burn") => OperatorResponse::json(&burn::report(ctx)),
         (Method::Get, "/config") => OperatorResponse::json(&ctx.config),
         (Method::Get, "/explain") => explanation(ctx, query),
-        (Method::Post, "/orders") => order(ctx, request),
+        (Method::Post, "/orders") => handle_order(ctx, request),
         _ => OperatorResponse::problem(404, "no such path"),
     }
 }
@@ -166,7 +166,7 @@
     }
 }
 
-fn order(ctx: &Context, request: &mut Request) -> OperatorResponse {
+fn handle_order(ctx: &Context, request: &mut Request) -> OperatorResponse {
     let mut body = Vec::new();
     let read = request
         .as_reader()
--- a/crates/havenladder/src/threads/operators/burn.rs
+++ b/crates/havenladder/src/threads/operators/burn.rs
@@ -78,10 +78,10 @@
         .iter()
         .map(|cell| burn_rate(cell, objective))
         .collect();
-    let longest = rates.last().copied().unwrap_or_default();
+    let longest_window = rates.last().copied().unwrap_or_default();
     BurnRow {
         objective,
-        left: 1.0 - longest,
+        left: 1.0 - longest_window,
         alert: alert(&rates),
         rates,
         cells,
--- a/crates/havenladder/src/threads/peers.rs
+++ b/crates/havenladder/src/threads/peers.rs
@@ -37,10 +37,10 @@
     let url = request.url().to_owned();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
     let body = match path {
-        "/status" => body(&ctx.status()),
-        "/relay" => body(&relay(ctx, query)),
+        "/status" => encode_body(&ctx.status()),
+        "/relay" => encode_body(&relay(ctx, query)),
         "/snapshot" => snapshot(ctx),
-        "/burn" => body(&burn(ctx)),
+        "/burn" => encode_body(&burn(ctx)),
         _ => None,
     };
     match body {
@@ -61,7 +61,7 @@
         return None;
     }
     let bytes = encode_snapshot(&ctx.fleet.get()).ok()?;
-    body(&SnapshotReply {
+    encode_body(&SnapshotReply {
         bytes,
         tail: Vec::new(),
     })
@@ -76,7 +76,7 @@
     }
 }
 
-fn body(message: &impl Serialize) -> Option<Vec<u8>> {
+fn encode_body(message: &impl Serialize) -> Option<Vec<u8>> {
     encode(message).ok()
 }
 
@@ -113,7 +113,7 @@
             }
         }
         let event = Event::Peers(peers_in_other_halls(ctx));
-        ctx.placement.notify(Message::Happened(event));
+        ctx.placement.notify(Message::Event(event));
         ctx.metrics
             .in_progress(ctx.in_progress.load(std::sync::atomic::Ordering::Relaxed));
         sleep(ctx.config.peers.interval.max(Duration::from_millis(10)));
--- a/crates/havenladder/src/threads/placement.rs
+++ b/crates/havenladder/src/threads/placement.rs
@@ -76,7 +76,7 @@
     /// A request has arrived.
     Arrived(Box<Arrival>),
     /// Another event of the scheduler has occurred.
-    Happened(Event),
+    Event(Event),
     /// An attempt has ended.
     Ended(AttemptId, AttemptEnd, Option<TaskResponse>),
 }
@@ -158,7 +158,7 @@
         workers,
     };
     let mut tick = Instant::now() + TICK;
-    let mut next_capacities = Instant::now();
+    let mut next_capacity_update = Instant::now();
     loop {
         match messages.recv_deadline(tick) {
             Ok(message) => {
@@ -173,9 +173,9 @@
             placement.handle_event(Event::Tick);
             tick = now + placement.tick_interval();
         }
-        if now >= next_capacities {
+        if now >= next_capacity_update {
             *lock(&ctx.capacities) = placement.scheduler.rooms(now);
-            next_capacities = now + CAPACITY_INTERVAL;
+            next_capacity_update = now + CAPACITY_INTERVAL;
         }
     }
 }
@@ -184,8 +184,8 @@
     fn handle_message(&mut self, message: Message) {
         match message {
             Message::Arrived(arrival) => self.arrive(*arrival),
-            Message::Happened(Event::Claimed(id, settled)) => self.handle_verdict(id, settled),
-            Message::Happened(event) => self.handle_event(event),
+            Message::Event(Event::Claimed(id, settled)) => self.handle_verdict(id, settled),
+            Message::Event(event) => self.handle_event(event),
             Message::Ended(attempt, end, response) => {
                 if let Some(response) = response {
                     self.responses.insert(attempt, response);
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Returns the time until the next tick. Only waiting requests can become too late, so an idle
+    /// Returns the interval to the next tick. Only waiting requests can become too late, so an idle
     /// entry ticks less often.
     fn tick_interval(&self) -> Duration {
         if self.scheduler.is_empty() {
--- a/crates/havenladder/src/threads/steward.rs
+++ b/crates/havenladder/src/threads/steward.rs
@@ -106,7 +106,10 @@
             for (change, outcome) in changes.iter().zip(&decided.outcomes) {
                 tracing::info!(offset = decided.offset, ?change, ?outcome, "decided");
             }
-            decided.outcomes.iter().all(|one| *one == Outcome::Applied)
+            decided
+                .outcomes
+                .iter()
+                .all(|outcome| *outcome == Outcome::Applied)
         }
         Err(error @ (ProposeError::NotTaken(_) | ProposeError::Unknown)) => {
             tracing::warn!(%error, "could not propose changes");
--- a/crates/havenladder/src/threads/stop.rs
+++ b/crates/havenladder/src/threads/stop.rs
@@ -45,14 +45,14 @@
         }
         tracing::info!("shutting down: no longer ready, finishing requests in progress");
         let ctx = Arc::clone(ctx);
-        spawn(move || leave(&ctx));
+        spawn(move || shut_down(&ctx));
     }
     Ok(())
 }
 
-fn leave(ctx: &Context) {
+fn shut_down(ctx: &Context) {
     sleep(GRACE_PERIOD);
-    ctx.placement.notify(Message::Happened(Event::Stop));
+    ctx.placement.notify(Message::Event(Event::Stop));
     let deadline = Instant::now() + STOP_TIMEOUT;
     while Instant::now() < deadline && is_busy(ctx) {
         sleep(POLL_INTERVAL);
--- a/crates/havenladder/src/threads/watch.rs
+++ b/crates/havenladder/src/threads/watch.rs
@@ -58,10 +58,10 @@
 ///
 /// Panics when the system provides no event queue, without which the process cannot work.
 pub fn watch(ctx: &Arc<Context>) {
-    let runtime = runtime().expect("the system gives an event queue");
+    let runtime = runtime().expect("the system provides an event queue");
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(ctx.config.watch.patience));
-    let probe: ProbeClient = Client::builder(TokioExecutor::new())
+    let client: ProbeClient = Client::builder(TokioExecutor::new())
         .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
         .build(connector);
     let mut next_index = 0;
@@ -69,16 +69,16 @@
         let next = Instant::now() + ctx.config.watch.interval;
         if ctx.fleet.is_loaded() {
             let targets = targets(ctx, &mut next_index);
-            round(ctx, &runtime, &probe, targets);
+            round(ctx, &runtime, &client, targets);
         }
         runtime.block_on(async { sleep_until(next).await });
     }
 }
 
-fn round(ctx: &Context, runtime: &Runtime, probe: &ProbeClient, targets: Vec<Target>) {
+fn round(ctx: &Context, runtime: &Runtime, client: &ProbeClient, targets: Vec<Target>) {
     let before = ctx.observations.unusable();
     let patience = ctx.config.watch.patience;
-    let probed = runtime.block_on(probe_all(probe, targets, patience));
+    let probed = runtime.block_on(probe_all(client, targets, patience));
     let listed = list_vms(ctx);
     if let Some(listed) = &listed {
         record_leaving(ctx, listed);
@@ -87,7 +87,7 @@
     if ctx.observations.unusable() != before {
         publish(ctx);
     }
-    // Without the list, a VM that is down cannot be told from one that this entry merely cannot
+    // Without the list, a VM that is down cannot be distinguished from one that this entry merely cannot
     // reach together with the platform.
     let Some(listed) = listed else {
         return;
@@ -163,15 +163,15 @@
 }
 
 async fn probe_all(
-    probe: &ProbeClient,
+    client: &ProbeClient,
     targets: Vec<Target>,
     patience: Duration,
 ) -> Vec<ProbeResult> {
     let mut probes = JoinSet::new();
     for (vm, addr) in targets {
-        let probe = probe.clone();
+        let client = client.clone();
         probes.spawn(async move {
-            let usage = timeout(patience, poll_usage(&probe, &addr)).await;
+            let usage = timeout(patience, poll_usage(&client, &addr)).await;
             ProbeResult {
                 vm,
                 usage: usage.ok().flatten(),
@@ -181,9 +181,9 @@
     probes.join_all().await
 }
 
-async fn poll_usage(probe: &ProbeClient, addr: &str) -> Option<Usage> {
+async fn poll_usage(client: &ProbeClient, addr: &str) -> Option<Usage> {
     let uri = format!("http://{addr}{USAGE}").parse().ok()?;
-    let response = probe.get(uri).await.ok()?;
+    let response = client.get(uri).await.ok()?;
     let body = Limited::new(response.into_body(), MAX_USAGE_BYTES)
         .collect()
         .await;
@@ -203,7 +203,7 @@
     for probed in probed {
         if let Some(usage) = &probed.usage {
             let event = Event::Usage(probed.vm.clone(), usage.running);
-            ctx.placement.notify(Message::Happened(event));
+            ctx.placement.notify(Message::Event(event));
         }
         ctx.observations
             .record_probe(&probed.vm, probed.usage.is_some());
--- a/crates/havenladder/src/threads/watch/report.rs
+++ b/crates/havenladder/src/threads/watch/report.rs
@@ -62,7 +62,7 @@
 }
 
 /// Combines the platform's list, which lags behind, with this entry's probes. The list alone never
-/// marks a VM as up that fails the probes, and an outdated list never decreases the boot count.
+/// marks a VM that fails the probes as up, and an outdated list never decreases the boot count.
 fn observe(
     info: &VmInfo,
     vm: Option<&Vm>,
--- a/crates/havenladder/src/threads/workers.rs
+++ b/crates/havenladder/src/threads/workers.rs
@@ -95,7 +95,7 @@
 ///
 /// Panics when the system provides no event queue, without which the process cannot work.
 pub fn workers(ctx: &Arc<Context>, dispatches: mpsc::Receiver<Dispatch>) {
-    let runtime = runtime().expect("the system gives an event queue");
+    let runtime = runtime().expect("the system provides an event queue");
     runtime.block_on(send_all(ctx, dispatches));
 }
 
