--- a/crates/havenladder/benches/claims.rs
+++ b/crates/havenladder/benches/claims.rs
@@ -1,5 +1,5 @@
-//! Claims a second through a log that takes 300 appends a second: requests that must not be
-//! repeated, sent through two entries.
+//! Measures how many claims per second two entries record through a log that accepts 300 appends
+//! per second. The requests are ones that must not run twice.
 
 #[path = "../tests/site/mod.rs"]
 mod site;
@@ -20,11 +20,11 @@
 const SETTINGS: &str = r#"{ "place": { "unavailable": "50%", "pools": { "pool": { "vms": 24,
   "services": { "order": { "repeatable": false, "timeout_ms": 20000 } } } } } }"#;
 
-/// Callers that each send one order after the other.
+/// Number of concurrent callers; each sends its orders one after another.
 const CALLERS: usize = 700;
 
-/// Time of the run.
-const TIME: Duration = Duration::from_secs(6);
+/// Duration of the measurement.
+const RUN_TIME: Duration = Duration::from_secs(6);
 
 fn main() {
     let mut plan = plan(1, 24);
@@ -35,9 +35,9 @@
         .build()
         .expect("a runtime");
     let before = site.appends();
-    let done = runtime.block_on(offer(&site));
+    let done = runtime.block_on(send_orders(&site));
     let appends = site.appends() - before;
-    let seconds = TIME.as_secs_f64();
+    let seconds = RUN_TIME.as_secs_f64();
     println!(
         "claims: {:.0} orders/s done, {:.0} appends/s of 300",
         done as f64 / seconds,
@@ -45,17 +45,17 @@
     );
 }
 
-async fn offer(site: &Site) -> u64 {
+async fn send_orders(site: &Site) -> u64 {
     let http: Client<HttpConnector, Full<bytes::Bytes>> =
         Client::builder(TokioExecutor::new()).build(HttpConnector::new());
-    let began = Instant::now();
+    let started = Instant::now();
     let done = Rc::new(Cell::new(0_u64));
     let mut calls = tokio::task::LocalSet::new();
     for caller in 0..CALLERS {
         let entry = site.entries[caller % site.entries.len()].editors;
         let (http, done) = (http.clone(), Rc::clone(&done));
         calls.spawn_local(async move {
-            while began.elapsed() < TIME {
+            while started.elapsed() < RUN_TIME {
                 let request = Request::post(format!("http://{entry}/v1/place/pool/order"))
                     .header("idempotency-key", key())
                     .body(Full::from("run=1"))
--- a/crates/havenladder/benches/load.rs
+++ b/crates/havenladder/benches/load.rs
@@ -1,5 +1,5 @@
-//! Goodput at 0.5, 1, 2 and 4 times capacity, beside a first-in-first-out baseline with random
-//! workers, in one run.
+//! Compares goodput at 0.5, 1, 2 and 4 times capacity with a baseline that queues first in, first
+//! out and picks workers at random, in one run.
 
 #[path = "../tests/site/mod.rs"]
 mod site;
@@ -8,20 +8,21 @@
 use site::{Site, plan};
 use std::time::Duration;
 
-/// Time of each run.
-const TIME: Duration = Duration::from_secs(6);
+/// Duration of each run.
+const RUN_TIME: Duration = Duration::from_secs(6);
 
-/// A refusal that takes longer was given up on while it waited, in microseconds.
-const LATE_US: u64 = 10_000;
+/// Longest time in microseconds that counts as an immediate refusal. A slower one means that the
+/// request had been queued before it was refused.
+const MAX_IMMEDIATE_US: u64 = 10_000;
 
 const SETTINGS: &str = r#"{ "place": { "unavailable": "50%", "pools": { "pool": { "vms": 4,
   "services": {
     "preview": { "class": "preview" }, "layout": {}, "proof": { "class": "large" }
   } } } } }"#;
 
-/// Three classes on the same workers; runs differ tenfold from one another and nothing declares
-/// them.
-fn kinds(times: f64, slots: f64) -> Vec<Kind> {
+/// Returns three classes of requests that share the same workers. Within a class, run times vary by
+/// a factor of ten, and no request declares its run time.
+fn kinds(load_factor: f64, slots: f64) -> Vec<Kind> {
     let kind = |service: &str, low: f64, share: f64, patience: u64| {
         let mut kind = Kind {
             service: format!("place/pool/{service}"),
@@ -30,7 +31,7 @@
             run_ms: (low, low * 10.0),
             patience: Duration::from_millis(patience),
         };
-        kind.rate = times * slots * share / kind.mean_run();
+        kind.rate = load_factor * slots * share / kind.mean_run();
         kind
     };
     vec![
@@ -52,8 +53,8 @@
     println!(
         "load  way       class    offered   good  share  refused   lost  p99-good  p99-refusal"
     );
-    for times in [0.5, 1.0, 2.0, 4.0] {
-        let kinds = kinds(times, slots as f64);
+    for load_factor in [0.5, 1.0, 2.0, 4.0] {
+        let kinds = kinds(load_factor, slots as f64);
         let baseline = Way::Baseline {
             workers: workers.clone(),
             slots,
@@ -62,13 +63,13 @@
             ("entries", Way::Entries(entries.clone())),
             ("baseline", baseline),
         ] {
-            let tallies = runtime.block_on(offer(way, &kinds, TIME, 7));
-            report(times, name, &kinds, &tallies);
+            let tallies = runtime.block_on(offer(way, &kinds, RUN_TIME, 7));
+            report(load_factor, name, &kinds, &tallies);
         }
     }
 }
 
-fn report(times: f64, name: &str, kinds: &[Kind], tallies: &[Tally]) {
+fn report(load_factor: f64, name: &str, kinds: &[Kind], tallies: &[Tally]) {
     let mut work = 0.0;
     for (kind, tally) in kinds.iter().zip(tallies) {
         let class = kind.service.rsplit('/').next().unwrap_or_default();
@@ -76,7 +77,7 @@
             histogram.value_at_quantile(0.99) as f64 / 1e3
         };
         println!(
-            "{times:>4}  {name:<9} {class:<8} {:>7} {:>6} {:>6.3} {:>8} {:>6} {:>7.1}ms {:>9.2}ms {:>8.3}",
+            "{load_factor:>4}  {name:<9} {class:<8} {:>7} {:>6} {:>6.3} {:>8} {:>6} {:>7.1}ms {:>9.2}ms {:>8.3}",
             tally.offered,
             tally.good,
             tally.good as f64 / tally.offered.max(1) as f64,
@@ -84,13 +85,14 @@
             tally.lost,
             ms(&tally.good_us),
             ms(&tally.refused_us),
-            1.0 - tally.refused_us.count_between(0, LATE_US) as f64 / tally.refused.max(1) as f64,
+            1.0 - tally.refused_us.count_between(0, MAX_IMMEDIATE_US) as f64
+                / tally.refused.max(1) as f64,
         );
         work += tally.good as f64 * kind.mean_run();
     }
     let good: u64 = tallies.iter().map(|tally| tally.good).sum();
     println!(
-        "{times:>4}  {name:<9} all: good {good} ({:.0}/s), good work {work:.1} slot-seconds",
-        good as f64 / TIME.as_secs_f64()
+        "{load_factor:>4}  {name:<9} all: good {good} ({:.0}/s), good work {work:.1} slot-seconds",
+        good as f64 / RUN_TIME.as_secs_f64()
     );
 }
--- a/crates/havenladder/src/client.rs
+++ b/crates/havenladder/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to peers and operators' listeners, by `ureq`.
+//! HTTP clients for the listeners of peers and operators, based on `ureq`.
 
 use fleet::{Fleet, decode_snapshot};
 use protocol::{
@@ -8,30 +8,30 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// Time that a call to a peer may take, beside what it asks the peer to wait.
-const PEER_TIME: Duration = Duration::from_secs(2);
+/// Time limit of a call to a peer, in addition to the time for which the peer may hold the request.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time in which a connection must stand.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+/// Time limit for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time for which a peer may hold a request for records.
-pub const RELAY_WAIT: Duration = Duration::from_millis(500);
+/// Maximum time for which a peer may hold a request for log records before it responds.
+pub const MAX_RELAY_WAIT: Duration = Duration::from_millis(500);
 
-/// The largest answer that is read.
-const ANSWER_LIMIT: u64 = 64 << 20;
+/// Largest response body that is read.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Calls to peers.
+/// HTTP client for calls to peers.
 pub struct PeerClient {
     agent: Agent,
     key: String,
 }
 
 impl PeerClient {
-    /// Makes a client that sends `key`.
+    /// Creates a client that authenticates with `key`.
     pub fn new(key: &str) -> Self {
         let config = Agent::config_builder()
-            .timeout_connect(Some(CONNECT_TIME))
-            .timeout_global(Some(PEER_TIME + RELAY_WAIT))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .timeout_global(Some(PEER_TIMEOUT + MAX_RELAY_WAIT))
             .build();
         Self {
             agent: config.into(),
@@ -39,22 +39,22 @@
         }
     }
 
-    /// Asks a peer for its status.
+    /// Requests the status of a peer.
     pub fn status(&self, addr: &str) -> Option<PeerStatus> {
         self.get(addr, "/status")
     }
 
-    /// Asks a peer for records from `from` on.
+    /// Requests the log records from offset `from` on.
     pub fn relay(&self, addr: &str, from: Offset) -> Option<LogSlice> {
         self.get(addr, &format!("/relay?from={from}"))
     }
 
-    /// Asks a peer for its burn counts.
+    /// Requests the burn counts of a peer.
     pub fn burn(&self, addr: &str) -> Option<BurnReply> {
         self.get(addr, "/burn")
     }
 
-    /// Asks a peer for its state, and applies the records that it sends along.
+    /// Requests a snapshot of a peer's state and applies the records that are sent with it.
     pub fn snapshot(&self, addr: &str) -> Option<Fleet> {
         let reply: SnapshotReply = self.get(addr, "/snapshot")?;
         let mut fleet = decode_snapshot(&reply.bytes).ok()?;
@@ -68,37 +68,37 @@
     }
 
     fn get<T: DeserializeOwned>(&self, addr: &str, path: &str) -> Option<T> {
-        let mut answer = self
+        let mut response = self
             .agent
             .get(format!("http://{addr}{path}"))
             .header(HEADER_KEY, &self.key)
             .call()
             .ok()?;
-        let body = answer.body_mut().with_config().limit(ANSWER_LIMIT);
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
         decode(&body.read_to_vec().ok()?).ok()
     }
 }
 
-/// Why an operator's call failed.
+/// Reason why an operator's call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// The entry could not be reached, or its answer was lost.
+    /// The entry could not be reached, or its response was lost.
     #[error("{addr} does not answer: {cause}; is the entry running, and is --config its file?")]
     Unreachable {
-        /// Its address.
+        /// Address of the entry.
         addr: String,
-        /// What went wrong.
+        /// Error of the HTTP client.
         cause: String,
     },
-    /// The entry refused.
+    /// The entry refused the request.
     #[error("{0}")]
     Refused(String),
 }
 
-/// Time that an operator's call may take.
-const OPERATOR_TIME: Duration = Duration::from_secs(60);
+/// Time limit of an operator's call.
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Calls to an entry's listener for operators.
+/// HTTP client for the operators' listener of an entry.
 pub struct OperatorClient {
     agent: Agent,
     addr: String,
@@ -106,11 +106,11 @@
 }
 
 impl OperatorClient {
-    /// Makes a client for the entry at `addr`.
+    /// Creates a client for the entry at `addr`.
     pub fn new(addr: String, key: String) -> Self {
         let config = Agent::config_builder()
-            .timeout_connect(Some(CONNECT_TIME))
-            .timeout_global(Some(OPERATOR_TIME))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .timeout_global(Some(OPERATOR_TIMEOUT))
             .http_status_as_error(false)
             .build();
         Self {
@@ -120,25 +120,25 @@
         }
     }
 
-    /// Asks for something.
+    /// Sends a GET request and decodes the response.
     ///
     /// # Errors
     ///
-    /// Fails when the entry cannot be reached or refuses.
+    /// Returns an error when the entry cannot be reached or refuses the request.
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, OperatorError> {
         let call = self
             .agent
             .get(format!("http://{}{path}", self.addr))
             .header(HEADER_KEY, &self.key)
             .call();
-        self.answer(call)
+        self.read_response(call)
     }
 
-    /// Asks to change something.
+    /// Sends a POST request with a JSON body and decodes the response.
     ///
     /// # Errors
     ///
-    /// Fails when the entry cannot be reached or refuses.
+    /// Returns an error when the entry cannot be reached or refuses the request.
     pub fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -149,10 +149,10 @@
             .post(format!("http://{}{path}", self.addr))
             .header(HEADER_KEY, &self.key)
             .send_json(body);
-        self.answer(call)
+        self.read_response(call)
     }
 
-    fn answer<T: DeserializeOwned>(
+    fn read_response<T: DeserializeOwned>(
         &self,
         call: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     ) -> Result<T, OperatorError> {
@@ -160,21 +160,21 @@
             addr: self.addr.clone(),
             cause,
         };
-        let mut answer = call.map_err(|error| unreachable(error.to_string()))?;
-        let is_success = answer.status().is_success();
-        let body = answer.body_mut().with_config().limit(ANSWER_LIMIT);
+        let mut response = call.map_err(|error| unreachable(error.to_string()))?;
+        let is_success = response.status().is_success();
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
         let body = body
             .read_to_vec()
             .map_err(|error| unreachable(error.to_string()))?;
         if !is_success {
-            return Err(OperatorError::Refused(detail(&body)));
+            return Err(OperatorError::Refused(problem_detail(&body)));
         }
         serde_json::from_slice(&body).map_err(|error| unreachable(error.to_string()))
     }
 }
 
-/// Returns what a problem says, or the whole text if it is none.
-fn detail(body: &[u8]) -> String {
+/// Returns the `detail` field of a problem document, or the whole body if it is not one.
+fn problem_detail(body: &[u8]) -> String {
     let value: Option<serde_json::Value> = serde_json::from_slice(body).ok();
     let detail = value.as_ref().and_then(|value| value["detail"].as_str());
     detail.map_or_else(|| String::from_utf8_lossy(body).into_owned(), str::to_owned)
--- a/crates/havenladder/src/commands/serve.rs
+++ b/crates/havenladder/src/commands/serve.rs
@@ -1,29 +1,29 @@
-//! `serve`: runs an entry until it is told to stop.
+//! `serve`: runs an entry until it is signalled to stop.
 
-use super::{CommandError, Setup};
+use super::{CommandError, GlobalOptions};
 use crate::{
     configs::{self, Config},
     context::Context,
-    duties::{
+    fleet_cell::FleetCell,
+    local_observations::LocalObservations,
+    logs,
+    metrics::Metrics,
+    peer_table::PeerTable,
+    recent::RecentRequests,
+    threads::{
         self,
-        claims::{ClaimJob, ClaimsRing, claims},
+        claims::{ClaimMessage, ClaimsSender, claims},
         editors::editors,
         follow::follow,
         operators::{self, operators},
-        peers::{self, answer_peers, ask_peers},
-        placement::{Message, PlacementRing, placement},
+        peers::{self, poll_peers, serve_peers},
+        placement::{Message, PlacementSender, placement},
         snapshots::snapshots,
         steward::steward,
         stop::stop,
         watch::watch,
         workers::workers,
     },
-    fleet_cell::FleetCell,
-    logs,
-    metrics::Metrics,
-    peer_table::PeerTable,
-    recent::Recent,
-    sightings::Sightings,
 };
 use crossbeam_channel::Receiver;
 use platform::HttpPlatform;
@@ -38,46 +38,46 @@
 use tiny_http::Server;
 use tokio::sync::mpsc;
 
-/// Exit code of a process in which a duty panicked.
-const PANICKED: i32 = 70;
+/// Exit code of a process in which a thread panicked.
+const PANIC_EXIT_CODE: i32 = 70;
 
-/// The receiving ends of the rings.
-struct Rings {
+/// Receiving ends of the channels between threads.
+struct Receivers {
     placement: Receiver<Message>,
-    claims: Vec<Receiver<ClaimJob>>,
+    claims: Vec<Receiver<ClaimMessage>>,
 }
 
-/// The listeners; all are open before anything is served.
+/// Listening sockets of the entry. All of them are open before any request is served.
 struct Listeners {
     editors: TcpListener,
     peers: Arc<Server>,
     operators: Arc<Server>,
 }
 
-/// Runs an entry.
-pub fn serve(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let config = configs::load(setup.config)?;
+/// Runs an entry until it is signalled to stop.
+pub fn serve(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let config = configs::load(options.config)?;
     logs::start(&config.logs);
-    stop_on_panic();
+    exit_on_panic();
     let listeners = listen(&config)?;
-    let (ctx, rings) = context(config)?;
+    let (ctx, receivers) = make_context(config)?;
     tracing::info!(
         entry = ctx.config.entry.name,
         hall = ctx.config.entry.hall,
         editors = %ctx.config.editors.listen,
         "serving"
     );
-    start(&ctx, rings, listeners).map_err(|error| CommandError::Start(error.to_string()))?;
+    start(&ctx, receivers, listeners).map_err(|error| CommandError::Start(error.to_string()))?;
     stop(&ctx).map_err(|error| CommandError::Start(error.to_string()))
 }
 
-/// Ends the process when a duty panics: one that is half there is worse than one that is
-/// replaced.
-fn stop_on_panic() {
+/// Exits the process when a thread panics, since a process that runs without one of its threads is
+/// worse than one that is replaced.
+fn exit_on_panic() {
     let report = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
         report(info);
-        exit(PANICKED);
+        exit(PANIC_EXIT_CODE);
     }));
 }
 
@@ -98,60 +98,60 @@
     })
 }
 
-fn context(config: Config) -> Result<(Arc<Context>, Rings), CommandError> {
-    let (placement, placement_end) = PlacementRing::new(config.placement.requests);
-    let (claims, claims_ends) = ClaimsRing::new(config.placement.requests);
+fn make_context(config: Config) -> Result<(Arc<Context>, Receivers), CommandError> {
+    let (placement, placement_receiver) = PlacementSender::new(config.placement.requests);
+    let (claims, claims_receivers) = ClaimsSender::new(config.placement.requests);
     let ctx = Context {
         platform: HttpPlatform::new(&config.platform.address.to_string()),
         fleet: FleetCell::default(),
         services: Default::default(),
         peers: PeerTable::default(),
-        sightings: Sightings::default(),
-        listed: Default::default(),
+        observations: LocalObservations::default(),
+        listed_vms: Default::default(),
         placement,
         claims,
-        rooms: Default::default(),
-        recent: Recent::default(),
+        capacities: Default::default(),
+        recent: RecentRequests::default(),
         burn: Default::default(),
-        since: SystemTime::now(),
+        started_at: SystemTime::now(),
         metrics: Metrics::new().map_err(CommandError::Start)?,
         in_progress: Default::default(),
-        held_bytes: Default::default(),
+        in_progress_bytes: Default::default(),
         unsettled: Default::default(),
         reaches_log: Default::default(),
         leaving: Default::default(),
         config,
     };
-    let rings = Rings {
-        placement: placement_end,
-        claims: claims_ends,
+    let receivers = Receivers {
+        placement: placement_receiver,
+        claims: claims_receivers,
     };
-    Ok((Arc::new(ctx), rings))
+    Ok((Arc::new(ctx), receivers))
 }
 
-fn start(ctx: &Arc<Context>, rings: Rings, listeners: Listeners) -> io::Result<()> {
+fn start(ctx: &Arc<Context>, receivers: Receivers, listeners: Listeners) -> io::Result<()> {
     let (sender, dispatches) = mpsc::channel(ctx.config.placement.requests * 4 + 64);
-    let messages = rings.placement;
-    duties::spawn("placement", ctx, move |ctx| {
+    let messages = receivers.placement;
+    threads::spawn("placement", ctx, move |ctx| {
         placement(ctx, &messages, sender);
     })?;
-    duties::spawn("workers", ctx, move |ctx| workers(ctx, dispatches))?;
-    for (shard, jobs) in rings.claims.into_iter().enumerate() {
+    threads::spawn("workers", ctx, move |ctx| workers(ctx, dispatches))?;
+    for (shard, messages) in receivers.claims.into_iter().enumerate() {
         let name = format!("claims-{shard}");
-        duties::spawn(&name, ctx, move |ctx| claims(ctx, shard, &jobs))?;
+        threads::spawn(&name, ctx, move |ctx| claims(ctx, shard, &messages))?;
     }
-    duties::spawn("follow", ctx, follow)?;
-    duties::spawn("watch", ctx, watch)?;
-    duties::spawn("steward", ctx, steward)?;
-    duties::spawn("snapshots", ctx, snapshots)?;
-    duties::spawn("ask-peers", ctx, ask_peers)?;
-    for _ in 0..peers::ANSWERERS {
+    threads::spawn("follow", ctx, follow)?;
+    threads::spawn("watch", ctx, watch)?;
+    threads::spawn("steward", ctx, steward)?;
+    threads::spawn("snapshots", ctx, snapshots)?;
+    threads::spawn("ask-peers", ctx, poll_peers)?;
+    for _ in 0..peers::LISTENER_THREADS {
         let server = Arc::clone(&listeners.peers);
-        duties::spawn("answer-peers", ctx, move |ctx| answer_peers(ctx, &server))?;
+        threads::spawn("answer-peers", ctx, move |ctx| serve_peers(ctx, &server))?;
     }
-    for _ in 0..operators::ANSWERERS {
+    for _ in 0..operators::LISTENER_THREADS {
         let server = Arc::clone(&listeners.operators);
-        duties::spawn("operators", ctx, move |ctx| operators(ctx, &server))?;
+        threads::spawn("operators", ctx, move |ctx| operators(ctx, &server))?;
     }
-    duties::spawn("editors", ctx, move |ctx| editors(ctx, listeners.editors))
+    threads::spawn("editors", ctx, move |ctx| editors(ctx, listeners.editors))
 }
--- a/crates/havenladder/src/commands/settings.rs
+++ b/crates/havenladder/src/commands/settings.rs
@@ -1,6 +1,6 @@
-//! `settings`: checks, publishes and shows the tree.
+//! `settings`: checks, publishes and shows the settings tree.
 
-use super::{CommandError, Setup, order, table};
+use super::{CommandError, GlobalOptions, send_order, table};
 use crate::{
     cli::SettingsCommand,
     client::OperatorClient,
@@ -15,19 +15,19 @@
     time::{Duration, Instant},
 };
 
-/// Time in which accepted settings must be in force on every live entry.
-const IN_FORCE: Duration = Duration::from_secs(30);
+/// Time limit for accepted settings to be in force on every live entry.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks at how far the entries are.
-const ROUND: Duration = Duration::from_millis(50);
+/// Interval between two polls of the entries' offsets.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs one of the commands about settings.
-pub fn settings(setup: &Setup<'_>, command: SettingsCommand) -> Result<(), CommandError> {
+/// Runs a command about settings.
+pub fn settings(options: &GlobalOptions<'_>, command: SettingsCommand) -> Result<(), CommandError> {
     match command {
         SettingsCommand::Check { file } => check(&file),
-        SettingsCommand::Apply { file, wait } => apply(setup, &file, wait),
-        SettingsCommand::Show => show(setup),
-        SettingsCommand::History => history(setup),
+        SettingsCommand::Apply { file, wait } => apply(options, &file, wait),
+        SettingsCommand::Show => show(options),
+        SettingsCommand::History => history(options),
     }
 }
 
@@ -46,21 +46,21 @@
     Ok(())
 }
 
-fn apply(setup: &Setup<'_>, file: &Path, wait: bool) -> Result<(), CommandError> {
+fn apply(options: &GlobalOptions<'_>, file: &Path, wait: bool) -> Result<(), CommandError> {
     let wanted = read(file)?;
-    let client = setup.client()?;
+    let client = options.client()?;
     let state: StateReply = client.get("/state")?;
-    let changes = based_on(&state, &wanted);
+    let changes = changes_towards(&state, &wanted);
     if changes.is_empty() {
         println!("already in force");
         return Ok(());
     }
     let count = changes.len();
-    let receipt = order(setup, &Order::Settings(changes))?;
+    let receipt = send_order(options, &Order::Settings(changes))?;
     if wait {
         wait_in_force(&client, receipt.offset)?;
     }
-    setup.print(&receipt, |receipt| {
+    options.print(&receipt, |receipt| {
         let offset = receipt.offset;
         let force = if wait {
             " and in force on every live entry"
@@ -72,8 +72,9 @@
     Ok(())
 }
 
-/// The changes towards `wanted`, each with the version that it is based on.
-fn based_on(state: &StateReply, wanted: &Tree) -> Vec<PathChange> {
+/// Returns the changes that lead from the settings in force to `wanted`, each with the version that
+/// it is based on.
+fn changes_towards(state: &StateReply, wanted: &Tree) -> Vec<PathChange> {
     diff(&state.tree, wanted)
         .into_iter()
         .map(|change| PathChange {
@@ -88,7 +89,7 @@
 }
 
 fn wait_in_force(client: &OperatorClient, offset: u64) -> Result<(), CommandError> {
-    let deadline = Instant::now() + IN_FORCE;
+    let deadline = Instant::now() + IN_FORCE_TIMEOUT;
     loop {
         let members: Vec<MemberReply> = client.get("/members")?;
         let behind: Vec<&str> = members
@@ -103,28 +104,28 @@
             let behind = behind.join(", ");
             return Err(CommandError::NotInForce { offset, behind });
         }
-        sleep(ROUND);
+        sleep(POLL_INTERVAL);
     }
 }
 
-fn show(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let state: StateReply = setup.client()?.get("/state")?;
+fn show(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let state: StateReply = options.client()?.get("/state")?;
     if let Ok(text) = serde_json::to_string_pretty(&state.tree.nodes) {
         println!("{text}");
     }
     Ok(())
 }
 
-fn history(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let state: StateReply = setup.client()?.get("/state")?;
-    setup.print(&state.versions, |versions| {
+fn history(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let state: StateReply = options.client()?.get("/state")?;
+    options.print(&state.versions, |versions| {
         let mut table = table::table(&["PATH", "OFFSET", "BY", "WHEN"]);
         for (path, mark) in versions {
             table.add_row([
                 path.clone(),
                 mark.offset.to_string(),
                 mark.by.clone(),
-                table::distance(mark.at),
+                table::relative_time(mark.at),
             ]);
         }
         table::print(&table, "no settings yet");
--- a/crates/havenladder/src/commands/vm.rs
+++ b/crates/havenladder/src/commands/vm.rs
@@ -1,31 +1,35 @@
-//! `vm`: lists VMs and takes them out of service or puts them back.
+//! `vm`: lists VMs, takes them out of service and puts them back.
 
-use super::{CommandError, Setup, order, table};
+use super::{CommandError, GlobalOptions, send_order, table};
 use crate::{
     cli::VmCommand,
     operate::{Order, StateReply},
 };
 use fleet::{GrantPurpose, Vm};
 
-/// Runs one of the commands about VMs.
-pub fn vm(setup: &Setup<'_>, command: VmCommand) -> Result<(), CommandError> {
+/// Runs a command about VMs.
+pub fn vm(options: &GlobalOptions<'_>, command: VmCommand) -> Result<(), CommandError> {
     match command {
-        VmCommand::List => list(setup),
-        VmCommand::Drain { vm } => errand(setup, vm, GrantPurpose::Drain),
-        VmCommand::Release { vm } => errand(setup, vm, GrantPurpose::Release),
-        VmCommand::Move { vm, pool } => errand(setup, vm, GrantPurpose::Move { to: pool }),
-        VmCommand::Undrain { vm } => change(setup, &Order::Undo { vm }),
-        VmCommand::Forget { vm } => change(setup, &Order::Forget { vm }),
+        VmCommand::List => list(options),
+        VmCommand::Drain { vm } => grant(options, vm, GrantPurpose::Drain),
+        VmCommand::Release { vm } => grant(options, vm, GrantPurpose::Release),
+        VmCommand::Move { vm, pool } => grant(options, vm, GrantPurpose::Move { to: pool }),
+        VmCommand::Undrain { vm } => change(options, &Order::Undo { vm }),
+        VmCommand::Forget { vm } => change(options, &Order::Forget { vm }),
     }
 }
 
-fn errand(setup: &Setup<'_>, vm: String, errand: GrantPurpose) -> Result<(), CommandError> {
-    change(setup, &Order::Errand { vm, errand })
+fn grant(
+    options: &GlobalOptions<'_>,
+    vm: String,
+    errand: GrantPurpose,
+) -> Result<(), CommandError> {
+    change(options, &Order::Errand { vm, errand })
 }
 
-fn change(setup: &Setup<'_>, wanted: &Order) -> Result<(), CommandError> {
-    let receipt = order(setup, wanted)?;
-    setup.print(&receipt, |receipt| {
+fn change(options: &GlobalOptions<'_>, wanted: &Order) -> Result<(), CommandError> {
+    let receipt = send_order(options, wanted)?;
+    options.print(&receipt, |receipt| {
         println!(
             "decided at offset {}; see `havenladder vm list`",
             receipt.offset
@@ -34,9 +38,9 @@
     Ok(())
 }
 
-fn list(setup: &Setup<'_>) -> Result<(), CommandError> {
-    let state: StateReply = setup.client()?.get("/state")?;
-    setup.print(&state.vms, |vms| {
+fn list(options: &GlobalOptions<'_>) -> Result<(), CommandError> {
+    let state: StateReply = options.client()?.get("/state")?;
+    options.print(&state.vms, |vms| {
         let mut table = table::table(&["VM", "POOL", "HALL", "RACK", "SLOTS", "BOOT", "STATE"]);
         for (id, vm) in vms {
             table.add_row([
--- a/crates/havenladder/src/configs/steward.rs
+++ b/crates/havenladder/src/configs/steward.rs
@@ -1,16 +1,16 @@
-//! Settings of drains, reboots and moves.
+//! Settings of drains, reboots and moves of VMs.
 
 use super::millis;
 use serde::Serialize;
 use settings::Fields;
 use std::time::Duration;
 
-/// Drains, reboots and moves.
+/// Settings of drains, reboots and moves of VMs.
 #[derive(Clone, Debug, Serialize)]
 pub struct StewardConfig {
-    /// Time between two looks at what is to be done.
+    /// Interval between two checks for pending work.
     pub interval: Duration,
-    /// How long a lease on a VM runs.
+    /// Duration of a lease on a VM.
     pub lease: Duration,
 }
 
@@ -32,8 +32,8 @@
             lease: millis(fields, "lease_ms", default.lease),
         };
         if config.lease > fleet::MAX_LEASE {
-            let most = fleet::MAX_LEASE.as_millis();
-            fields.report("lease_ms", format!("must be at most {most}"));
+            let max = fleet::MAX_LEASE.as_millis();
+            fields.report("lease_ms", format!("must be at most {max}"));
         }
         config
     }
--- a/crates/havenladder/src/main.rs
+++ b/crates/havenladder/src/main.rs
@@ -1,15 +1,15 @@
-//! The program `havenladder`: entries, and the commands by which operators drive them.
+//! The program `havenladder`: runs entries, and the commands with which operators control them.
 
 mod cli;
 mod client;
 mod commands;
 mod configs;
 mod context;
-mod duties;
 mod entry;
 mod explain;
 mod fleet_cell;
 mod key;
+mod local_observations;
 mod logs;
 mod metrics;
 mod operate;
@@ -18,14 +18,15 @@
 mod problem;
 mod propose;
 mod recent;
-mod sightings;
 mod sync;
+mod threads;
 
 use clap::Parser;
 use mimalloc::MiMalloc;
 use std::process::ExitCode;
 
-/// A fifth of an owner's processor time at 1,100 workers went to the system's allocator.
+/// Global allocator. The system's allocator took a fifth of an owner's processor time at 1,100
+/// workers.
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
--- a/crates/havenladder/src/outcome.rs
+++ b/crates/havenladder/src/outcome.rs
@@ -6,10 +6,10 @@
 use serving::{AttemptEnd, ClaimState, NotRun, Outcome, Settled, Why};
 use std::time::{Duration, Instant};
 
-/// Time after which a caller may ask again about a request that is in progress.
-const IN_PROGRESS_BACK: Duration = Duration::from_secs(1);
+/// Time after which a caller may retry a request whose key is in progress.
+const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Returns the outcome's name in metrics and logs.
+/// Returns the name of an outcome in metrics and logs.
 pub fn name(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Done(_) => "done",
@@ -19,7 +19,8 @@
     }
 }
 
-/// Returns what the burn report counts a request as: `None` if it does not count at all.
+/// Returns how the burn report counts a request: `None` if it is not counted, `Some(None)` if it is
+/// good, and the kind of loss otherwise.
 pub fn loss(outcome: &Outcome, in_time: bool) -> Option<Option<Loss>> {
     match outcome {
         Outcome::Done(_) if in_time => Some(None),
@@ -36,7 +37,7 @@
     }
 }
 
-/// Makes the answer for every outcome that has no worker's answer.
+/// Returns the problem document for an outcome that has no response of a worker.
 pub fn problem(outcome: &Outcome) -> Problem {
     match outcome {
         Outcome::NotRun(refusal) => not_run(refusal),
@@ -61,18 +62,18 @@
         detail: format!("the request was not run: {detail}"),
         field: None,
         outcome: "not-run",
-        back: Some(refusal.back.saturating_duration_since(Instant::now())),
+        retry_after: Some(refusal.back.saturating_duration_since(Instant::now())),
     }
 }
 
 fn claimed(settled: Settled) -> Problem {
-    let conflict = |kind, detail: &str, outcome, back| Problem {
+    let conflict = |kind, detail: &str, outcome, retry_after| Problem {
         status: StatusCode::CONFLICT,
         kind,
         detail: detail.to_owned(),
         field: Some("idempotency-key"),
         outcome,
-        back,
+        retry_after,
     };
     match settled {
         Settled::Done => conflict(
@@ -85,7 +86,7 @@
             "in-progress",
             "a request with this key is in progress, or its entry was lost with it",
             "in-progress",
-            Some(IN_PROGRESS_BACK),
+            Some(IN_PROGRESS_RETRY_AFTER),
         ),
         Settled::Held(_) => conflict(
             "claimed",
@@ -121,11 +122,11 @@
         detail: format!("nobody can tell whether the request ran to its end: {detail}"),
         field: None,
         outcome: "unknown",
-        back: None,
+        retry_after: None,
     }
 }
 
-/// Returns the name of an attempt's end in metrics.
+/// Returns the name of the end of an attempt in metrics.
 pub fn end_name(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Done => "done",
--- a/crates/havenladder/src/duties/editors/check.rs
+++ b/crates/havenladder/src/threads/editors/check.rs
@@ -1,4 +1,4 @@
-//! What a request is checked for before its body is read.
+//! Checks of a request before its body is read.
 
 use crate::{context::Context, problem::Problem};
 use bytes::Bytes;
@@ -13,38 +13,38 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Path below which services live.
+/// Prefix of the paths of services.
 const SERVICES: &str = "/v1/";
 
-/// Request header: the latest time for the answer, in milliseconds since 1970.
+/// Request header with the deadline of the response, in milliseconds since 1970.
 const HEADER_DEADLINE: &str = "havenladder-deadline";
 
-/// Request header: the caller's key (the draft standard of that name).
+/// Request header with the caller's key, named as in the draft standard.
 const HEADER_KEY: &str = "idempotency-key";
 
-/// The furthest that a deadline may lie ahead.
-const FURTHEST: Duration = Duration::from_secs(24 * 60 * 60);
+/// Longest time from now that a deadline may have.
+const MAX_DEADLINE_AHEAD: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// A request that is in order.
-pub struct Checked {
-    /// The service.
+/// Request that has passed all checks.
+pub struct CheckedRequest {
+    /// Name of the service.
     pub service: ServiceId,
-    /// What is in force for it.
+    /// Settings in force for the service.
     pub settings: Service,
-    /// The announced length of the body.
+    /// Announced length of the body, in bytes.
     pub length: usize,
-    /// When the answer is of no more use.
+    /// Time after which the response is of no use to the caller.
     pub deadline: Instant,
-    /// The same by the wall clock.
+    /// Deadline by the wall clock.
     expires: SystemTime,
-    /// The caller's key, if the service needs one.
+    /// Caller's key, if the service requires one.
     pub key: Option<Key>,
-    /// Whether a peer has passed the request on.
+    /// Whether a peer has forwarded the request.
     pub forwarded: bool,
 }
 
-impl Checked {
-    /// Makes what the scheduler sees of the request.
+impl CheckedRequest {
+    /// Returns the description of the request for the scheduler.
     pub fn job(&self, id: RequestId) -> Job {
         Job {
             id,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Makes the claim on the request's key.
+    /// Returns the claim on the request's key, or `None` if the service requires no key.
     pub fn claim(&self, body: &Bytes) -> Option<Claim> {
         Some(Claim {
             service: self.service.clone(),
@@ -72,8 +72,8 @@
 ///
 /// # Errors
 ///
-/// Returns the first problem; nothing was run.
-pub fn check(ctx: &Context, request: &Request<Incoming>) -> Result<Checked, Problem> {
+/// Returns the first problem that is found; the request was not run.
+pub fn check(ctx: &Context, request: &Request<Incoming>) -> Result<CheckedRequest, Problem> {
     if !ctx.fleet.is_loaded() {
         return Err(not_loaded());
     }
@@ -90,7 +90,7 @@
     } else {
         Some(key(headers)?)
     };
-    Ok(Checked {
+    Ok(CheckedRequest {
         service,
         settings,
         length,
@@ -108,7 +108,7 @@
         detail: "this entry has no settings yet; the request was not run".into(),
         field: None,
         outcome: "not-run",
-        back: Some(Duration::from_secs(1)),
+        retry_after: Some(Duration::from_secs(1)),
     }
 }
 
@@ -125,8 +125,8 @@
     Err(Problem::bad(StatusCode::NOT_FOUND, "path", detail))
 }
 
-/// A length must be announced once and be a number; chunks are not taken, since a length and
-/// chunks together can be read in two ways.
+/// Returns the announced length of the body, which must be a single number. Chunked bodies are
+/// rejected, since a request with both a length and chunks can be read in two ways.
 fn length(headers: &HeaderMap, limit: usize) -> Result<usize, Problem> {
     let bad = |status, detail: String| Problem::bad(status, "content-length", detail);
     if headers.contains_key(TRANSFER_ENCODING) {
@@ -151,11 +151,11 @@
 
 fn deadline(headers: &HeaderMap, timeout: Duration) -> Result<(Instant, SystemTime), Problem> {
     let (now, wall) = (Instant::now(), SystemTime::now());
-    let Some(given) = headers.get(HEADER_DEADLINE) else {
+    let Some(value) = headers.get(HEADER_DEADLINE) else {
         return Ok((now + timeout, wall + timeout));
     };
     let bad = |detail: &str| Problem::bad(StatusCode::BAD_REQUEST, HEADER_DEADLINE, detail);
-    let millis: Option<u64> = given.to_str().ok().and_then(|text| text.parse().ok());
+    let millis: Option<u64> = value.to_str().ok().and_then(|text| text.parse().ok());
     let Some(millis) = millis else {
         return Err(bad("must be a time in milliseconds since 1970"));
     };
@@ -163,7 +163,7 @@
     let Ok(left) = at.duration_since(wall) else {
         return Err(bad("the deadline is past"));
     };
-    if left > FURTHEST {
+    if left > MAX_DEADLINE_AHEAD {
         return Err(bad("the deadline is more than a day ahead"));
     }
     Ok((now + left, at))
@@ -171,11 +171,11 @@
 
 fn key(headers: &HeaderMap) -> Result<Key, Problem> {
     let bad = |detail: String| Problem::bad(StatusCode::BAD_REQUEST, HEADER_KEY, detail);
-    let Some(given) = headers.get(HEADER_KEY) else {
+    let Some(value) = headers.get(HEADER_KEY) else {
         let detail = "is missing: this service runs a request at most once, by its key, a ULID";
         return Err(bad(detail.into()));
     };
-    let text = given.to_str().unwrap_or_default();
+    let text = value.to_str().unwrap_or_default();
     read_key(text.trim_matches('"'), SystemTime::now())
         .map_err(|error: KeyError| bad(error.to_string()))
 }
--- a/crates/havenladder/src/duties/follow.rs
+++ b/crates/havenladder/src/threads/follow.rs
@@ -1,11 +1,12 @@
-//! The duty that follows the log: it loads a state, applies what comes, and never goes back.
+//! Thread that replicates the log: loads a state, applies new records, and never goes back to lower
+//! offsets.
 
 use crate::{
     client::PeerClient,
     configs::Neighbour,
     context::Context,
-    duties::{placement::Message, snapshots},
     propose::FLEET,
+    threads::{placement::Message, snapshots},
 };
 use fleet::{Fleet, Outcome};
 use platform::Log;
@@ -19,50 +20,56 @@
     time::Duration,
 };
 
-/// Entries of a hall that read the platform's log; the others follow them.
-const READERS: usize = 2;
+/// Number of entries per data centre that read the platform's log. The others read from them.
+const READERS_PER_DATA_CENTRE: usize = 2;
 
-/// Time between two tries when nobody can be reached.
-const RETRY: Duration = Duration::from_millis(200);
+/// Delay before the next attempt when neither the log nor a peer can be reached.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What one round of reading came to.
-enum Round {
-    /// Records that come next, or none for now.
+/// Result of one read.
+enum ReadResult {
+    /// Slice with the next records, which may be empty.
     Read(LogSlice),
-    /// Nobody could be reached.
-    Nobody,
+    /// Neither the log nor a peer could be reached.
+    Unreachable,
 }
 
-/// Follows the log until the process ends.
+/// Replicates the log until the process ends.
 pub fn follow(ctx: &Arc<Context>) {
     let peers = PeerClient::new(&ctx.config.peers.key);
     while !ctx.fleet.is_loaded() {
         if !load(ctx, &peers) {
-            sleep(RETRY);
+            sleep(RETRY_INTERVAL);
         }
     }
     publish(ctx);
     loop {
         let next = ctx.fleet.get().next;
-        match read_round(ctx, &peers, next) {
-            Round::Read(slice) if slice.has_gap(next) => {
+        match read_next(ctx, &peers, next) {
+            ReadResult::Read(slice) if slice.has_gap(next) => {
                 let (oldest, behind) = (slice.oldest, slice.oldest - next);
-                tracing::warn!(next, oldest, behind, "gap: the log has forgotten records");
+                tracing::warn!(
+                    next,
+                    oldest,
+                    behind,
+                    "gap: the log no longer retains the next records"
+                );
                 if !load(ctx, &peers) {
-                    sleep(RETRY);
+                    sleep(RETRY_INTERVAL);
                 }
             }
-            Round::Read(slice) => apply(ctx, slice.records),
-            Round::Nobody => sleep(RETRY),
+            ReadResult::Read(slice) => apply(ctx, slice.records),
+            ReadResult::Unreachable => sleep(RETRY_INTERVAL),
         }
     }
 }
 
-/// Loads a state from the log, or from a peer while the log cannot be reached.
+/// Loads a state from the log, or from a peer if the log has none to offer. Returns whether that
+/// succeeded.
 fn load(ctx: &Context, peers: &PeerClient) -> bool {
-    let loaded = from_log(ctx).or_else(|| from_peer(ctx, peers));
+    let loaded = load_from_log(ctx).or_else(|| load_from_peer(ctx, peers));
     let Some(fleet) = loaded else {
-        tracing::warn!("no state could be loaded yet; nothing is served");
+        tracing::warn!("could not load the agreed state yet; serving nothing");
         return false;
     };
     tracing::info!(next = fleet.next, "loaded the agreed state");
@@ -71,27 +78,27 @@
     true
 }
 
-/// The newest snapshot of the log, or the empty state if the log still holds every record.
-fn from_log(ctx: &Context) -> Option<Fleet> {
+/// Returns the newest snapshot of the log, or the empty state if the log still holds every record.
+fn load_from_log(ctx: &Context) -> Option<Fleet> {
     let slice = ctx.platform.read(FLEET, 0, Duration::ZERO).ok()?;
     ctx.reaches_log.store(true, Ordering::Relaxed);
     if slice.oldest == 0 {
         return Some(Fleet::default());
     }
     let fleet = snapshots::newest(&ctx.platform)?;
-    let is_joined = fleet.next >= slice.oldest;
-    if !is_joined {
+    let is_contiguous = fleet.next >= slice.oldest;
+    if !is_contiguous {
         tracing::warn!(
             next = fleet.next,
             oldest = slice.oldest,
-            "gap behind the newest snapshot"
+            "gap between the newest snapshot and the oldest retained record"
         );
     }
-    is_joined.then_some(fleet)
+    is_contiguous.then_some(fleet)
 }
 
-/// The state of the peer that is furthest ahead.
-fn from_peer(ctx: &Context, peers: &PeerClient) -> Option<Fleet> {
+/// Returns the state of the peer that has applied the most records.
+fn load_from_peer(ctx: &Context, peers: &PeerClient) -> Option<Fleet> {
     ctx.config
         .peers
         .neighbours
@@ -100,16 +107,17 @@
         .max_by_key(|fleet| fleet.next)
 }
 
-/// Reads from the log or, as one of the hall's other entries, from one that does.
-fn read_round(ctx: &Context, peers: &PeerClient, next: Offset) -> Round {
+/// Reads the next records from the log if this entry is one of the readers of its data centre.
+/// Otherwise reads from a peer first. Each falls back to the other source if its own does not respond.
+fn read_next(ctx: &Context, peers: &PeerClient, next: Offset) -> ReadResult {
     let is_reader = is_reader(ctx);
-    if !is_reader && let Some(slice) = relayed(ctx, peers, next) {
-        return Round::Read(slice);
+    if !is_reader && let Some(slice) = read_from_peer(ctx, peers, next) {
+        return ReadResult::Read(slice);
     }
     match ctx.platform.read(FLEET, next, ctx.config.platform.wait) {
         Ok(slice) => {
             ctx.reaches_log.store(true, Ordering::Relaxed);
-            return Round::Read(slice);
+            return ReadResult::Read(slice);
         }
         Err(error) => {
             if ctx.reaches_log.swap(false, Ordering::Relaxed) {
@@ -117,7 +125,7 @@
             }
         }
     }
-    relayed(ctx, peers, next).map_or(Round::Nobody, Round::Read)
+    read_from_peer(ctx, peers, next).map_or(ReadResult::Unreachable, ReadResult::Read)
 }
 
 fn is_reader(ctx: &Context) -> bool {
@@ -129,11 +137,12 @@
         .map(|status| status.entry.as_str())
         .chain([ctx.config.entry.name.as_str()]);
     let rank = rank(in_hall, &ctx.config.entry.name, hall);
-    rank.is_none_or(|rank| rank < READERS)
+    rank.is_none_or(|rank| rank < READERS_PER_DATA_CENTRE)
 }
 
-/// Reads from the first peer that is ahead: those of the own hall before others.
-fn relayed(ctx: &Context, peers: &PeerClient, next: Offset) -> Option<LogSlice> {
+/// Reads from the first peer that responds, among those that reach the log or are ahead. Peers in
+/// the same data centre come first.
+fn read_from_peer(ctx: &Context, peers: &PeerClient, next: Offset) -> Option<LogSlice> {
     let ahead: Vec<String> = ctx
         .peers
         .live()
@@ -172,14 +181,14 @@
     }
 }
 
-/// Tells the placing duty what the agreed state now says.
+/// Sends the services and workers of the agreed state to the placement thread.
 pub fn publish(ctx: &Context) {
     let services = services(&ctx.fleet.get());
     if **ctx.services.load() != services {
         ctx.services.store(Arc::new(services.clone()));
-        tell(ctx, Event::Services(services));
+        notify_placement(ctx, Event::Services(services));
     }
-    tell(ctx, Event::Workers(workers(ctx)));
+    notify_placement(ctx, Event::Workers(workers(ctx)));
 }
 
 fn services(fleet: &Fleet) -> BTreeMap<String, Service> {
@@ -190,14 +199,15 @@
         .collect()
 }
 
-/// The hall's workers that take new work, by the agreed state and by what this entry sees.
+/// Returns the workers of this data centre that accept new work, according to both the agreed state
+/// and this entry's own observations.
 fn workers(ctx: &Context) -> Vec<WorkerInfo> {
-    let unfit = ctx.sightings.unfit();
+    let unusable = ctx.observations.unusable();
     let fleet = ctx.fleet.get();
     fleet
         .vms
         .iter()
-        .filter(|(id, vm)| vm.hall == ctx.config.entry.hall && !unfit.contains(*id))
+        .filter(|(id, vm)| vm.hall == ctx.config.entry.hall && !unusable.contains(*id))
         .filter(|(_, vm)| vm.is_available())
         .map(|(id, vm)| WorkerInfo {
             vm: id.clone(),
@@ -208,6 +218,6 @@
         .collect()
 }
 
-fn tell(ctx: &Context, event: Event) {
-    ctx.placement.tell(Message::Happened(event));
+fn notify_placement(ctx: &Context, event: Event) {
+    ctx.placement.notify(Message::Event(event));
 }
--- a/crates/havenladder/src/duties/peers.rs
+++ b/crates/havenladder/src/threads/peers.rs
@@ -1,12 +1,12 @@
-//! The duties towards peers: answering them, and asking each how it is.
+//! Threads that serve peers and poll their status.
 
 use crate::{
-    client::{PeerClient, RELAY_WAIT},
+    client::{MAX_RELAY_WAIT, PeerClient},
     context::Context,
-    duties::placement::Message,
     key::is_key,
-    peer_table::holds_until,
+    peer_table::status_expiry,
     sync::lock,
+    threads::placement::Message,
 };
 use fleet::encode_snapshot;
 use protocol::{BurnReply, HEADER_KEY, SnapshotReply, encode};
@@ -19,17 +19,17 @@
 };
 use tiny_http::{Header, Request, Response, Server};
 
-/// Threads that answer peers; each may hold one request for records.
-pub const ANSWERERS: usize = 12;
+/// Number of threads that serve peers. Each of them may be blocked by one request for records.
+pub const LISTENER_THREADS: usize = 12;
 
-/// Answers peers until the process ends.
-pub fn answer_peers(ctx: &Arc<Context>, server: &Server) {
+/// Serves peers until the process ends.
+pub fn serve_peers(ctx: &Arc<Context>, server: &Server) {
     while let Ok(request) = server.recv() {
-        answer(ctx, request);
+        handle(ctx, request);
     }
 }
 
-fn answer(ctx: &Context, request: Request) {
+fn handle(ctx: &Context, request: Request) {
     if !has_key(&request, &ctx.config.peers.key) {
         respond(request, 401, Vec::new());
         return;
@@ -37,10 +37,10 @@
     let url = request.url().to_owned();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
     let body = match path {
-        "/status" => body(&ctx.status()),
-        "/relay" => body(&relay(ctx, query)),
+        "/status" => encode_body(&ctx.status()),
+        "/relay" => encode_body(&relay(ctx, query)),
         "/snapshot" => snapshot(ctx),
-        "/burn" => body(&burn(ctx)),
+        "/burn" => encode_body(&burn(ctx)),
         _ => None,
     };
     match body {
@@ -53,7 +53,7 @@
     let from = query
         .strip_prefix("from=")
         .and_then(|from| from.parse().ok());
-    ctx.fleet.slice(from.unwrap_or_default(), RELAY_WAIT)
+    ctx.fleet.slice(from.unwrap_or_default(), MAX_RELAY_WAIT)
 }
 
 fn snapshot(ctx: &Context) -> Option<Vec<u8>> {
@@ -61,26 +61,26 @@
         return None;
     }
     let bytes = encode_snapshot(&ctx.fleet.get()).ok()?;
-    body(&SnapshotReply {
+    encode_body(&SnapshotReply {
         bytes,
         tail: Vec::new(),
     })
 }
 
-/// Returns what this entry has counted.
+/// Returns the burn counts of this entry.
 pub fn burn(ctx: &Context) -> BurnReply {
     BurnReply {
         entry: ctx.config.entry.name.clone(),
-        since: ctx.since,
+        since: ctx.started_at,
         services: lock(&ctx.burn).sums(SystemTime::now()),
     }
 }
 
-fn body(message: &impl Serialize) -> Option<Vec<u8>> {
+fn encode_body(message: &impl Serialize) -> Option<Vec<u8>> {
     encode(message).ok()
 }
 
-/// Tells whether a request bears the key, as a header of its own or as a bearer token.
+/// Returns whether a request carries the key, either in its own header or as a bearer token.
 pub fn has_key(request: &Request, key: &str) -> bool {
     request.headers().iter().any(|header| {
         let value = header.value.as_str();
@@ -96,32 +96,32 @@
 
 fn respond(request: Request, status: u16, body: Vec<u8>) {
     let mut response = Response::from_data(body).with_status_code(status);
-    if let Ok(kind) = Header::from_bytes("content-type", "application/msgpack") {
-        response.add_header(kind);
+    if let Ok(content_type) = Header::from_bytes("content-type", "application/msgpack") {
+        response.add_header(content_type);
     }
-    // A peer that went away asks again.
+    // A peer that has disconnected sends the request again.
     let _ = request.respond(response);
 }
 
-/// Asks every peer how it is, until the process ends.
-pub fn ask_peers(ctx: &Arc<Context>) {
+/// Polls the status of every peer until the process ends.
+pub fn poll_peers(ctx: &Arc<Context>) {
     let client = PeerClient::new(&ctx.config.peers.key);
     loop {
         for neighbour in &ctx.config.peers.neighbours {
             if let Some(status) = client.status(&neighbour.peers.to_string()) {
-                ctx.peers.hear(status, holds_until(&ctx.config));
+                ctx.peers.record(status, status_expiry(&ctx.config));
             }
         }
-        let event = Event::Peers(other_halls(ctx));
-        ctx.placement.tell(Message::Happened(event));
+        let event = Event::Peers(peers_in_other_halls(ctx));
+        ctx.placement.notify(Message::Event(event));
         ctx.metrics
             .in_progress(ctx.in_progress.load(std::sync::atomic::Ordering::Relaxed));
         sleep(ctx.config.peers.interval.max(Duration::from_millis(10)));
     }
 }
 
-/// The live entries of other halls, with the room they see.
-fn other_halls(ctx: &Context) -> Vec<Peer> {
+/// Returns the live entries of other data centres, with the capacity that they report.
+fn peers_in_other_halls(ctx: &Context) -> Vec<Peer> {
     ctx.peers
         .live()
         .into_iter()
--- a/crates/havenladder/src/duties/steward/strays.rs
+++ b/crates/havenladder/src/threads/steward/drift.rs
@@ -1,4 +1,4 @@
-//! VMs that the platform shows otherwise than the agreed state has them, and no grant says why.
+//! VMs whose state on the platform differs from the agreed state without a grant that explains it.
 
 use super::view;
 use crate::context::Context;
@@ -7,33 +7,33 @@
 use protocol::{EntryId, HallId, VmId};
 use std::collections::BTreeMap;
 
-/// VMs without an errand that fall to this entry and that the platform shows otherwise than the
-/// agreed state has them: drained, or serving another pool.
-pub fn strays(ctx: &Context, members: &BTreeMap<EntryId, HallId>) -> Vec<(VmId, Vm)> {
+/// Returns the VMs without a grant for which this entry is responsible and whose state on the
+/// platform differs from the agreed state: they are drained, or assigned to another pool.
+pub fn drifted_vms(ctx: &Context, members: &BTreeMap<EntryId, HallId>) -> Vec<(VmId, Vm)> {
     let view = view(ctx, members);
     let fleet = ctx.fleet.get();
-    ctx.listed
+    ctx.listed_vms
         .load()
         .iter()
         .filter(|info| info.hall == ctx.config.entry.hall)
         .filter_map(|info| Some((info, fleet.vms.get(&info.id)?)))
-        .filter(|(info, vm)| vm.grant.is_none() && is_stray(info, vm))
+        .filter(|(info, vm)| vm.grant.is_none() && has_drifted(info, vm))
         .filter(|(info, vm)| view.holder(&info.id, vm).as_deref() == Some(view.entry))
         .map(|(info, vm)| (info.id.clone(), vm.clone()))
         .collect()
 }
 
-fn is_stray(info: &VmInfo, vm: &Vm) -> bool {
+fn has_drifted(info: &VmInfo, vm: &Vm) -> bool {
     info.drained || info.pool != vm.pool
 }
 
-/// Ends a drain that nothing asks for any more, and tells a worker which pool it serves. The
-/// token is the VM's version, so that a newer grant's calls win over this one.
-pub fn settle_stray(ctx: &Context, id: &str, vm: &Vm) {
+/// Undrains a VM that should not be drained, and assigns it to its pool. The token is derived from
+/// the VM's version, so that calls of a newer grant take precedence.
+pub fn correct(ctx: &Context, id: &str, vm: &Vm) {
     let Ok(Some(info)) = ctx.platform.fetch(id) else {
         return;
     };
-    if !is_stray(&info, vm) {
+    if !has_drifted(&info, vm) {
         return;
     }
     let (token, pool) = (token_without_grant(vm), vm.pool.clone());
@@ -42,9 +42,9 @@
             vm = id,
             token,
             pool = vm.pool,
-            "put the VM at its pool's service"
+            "reassigned the VM to its pool"
         ),
         Err(CallError::Refused(_)) => {}
-        Err(error) => tracing::warn!(vm = id, %error, "could not put the VM at service"),
+        Err(error) => tracing::warn!(vm = id, %error, "could not reassign the VM to its pool"),
     }
 }
--- a/crates/havenladder/src/duties/watch/report.rs
+++ b/crates/havenladder/src/threads/watch/report.rs
@@ -1,32 +1,32 @@
-//! What the agreed state is told of VMs: changes only, each by one entry.
+//! Changes of VMs that are proposed to the agreed state, each by one entry only.
 
-use crate::{context::Context, sightings::Sighting};
+use crate::{context::Context, local_observations::LocalObservation};
 use fleet::{Health, Observation, ObservedState, Vm};
 use platform::{VmInfo, VmLifecycle};
 use protocol::{EntryId, HallId, VmId, first_in_hall, ranked};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the agreed state should be told, of the VMs that fall to this entry.
+/// Returns the changes to propose for the VMs for which this entry is responsible.
 pub fn changes(
     ctx: &Context,
     listed: &[VmInfo],
-    sightings: &BTreeMap<VmId, Sighting>,
+    observations: &BTreeMap<VmId, LocalObservation>,
     boots: &BTreeMap<VmId, u64>,
 ) -> Vec<Observation> {
     let members = ctx.peers.members(&ctx.config, true);
-    let falls_to_us =
-        |id: &str, hall: &str| watcher(&members, id, hall) == Some(ctx.config.entry.name.as_str());
+    let is_responsible =
+        |id: &str, hall: &str| reporter(&members, id, hall) == Some(ctx.config.entry.name.as_str());
     let fleet = ctx.fleet.get();
     let mut changes = Vec::new();
     for info in listed
         .iter()
-        .filter(|info| falls_to_us(&info.id, &info.hall))
+        .filter(|info| is_responsible(&info.id, &info.hall))
     {
         let vm = fleet.vms.get(&info.id);
-        let sighting = sightings.get(&info.id).copied();
-        let seen = seen_of(info, vm, sighting, boots.get(&info.id).copied());
+        let observation = observations.get(&info.id).copied();
+        let seen = observe(info, vm, observation, boots.get(&info.id).copied());
         let base = vm.map_or(0, |vm| vm.version);
-        if let Some(seen) = seen.filter(|seen| is_news(vm, seen)) {
+        if let Some(seen) = seen.filter(|seen| is_update(vm, seen)) {
             changes.push(Observation {
                 vm: info.id.clone(),
                 base,
@@ -37,11 +37,11 @@
     let ids: BTreeSet<&VmId> = listed.iter().map(|info| &info.id).collect();
     let halls: BTreeSet<&HallId> = listed.iter().map(|info| &info.hall).collect();
     for (id, vm) in fleet.vms.iter().filter(|(_, vm)| halls.contains(&vm.hall)) {
-        let is_lost = !ids.contains(id) && vm.health != Health::Gone && vm.grant.is_none();
-        let is_silent = sightings
+        let is_missing = !ids.contains(id) && vm.health != Health::Gone && vm.grant.is_none();
+        let is_silent = observations
             .get(id)
-            .is_none_or(|sighting| sighting.is_suspect());
-        if is_lost && is_silent && falls_to_us(id, &vm.hall) {
+            .is_none_or(|observation| observation.is_suspect());
+        if is_missing && is_silent && is_responsible(id, &vm.hall) {
             changes.push(Observation {
                 vm: id.clone(),
                 base: vm.version,
@@ -52,24 +52,24 @@
     changes
 }
 
-/// The live entry that records what becomes of a VM: one of its hall, or the one that the hall
-/// has fallen to if it has none left.
-fn watcher<'m>(members: &'m BTreeMap<EntryId, HallId>, id: &str, hall: &str) -> Option<&'m str> {
+/// Returns the live entry that reports changes of a VM: one in the VM's data centre, or the one
+/// that is responsible for the data centre if it has no live entry.
+fn reporter<'m>(members: &'m BTreeMap<EntryId, HallId>, id: &str, hall: &str) -> Option<&'m str> {
     first_in_hall(members, hall, id).or_else(|| {
         let all = members.keys().map(String::as_str);
         ranked(all, hall).first().copied()
     })
 }
 
-/// Weighs the lagging list against the probes: the list alone never brings a VM up again that
-/// this entry itself finds silent, and an old list never takes a count of boots back.
-fn seen_of(
+/// Combines the platform's list, which lags behind, with this entry's probes. The list alone never
+/// marks a VM that fails the probes as up, and an outdated list never decreases the boot count.
+fn observe(
     info: &VmInfo,
     vm: Option<&Vm>,
-    sighting: Option<Sighting>,
+    observation: Option<LocalObservation>,
     boot: Option<u64>,
 ) -> Option<ObservedState> {
-    if sighting.is_some_and(Sighting::is_suspect) {
+    if observation.is_some_and(LocalObservation::is_suspect) {
         return Some(ObservedState::Down);
     }
     if info.state == VmLifecycle::Leaving {
@@ -77,7 +77,7 @@
     }
     let known_boot = vm.map_or(0, |vm| vm.boot);
     let boot = boot.unwrap_or(info.boot).max(info.boot);
-    let answered = sighting.is_some_and(|sighting| sighting.misses == 0);
+    let answered = observation.is_some_and(|observation| observation.misses == 0);
     if boot < known_boot || !(info.up || answered) {
         return None;
     }
@@ -90,7 +90,7 @@
     })
 }
 
-fn is_news(vm: Option<&Vm>, seen: &ObservedState) -> bool {
+fn is_update(vm: Option<&Vm>, seen: &ObservedState) -> bool {
     let Some(vm) = vm else {
         return matches!(seen, ObservedState::Up { .. });
     };
