--- a/crates/havenladder/tests/at_most_once.rs
+++ b/crates/havenladder/tests/at_most_once.rs
@@ -74,7 +74,7 @@
 fn an_append_whose_answer_is_lost_claims_once() {
     let site = two_entries();
     for round in 0..10 {
-        site.log_links[0].lose_answers(2);
+        site.log_links[0].lose_responses(2);
         let tag = format!("lost-{round}");
         let key = key();
         let reply = order(&site, 0, &key, &format!("run=1 tag={tag}"));
--- a/crates/havenladder/tests/configuration.rs
+++ b/crates/havenladder/tests/configuration.rs
@@ -98,7 +98,7 @@
     let site = Site::start(plan(1, 4), &["hall-1"], &settings(1_000));
     for round in 1..=5 {
         let before = site.state(0)["next"].as_u64().unwrap();
-        site.log_links[0].lose_answers(2);
+        site.log_links[0].lose_responses(2);
         site.publish(&settings(1_000 + round));
         let state = site.state(0);
         assert_eq!(timeout(&site, 0), u64::from(1_000 + round));
--- a/crates/havenladder/tests/drained_worker.rs
+++ b/crates/havenladder/tests/drained_worker.rs
@@ -55,7 +55,7 @@
         let began = Instant::now();
         work(&site, 1, Duration::from_secs(2)).await;
         assert!(begun(&site, "vm-0", began) > 0, "it is in use");
-        site.links[owner(name, seed, 3)].hush();
+        site.links[owner(name, seed, 3)].silence_connections();
         site.cloud.announce_end("vm-0");
         work(&site, 100, DRAINED).await;
         let drained = Instant::now();
--- a/crates/havenladder/tests/fleet.rs
+++ b/crates/havenladder/tests/fleet.rs
@@ -201,8 +201,8 @@
     let wave = start_wave(&site);
     for _ in 0..20 {
         site.fault("lose?n=2");
-        site.log_links[0].lose_answers(1);
-        site.log_links[1].lose_answers(1);
+        site.log_links[0].lose_responses(1);
+        site.log_links[1].lose_responses(1);
         thread::sleep(Duration::from_millis(100));
     }
     wait_wave(&site, 0, wave);
--- a/crates/havenladder/tests/given_back.rs
+++ b/crates/havenladder/tests/given_back.rs
@@ -28,7 +28,7 @@
 
 fn silence(site: &Site, silent: bool) {
     for link in &site.links {
-        link.mute(silent, silent);
+        link.stall(silent, silent);
     }
 }
 
--- a/crates/havenladder/tests/lost_answers.rs
+++ b/crates/havenladder/tests/lost_answers.rs
@@ -38,7 +38,7 @@
 
 /// Hands jobs in, to all entries in turn, while a part of the answers is lost; how often each answer was given.
 async fn hand_in_meanwhile(site: &Site, lost: f64, seed: u64) -> BTreeMap<String, usize> {
-    site.log.lose_answers(lost, seed);
+    site.log.lose_responses(lost, seed);
     let jobs = (FAULT.as_millis() / GAP.as_millis()) as u64;
     let mut asks = Vec::new();
     for id in 1..=jobs {
@@ -54,7 +54,7 @@
         let status = head.lines().next().unwrap_or_default().to_owned();
         *answers.entry(status).or_default() += 1;
     }
-    site.log.lose_answers(0.0, seed);
+    site.log.lose_responses(0.0, seed);
     answers
 }
 
@@ -87,7 +87,9 @@
     time::sleep(BEGIN).await;
     let owners = count_lines(name, seed, OWNS);
     let configured = count_lines(name, seed, IN_FORCE);
-    site.links.iter().for_each(|link| link.hush());
+    site.links
+        .iter()
+        .for_each(|link| link.silence_connections());
     site.configure();
     let answers = hand_in_meanwhile(&site, 0.0, seed).await;
     let taken = answers.get("HTTP/1.1 200 OK").copied();
--- a/crates/havenladder/tests/lost_starts.rs
+++ b/crates/havenladder/tests/lost_starts.rs
@@ -58,7 +58,7 @@
     assert_eq!(count(&site, RunEvent::Done), 2);
     for name in site.cloud.names() {
         let link = site.cloud.link(&name).expect("a VM of the site");
-        link.hush();
+        link.silence_connections();
     }
     let answer = ask(site.entries[0].address, &request("POST", 0xc2, BODY)).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
@@ -74,7 +74,7 @@
     let before = count_lines(name, seed, SILENT);
     for name in site.cloud.names() {
         let link = site.cloud.link(&name).expect("a VM of the site");
-        link.hush();
+        link.silence_connections();
     }
     time::sleep(SETTLED).await;
     assert_eq!(count_lines(name, seed, SILENT), before);
--- a/crates/havenladder/tests/outcomes.rs
+++ b/crates/havenladder/tests/outcomes.rs
@@ -54,10 +54,10 @@
 fn a_cut_in_the_middle_of_an_answer_is_repeated_only_where_allowed() {
     let site = one_hall();
     let links = site.worker_links();
-    links.iter().for_each(|link| link.cut_answers_short(1));
+    links.iter().for_each(|link| link.truncate_responses(1));
     let reply = site.post(0, PREVIEW, "run=5 size=9000 tag=again", &[]);
     assert_eq!((reply.status, reply.body.len()), (200, 9_000));
-    links.iter().for_each(|link| link.cut_answers_short(1));
+    links.iter().for_each(|link| link.truncate_responses(1));
     let reply = site.post(0, ORDER, "run=5 tag=once", &[("idempotency-key", &key())]);
     assert_eq!(reply.outcome, "unknown");
     assert_eq!(site.runs("once").len(), 1);
@@ -68,9 +68,9 @@
     let site = one_hall();
     let links = site.worker_links();
     // A probe may take a lost answer before the order does, so several are lost.
-    links.iter().for_each(|link| link.lose_answers(1_000));
+    links.iter().for_each(|link| link.lose_responses(1_000));
     let reply = site.post(0, ORDER, "run=5 tag=lost", &[("idempotency-key", &key())]);
-    links.iter().for_each(|link| link.lose_answers(0));
+    links.iter().for_each(|link| link.lose_responses(0));
     assert_eq!((reply.status, reply.outcome.as_str()), (502, "unknown"));
     assert_eq!(site.runs("lost").len(), 1);
 }
--- a/crates/havenladder/tests/readiness.rs
+++ b/crates/havenladder/tests/readiness.rs
@@ -53,8 +53,8 @@
 async fn refuse_while_cut_off() {
     let mut site = start(901).await;
     let cut_off = [0, 2].map(|number: usize| site.entries[number].address);
-    site.links[0].mute(true, true);
-    site.links[2].mute(true, true);
+    site.links[0].stall(true, true);
+    site.links[2].stall(true, true);
     site.entries[1].signal(Signal::STOP);
     for entry in cut_off {
         wait_until(entry, false).await;
@@ -77,7 +77,7 @@
 async fn stay_ready_in_an_outage() {
     let site = start(902).await;
     for link in &site.links {
-        link.mute(true, true);
+        link.stall(true, true);
     }
     let until = Instant::now() + LONG;
     while Instant::now() < until {
--- a/crates/havenladder/tests/strict_revocation.rs
+++ b/crates/havenladder/tests/strict_revocation.rs
@@ -85,13 +85,13 @@
     block_on(async {
         let bounds = format!("strict-revocation = true\nrevoke-ms = {REVOKE_MS}\n");
         let site = start("strict", SEED, &bounds).await;
-        site.links.iter().for_each(|link| link.mute(true, true));
+        site.links.iter().for_each(|link| link.stall(true, true));
         let most = Duration::from_millis(REVOKE_MS) + SLACK;
         time::sleep(most).await;
         for entry in 0..site.entries.len() {
             assert_eq!(status(&site, entry, &call("GET", "")).await, "503");
         }
-        site.links.iter().for_each(|link| link.mute(false, false));
+        site.links.iter().for_each(|link| link.stall(false, false));
         for entry in 0..site.entries.len() {
             wait_for(&site, entry, &call("GET", ""), "200").await;
         }
@@ -103,7 +103,7 @@
     block_on(async {
         let bounds = format!("strict-revocation = false\nrevoke-ms = {REVOKE_MS}\n");
         let site = start("not-strict", SEED + 1, &bounds).await;
-        site.links.iter().for_each(|link| link.mute(true, true));
+        site.links.iter().for_each(|link| link.stall(true, true));
         time::sleep(Duration::from_millis(REVOKE_MS) + SLACK).await;
         for entry in 0..site.entries.len() {
             assert_eq!(status(&site, entry, &call("GET", "")).await, "200");
--- a/crates/havenladder/tests/suspended.rs
+++ b/crates/havenladder/tests/suspended.rs
@@ -41,7 +41,7 @@
     let mut site = entries::start("suspended-callers", seed, 2).await;
     time::sleep(BEGIN).await;
     // Nothing can be recorded, so that the call waits.
-    site.links.iter().for_each(|link| link.mute(true, true));
+    site.links.iter().for_each(|link| link.stall(true, true));
     let callers = site.entries[0].address;
     let call = task::spawn(async move { ask(callers, &request("POST", 1, BODY)).await });
     time::sleep(WAITED).await;
--- a/crates/havenladder/tests/turned_away.rs
+++ b/crates/havenladder/tests/turned_away.rs
@@ -76,7 +76,7 @@
     block_on(async {
         let (name, seed) = ("turned-away-silent", 3_711);
         let site = start(name, seed).await;
-        site.links[owner(name, seed, 3)].mute(true, true);
+        site.links[owner(name, seed, 3)].stall(true, true);
         let took = wait_for_change(&site, name, seed, REPLACED).await;
         assert!(took.is_some(), "the cell has no new owner within 1.1 s");
         entries::hand_in(&site, 2, BODY).await;
@@ -88,7 +88,7 @@
     block_on(async {
         let (name, seed) = ("away-for-all", 3_712);
         let site = start(name, seed).await;
-        site.links.iter().for_each(|link| link.mute(true, true));
+        site.links.iter().for_each(|link| link.stall(true, true));
         let took = wait_for_change(&site, name, seed, Duration::from_secs(3)).await;
         assert_eq!(took, None);
         assert_eq!(count_lines(name, seed, "gives the cell up"), 0);
@@ -101,9 +101,9 @@
         let (name, seed) = ("back-for-all", 3_714);
         let site = start(name, seed).await;
         for away in [1_700, 2_000, 2_300, 2_600, 3_100, 4_200] {
-            site.links.iter().for_each(|link| link.mute(true, true));
+            site.links.iter().for_each(|link| link.stall(true, true));
             time::sleep(Duration::from_millis(away)).await;
-            site.links.iter().for_each(|link| link.mute(false, false));
+            site.links.iter().for_each(|link| link.stall(false, false));
             time::sleep(BACK).await;
             let owners = count_lines(name, seed, OWNS);
             assert_eq!(owners, 1, "replaced after an outage of {away} ms");
--- a/crates/havenladder/tests/turns.rs
+++ b/crates/havenladder/tests/turns.rs
@@ -30,7 +30,7 @@
     let site = entries::start("turns", 931, 2).await;
     time::sleep(Duration::from_secs(4)).await;
     let silent = site.cloud.link("vm-0").expect("a VM of the site");
-    silent.mute(true, true);
+    silent.stall(true, true);
     let body = format!(
         r#"{{"spec":"100","steps":[{{"count":{TASKS},"cpu":1000,"mem-mb":100,"estimated-ms":100}}]}}"#
     );
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -172,11 +172,11 @@
     pub fn heal(&mut self) -> io::Result<()> {
         for link in &self.links {
             link.cut(false);
-            link.mute(false, false);
+            link.stall(false, false);
             link.delay(Duration::ZERO);
-            link.lose_answers(0);
+            link.lose_responses(0);
         }
-        self.log.lose_answers(0.0, 0);
+        self.log.lose_responses(0.0, 0);
         let mut workspaces = self.workspaces.iter().flatten();
         if workspaces.any(|workspace| workspace.cores != CORES) {
             self.set_bounds(CORES);
@@ -184,7 +184,7 @@
         for name in self.cloud.names() {
             if let Some(link) = self.cloud.link(&name) {
                 link.cut(false);
-                link.mute(false, false);
+                link.stall(false, false);
             }
         }
         self.entries.iter_mut().try_for_each(Entry::revive)
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -31,9 +31,9 @@
     lose: AtomicU64,
     short: AtomicU64,
     duplicate: AtomicBool,
-    mute_requests: AtomicBool,
-    mute_answers: AtomicBool,
-    hushed: AtomicU64,
+    stalled_requests: AtomicBool,
+    stalled_responses: AtomicBool,
+    silenced: AtomicU64,
     connections: AtomicU64,
     bytes: AtomicU64,
 }
@@ -51,12 +51,12 @@
     }
 
     /// Breaks the connection in place of the next `n` answers, after the requests went through.
-    pub fn lose_answers(&self, n: u64) {
+    pub fn lose_responses(&self, n: u64) {
         self.lose.store(n, Relaxed);
     }
 
     /// Breaks the connection in the middle of the next `n` answers.
-    pub fn cut_answers_short(&self, n: u64) {
+    pub fn truncate_responses(&self, n: u64) {
         self.short.store(n, Relaxed);
     }
 
@@ -66,14 +66,14 @@
     }
 
     /// Holds back all requests, all answers, or both, and lets them go again: connections stay open.
-    pub fn mute(&self, requests: bool, answers: bool) {
-        self.mute_requests.store(requests, Relaxed);
-        self.mute_answers.store(answers, Relaxed);
+    pub fn stall(&self, requests: bool, responses: bool) {
+        self.stalled_requests.store(requests, Relaxed);
+        self.stalled_responses.store(responses, Relaxed);
     }
 
     /// Connections that are open now give no more answers, and stay open; new ones work.
-    pub fn hush(&self) {
-        self.hushed.store(self.connections(), Relaxed);
+    pub fn silence_connections(&self) {
+        self.silenced.store(self.connections(), Relaxed);
     }
 
     /// Connections that were taken.
@@ -141,7 +141,7 @@
     // A connection ends as a whole as soon as one direction does or the link is cut.
     tokio::select! {
         () = requests(from_caller, to_callee, second, &faults) => {}
-        () = answers(from_callee, to_caller, &faults, number) => {}
+        () = responses(from_callee, to_caller, &faults, number) => {}
         () = until_cut(&faults) => {}
     }
 }
@@ -161,7 +161,7 @@
     let mut buffer = vec![0; BUFFER];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
         faults.bytes.fetch_add(read as u64, Relaxed);
-        until_heard(&faults.mute_requests).await;
+        until_released(&faults.stalled_requests).await;
         hold(faults).await;
         if let Some(second) = &mut second {
             let _ = second.write_all(&buffer[..read]).await;
@@ -172,13 +172,13 @@
     }
 }
 
-async fn answers(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, faults: &Faults, number: u64) {
+async fn responses(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, faults: &Faults, number: u64) {
     let mut buffer = vec![0; BUFFER];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
         faults.bytes.fetch_add(read as u64, Relaxed);
-        until_heard(&faults.mute_answers).await;
+        until_released(&faults.stalled_responses).await;
         hold(faults).await;
-        if number < faults.hushed.load(Relaxed) {
+        if number < faults.silenced.load(Relaxed) {
             continue;
         }
         if Faults::take(&faults.lose) {
@@ -194,8 +194,8 @@
     }
 }
 
-async fn until_heard(mute: &AtomicBool) {
-    while mute.load(Relaxed) {
+async fn until_released(stalled: &AtomicBool) {
+    while stalled.load(Relaxed) {
         sleep(ROUND).await;
     }
 }
--- a/crates/standin/src/users/log.rs
+++ b/crates/standin/src/users/log.rs
@@ -69,7 +69,7 @@
         match (call.method.as_str(), call.path.as_str()) {
             ("POST", "/log-append") => {
                 let answer = self.append(&topic, &call);
-                if self.loses_answer() {
+                if self.loses_response() {
                     // The connection stays open, and nothing more is said on it.
                     future::pending::<()>().await;
                 }
@@ -88,14 +88,14 @@
     }
 
     /// Loses this part of the answers to appends, which are done, until the share is 0. Which ones a seed decides.
-    pub fn lose_answers(&self, share: f64, seed: u64) {
+    pub fn lose_responses(&self, share: f64, seed: u64) {
         let rng = StdRng::seed_from_u64(seed);
         let loss = (share > 0.0).then_some(Loss { share, rng });
         *self.loss.lock().expect("no thread panics here") = loss;
     }
 
     /// Whether the next answer to an append is lost.
-    fn loses_answer(&self) -> bool {
+    fn loses_response(&self) -> bool {
         let mut loss = self.loss.lock().expect("no thread panics here");
         let loss = loss.as_mut();
         loss.is_some_and(|loss| loss.rng.random_bool(loss.share))
