--- a/crates/havenladder/tests/keys.rs
+++ b/crates/havenladder/tests/keys.rs
@@ -193,7 +193,7 @@
         match event.what {
             RunEvent::Started => drop(running.insert(run)),
             RunEvent::Done | RunEvent::Ended | RunEvent::Lost => drop(running.remove(&run)),
-            RunEvent::Noted => {}
+            RunEvent::Acknowledged => {}
         }
         most = most.max(running.len());
     }
--- a/crates/havenladder/tests/restarted_workers.rs
+++ b/crates/havenladder/tests/restarted_workers.rs
@@ -94,7 +94,7 @@
                     running.remove(&event.task);
                 }
             }
-            RunEvent::Noted => {
+            RunEvent::Acknowledged => {
                 noted.insert(event.task, event.run);
             }
         }
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -101,7 +101,7 @@
             RunEvent::Done | RunEvent::Ended | RunEvent::Lost => {
                 runs.remove(&run);
             }
-            RunEvent::Noted => {}
+            RunEvent::Acknowledged => {}
         }
     }
 }
@@ -156,7 +156,7 @@
                     running.remove(event.task.as_str());
                 }
             }
-            RunEvent::Noted => {
+            RunEvent::Acknowledged => {
                 noted.insert(&event.task);
             }
         }
@@ -258,7 +258,7 @@
             RunEvent::Done => {
                 done.insert(&event.task);
             }
-            RunEvent::Ended | RunEvent::Lost | RunEvent::Noted => {}
+            RunEvent::Ended | RunEvent::Lost | RunEvent::Acknowledged => {}
         }
     }
     if open.is_empty() || open.iter().any(|task| !done.contains(task)) {
--- a/crates/soak/tests/promises.rs
+++ b/crates/soak/tests/promises.rs
@@ -41,7 +41,7 @@
     found.into_iter().map(|breach| breach.promise).collect()
 }
 
-use RunEvent::{Done, Ended, Lost, Noted, Started};
+use RunEvent::{Acknowledged, Done, Ended, Lost, Started};
 
 #[parameterized(
     five_starts = { 5, &[] },
@@ -86,7 +86,7 @@
         ("w1", "0.0", 1, Ended),
         ("w2", "0.0", 2, Started),
         ("w2", "0.0", 2, Done),
-        ("w2", "0.0", 2, Noted),
+        ("w2", "0.0", 2, Acknowledged),
         ("w1", "1.0", 1, Started),
         ("w1", "1.0", 1, Done),
     ];
@@ -96,7 +96,7 @@
 #[parameterized(
     two_at_once = { &[("w1", "0.0", 1, Started), ("w2", "0.0", 2, Started), ("w1", "0.0", 1, Done)] },
     after_an_acknowledged_end = { &[("w1", "0.0", 1, Started), ("w1", "0.0", 1, Done),
-        ("w1", "0.0", 1, Noted), ("w2", "0.0", 2, Started)] },
+        ("w1", "0.0", 1, Acknowledged), ("w2", "0.0", 2, Started)] },
 )]
 fn a_task_that_runs_twice_is_found(rows: &[(&str, &str, u64, RunEvent)]) {
     let from = Instant::now();
--- a/crates/standin/src/users/events.rs
+++ b/crates/standin/src/users/events.rs
@@ -17,7 +17,7 @@
     /// It ended with its worker.
     Lost,
     /// Its good end was acknowledged: nothing may start the task again.
-    Noted,
+    Acknowledged,
 }
 
 /// One event of a run.
@@ -41,7 +41,7 @@
 
 impl Events {
     /// Notes an event.
-    pub fn note(&self, worker: &str, task: &str, run: u64, what: RunEvent) {
+    pub fn record(&self, worker: &str, task: &str, run: u64, what: RunEvent) {
         let event = Event {
             at: Instant::now(),
             worker: worker.to_owned(),
--- a/crates/standin/src/users/worker.rs
+++ b/crates/standin/src/users/worker.rs
@@ -196,7 +196,7 @@
     fn lose_runs(&self, state: &mut State) {
         for (task, run) in std::mem::take(&mut state.runs) {
             self.events
-                .note(&self.id, &task, run.number, RunEvent::Lost);
+                .record(&self.id, &task, run.number, RunEvent::Lost);
         }
     }
 
@@ -276,7 +276,7 @@
         };
         state.runs.insert(body.task.clone(), run);
         self.events
-            .note(&self.id, &body.task, body.run, RunEvent::Started);
+            .record(&self.id, &body.task, body.run, RunEvent::Started);
         Self::reply(&state, 200, "")
     }
 
@@ -351,7 +351,7 @@
             .filter(|end| end.number <= noted && end.how == "done")
         {
             self.events
-                .note(&self.id, &end.task, end.run, RunEvent::Noted);
+                .record(&self.id, &end.task, end.run, RunEvent::Acknowledged);
         }
         state.ended.retain(|end| end.number > noted);
     }
@@ -365,7 +365,7 @@
             "done" => RunEvent::Done,
             _ => RunEvent::Ended,
         };
-        self.events.note(&self.id, task, run.number, what);
+        self.events.record(&self.id, task, run.number, what);
         state.close(task, run.number);
         let end = End {
             number: state.last_end,
