--- a/crates/havenladder/benches/load.rs
+++ b/crates/havenladder/benches/load.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/site/mod.rs"]
 mod site;
 
-use havenladder_standin::load::{Kind, Tally, Way, offer};
+use havenladder_standin::load::{Destination, RequestKind, Tally, offer};
 use site::{Site, plan};
 use std::time::Duration;
 
@@ -21,9 +21,9 @@
 
 /// Three classes on the same workers; runs differ tenfold from one another and nothing declares
 /// them.
-fn kinds(times: f64, slots: f64) -> Vec<Kind> {
+fn kinds(times: f64, slots: f64) -> Vec<RequestKind> {
     let kind = |service: &str, low: f64, share: f64, patience: u64| {
-        let mut kind = Kind {
+        let mut kind = RequestKind {
             service: format!("place/pool/{service}"),
             pool: "place/pool".into(),
             rate: 0.0,
@@ -54,12 +54,12 @@
     );
     for times in [0.5, 1.0, 2.0, 4.0] {
         let kinds = kinds(times, slots as f64);
-        let baseline = Way::Baseline {
+        let baseline = Destination::Baseline {
             workers: workers.clone(),
             slots,
         };
         for (name, way) in [
-            ("entries", Way::Entries(entries.clone())),
+            ("entries", Destination::Entries(entries.clone())),
             ("baseline", baseline),
         ] {
             let tallies = runtime.block_on(offer(way, &kinds, TIME, 7));
@@ -68,7 +68,7 @@
     }
 }
 
-fn report(times: f64, name: &str, kinds: &[Kind], tallies: &[Tally]) {
+fn report(times: f64, name: &str, kinds: &[RequestKind], tallies: &[Tally]) {
     let mut work = 0.0;
     for (kind, tally) in kinds.iter().zip(tallies) {
         let class = kind.service.rsplit('/').next().unwrap_or_default();
--- a/crates/havenladder/benches/path.rs
+++ b/crates/havenladder/benches/path.rs
@@ -5,7 +5,7 @@
 mod site;
 
 use bytes::Bytes;
-use havenladder_standin::load::{Kind, straight};
+use havenladder_standin::load::{RequestKind, send_to_worker};
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
@@ -74,7 +74,7 @@
 async fn latency(site: &Site) {
     let http = client();
     let workers = site.workers();
-    let kind = Kind {
+    let kind = RequestKind {
         service: "place/pool/service".into(),
         pool: "place/pool".into(),
         rate: 0.0,
@@ -90,7 +90,7 @@
         let took = began.elapsed();
         let began = Instant::now();
         let worker = workers[round % workers.len()];
-        assert_eq!(straight(&http, worker, &kind, 0).await, Some(true));
+        assert_eq!(send_to_worker(&http, worker, &kind, 0).await, Some(true));
         if round >= ROUNDS / 10 {
             direct.saturating_record(began.elapsed().as_micros() as u64);
             entry.saturating_record(took.as_micros() as u64);
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -23,11 +23,11 @@
 };
 
 /// The longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_TIME_US: u64 = 600_000_000;
 
 /// One kind of request.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct RequestKind {
     /// Path of its service.
     pub service: String,
     /// Its pool.
@@ -40,7 +40,7 @@
     pub patience: Duration,
 }
 
-impl Kind {
+impl RequestKind {
     /// The mean run, in seconds.
     pub fn mean_run(&self) -> f64 {
         let (low, high) = self.run_ms;
@@ -76,7 +76,7 @@
 
 impl Default for Tally {
     fn default() -> Self {
-        let histogram = || Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds in order");
+        let histogram = || Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("bounds in order");
         Self {
             offered: 0,
             good: 0,
@@ -88,32 +88,32 @@
     }
 }
 
-enum Fate {
+enum Outcome {
     Good,
     Refused,
     Lost,
 }
 
 impl Tally {
-    fn count(&mut self, fate: &Fate, took: Duration) {
+    fn count(&mut self, outcome: &Outcome, took: Duration) {
         let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-        match fate {
-            Fate::Good => {
+        match outcome {
+            Outcome::Good => {
                 self.good += 1;
                 self.good_us.saturating_record(micros);
             }
-            Fate::Refused => {
+            Outcome::Refused => {
                 self.refused += 1;
                 self.refused_us.saturating_record(micros);
             }
-            Fate::Lost => self.lost += 1,
+            Outcome::Lost => self.lost += 1,
         }
     }
 }
 
 /// Where requests are sent.
 #[derive(Clone, Debug)]
-pub enum Way {
+pub enum Destination {
     /// To entries, one after the other.
     Entries(Vec<SocketAddr>),
     /// To a random worker, first in, first out, with as many at once as there are slots.
@@ -128,35 +128,40 @@
 type Http = Client<HttpConnector, Full<Bytes>>;
 
 /// Offers requests of each kind for `time` and returns a tally for each.
-pub async fn offer(way: Way, kinds: &[Kind], time: Duration, seed: u64) -> Vec<Tally> {
+pub async fn offer(
+    destination: Destination,
+    kinds: &[RequestKind],
+    time: Duration,
+    seed: u64,
+) -> Vec<Tally> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let http: Http = Client::builder(TokioExecutor::new()).build(connector);
     let tallies: Arc<Vec<Mutex<Tally>>> =
         Arc::new(kinds.iter().map(|_| Mutex::default()).collect());
-    let line = Arc::new(Line::new(&way));
+    let line = Arc::new(Line::new(&destination));
     let mut requests = JoinSet::new();
     let mut rng = SmallRng::seed_from_u64(seed);
     let began = Instant::now();
     for (at, kind) in schedule(kinds, time, &mut rng) {
         sleep_until((began + at).into()).await;
-        let (http, way, line) = (http.clone(), way.clone(), Arc::clone(&line));
+        let (http, destination, line) = (http.clone(), destination.clone(), Arc::clone(&line));
         let (tallies, ask) = (Arc::clone(&tallies), kinds[kind].clone());
         let (run, pick) = (ask.draw_run(&mut rng), rng.random::<u64>());
         requests.spawn(async move {
             let began = Instant::now();
-            let fate = match way {
-                Way::Entries(entries) => {
+            let outcome = match destination {
+                Destination::Entries(entries) => {
                     let entry = entries[pick as usize % entries.len()];
                     through_entry(&http, entry, &ask, run).await
                 }
-                Way::Baseline { workers, .. } => {
+                Destination::Baseline { workers, .. } => {
                     line.through(&http, &workers, &ask, run, pick).await
                 }
             };
             let mut tally = tallies[kind].lock().expect("no holder panics");
             tally.offered += 1;
-            tally.count(&fate, began.elapsed());
+            tally.count(&outcome, began.elapsed());
         });
     }
     requests.join_all().await;
@@ -167,7 +172,7 @@
 }
 
 /// Arrivals of all kinds in order, each kind a Poisson process.
-fn schedule(kinds: &[Kind], time: Duration, rng: &mut SmallRng) -> Vec<(Duration, usize)> {
+fn schedule(kinds: &[RequestKind], time: Duration, rng: &mut SmallRng) -> Vec<(Duration, usize)> {
     let mut arrivals = Vec::new();
     for (index, kind) in kinds.iter().enumerate() {
         let mut at = 0.0;
@@ -183,23 +188,23 @@
     arrivals
 }
 
-async fn through_entry(http: &Http, entry: SocketAddr, kind: &Kind, run: u64) -> Fate {
+async fn through_entry(http: &Http, entry: SocketAddr, kind: &RequestKind, run: u64) -> Outcome {
     let deadline = now_ms() + kind.patience.as_millis() as u64;
     let request = Request::post(format!("http://{entry}/v1/{}", kind.service))
         .header("havenladder-deadline", deadline.to_string())
         .body(Full::from(format!("run={run}")))
         .expect("a well-formed request");
     let Ok(answer) = http.request(request).await else {
-        return Fate::Lost;
+        return Outcome::Lost;
     };
     let outcome = answer.headers().get("havenladder-outcome").cloned();
     if answer.into_body().collect().await.is_err() {
-        return Fate::Lost;
+        return Outcome::Lost;
     }
     match outcome.as_ref().map(|outcome| outcome.as_bytes()) {
-        Some(b"done") if now_ms() <= deadline => Fate::Good,
-        Some(b"not-run") => Fate::Refused,
-        _ => Fate::Lost,
+        Some(b"done") if now_ms() <= deadline => Outcome::Good,
+        Some(b"not-run") => Outcome::Refused,
+        _ => Outcome::Lost,
     }
 }
 
@@ -209,10 +214,10 @@
 }
 
 impl Line {
-    fn new(way: &Way) -> Self {
-        let slots = match way {
-            Way::Entries(_) => 1,
-            Way::Baseline { slots, .. } => *slots,
+    fn new(destination: &Destination) -> Self {
+        let slots = match destination {
+            Destination::Entries(_) => 1,
+            Destination::Baseline { slots, .. } => *slots,
         };
         Self {
             turn: Semaphore::new(slots),
@@ -223,28 +228,33 @@
         &self,
         http: &Http,
         workers: &[SocketAddr],
-        kind: &Kind,
+        kind: &RequestKind,
         run: u64,
         pick: u64,
-    ) -> Fate {
+    ) -> Outcome {
         let deadline = Instant::now() + kind.patience;
         // The semaphore of this runtime is fair: first in, first out.
         let _turn = self.turn.acquire().await.expect("it is never closed");
         let mut rng = SmallRng::seed_from_u64(pick);
         loop {
             let worker = workers[rng.random_range(0..workers.len())];
-            match straight(http, worker, kind, run).await {
-                Some(true) if Instant::now() <= deadline => return Fate::Good,
-                Some(true) => return Fate::Lost,
+            match send_to_worker(http, worker, kind, run).await {
+                Some(true) if Instant::now() <= deadline => return Outcome::Good,
+                Some(true) => return Outcome::Lost,
                 Some(false) => sleep(Duration::from_millis(1)).await,
-                None => return Fate::Lost,
+                None => return Outcome::Lost,
             }
         }
     }
 }
 
 /// Sends a task straight to a worker: done, refused, or broken.
-pub async fn straight(http: &Http, worker: SocketAddr, kind: &Kind, run: u64) -> Option<bool> {
+pub async fn send_to_worker(
+    http: &Http,
+    worker: SocketAddr,
+    kind: &RequestKind,
+    run: u64,
+) -> Option<bool> {
     let attempt = ulid::Ulid::new();
     let lease = now_ms() + 600_000;
     let request = Request::post(format!("http://{worker}{TASKS}{attempt}"))
