--- a/crates/havenladder/tests/emptied_data_centre.rs
+++ b/crates/havenladder/tests/emptied_data_centre.rs
@@ -7,7 +7,7 @@
 
 use entries::{block_on, hand_in, owner};
 use havenladder_soak::site::Site;
-use havenladder_standin::users::{cloud::hall_of, events::RunEvent, operator::write_evacuation};
+use havenladder_standin::users::{cloud::hall_of, events::RunEvent, operator::write_drain};
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
 use tokio::time;
@@ -57,14 +57,14 @@
         work(&site, 1).await;
         assert!(begun(&site, "a", began) > 0 && begun(&site, "b", began) > 0);
 
-        write_evacuation(&site.log, "a", true);
+        write_drain(&site.log, "a", true);
         time::sleep(IN_FORCE).await;
         let emptied = Instant::now();
         work(&site, 100).await;
         assert_eq!(begun(&site, "a", emptied), 0);
         assert!(begun(&site, "b", emptied) > 0, "the other one works on");
 
-        write_evacuation(&site.log, "a", false);
+        write_drain(&site.log, "a", false);
         time::sleep(IN_FORCE).await;
         let back = Instant::now();
         work(&site, 200).await;
@@ -79,7 +79,7 @@
         let mut site = entries::start(name, seed, 6).await;
         time::sleep(BEGIN).await;
         work(&site, 1).await;
-        write_evacuation(&site.log, "b", true);
+        write_drain(&site.log, "b", true);
         time::sleep(IN_FORCE).await;
         let emptied = Instant::now();
         site.entries[owner(name, seed, 3)].signal(Signal::KILL);
--- a/crates/standin/src/users/operator.rs
+++ b/crates/standin/src/users/operator.rs
@@ -76,8 +76,8 @@
 }
 
 /// Asks for a data centre to be emptied, or takes it back.
-pub fn write_evacuation(log: &Log, hall: &str, emptied: bool) {
-    let value: &[u8] = if emptied { b"{}" } else { b"" };
+pub fn write_drain(log: &Log, hall: &str, drained: bool) {
+    let value: &[u8] = if drained { b"{}" } else { b"" };
     log.put(TOPIC, &format!("evacuate/{hall}"), value);
 }
 
