--- a/crates/havenladder/tests/fleet.rs
+++ b/crates/havenladder/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 mod site;
 
-use havenladder_standin::ledger::{Ledger, RunEnd, What, now_ms};
+use havenladder_standin::ledger::{Ledger, RunEnd, VmEventKind, now_ms};
 use rustix::process::Signal;
 use site::{Site, plan};
 use std::{
@@ -55,7 +55,7 @@
     for event in ledger.events.iter().filter(|event| vms.contains(&event.vm)) {
         let vm = event.vm.clone();
         match event.what {
-            What::Drain | What::Reboot | What::Release => {
+            VmEventKind::Drain | VmEventKind::Reboot | VmEventKind::Release => {
                 by_system.insert(vm);
                 let known = |(other, at): (&String, &u64)| {
                     at + KNOWN_AFTER_MS < event.at && !by_system.contains(other)
@@ -63,17 +63,17 @@
                 let failures = failed.iter().filter(|fail| known(*fail)).count();
                 most_known = most_known.max(by_system.len() + failures);
             }
-            What::Undrain | What::Back | What::Assign => {
+            VmEventKind::Undrain | VmEventKind::Back | VmEventKind::Assign => {
                 by_system.remove(&vm);
             }
-            What::Fail => {
+            VmEventKind::Fail => {
                 by_system.remove(&vm);
                 failed.insert(vm, event.at);
             }
-            What::Restore => {
+            VmEventKind::Restore => {
                 failed.remove(&vm);
             }
-            What::Stale => {}
+            VmEventKind::Stale => {}
         }
         most = most.max(by_system.len());
     }
@@ -86,7 +86,7 @@
     for event in ledger
         .events
         .iter()
-        .filter(|event| event.what == What::Reboot)
+        .filter(|event| event.what == VmEventKind::Reboot)
     {
         *reboots.entry(event.vm.clone()).or_default() += 1;
     }
@@ -236,7 +236,7 @@
     let after = site.ledger();
     let drained = after.events[before..]
         .iter()
-        .filter(|event| event.what == What::Drain)
+        .filter(|event| event.what == VmEventKind::Drain)
         .count();
     assert_eq!(drained, 0, "drained while a rack was down");
     wait_wave(&site, 0, wave);
@@ -275,7 +275,10 @@
     let wave = start_wave(&site);
     site.wait("the failure", || {
         let ledger = site.ledger();
-        ledger.events.iter().any(|event| event.what == What::Fail)
+        ledger
+            .events
+            .iter()
+            .any(|event| event.what == VmEventKind::Fail)
     });
     thread::sleep(Duration::from_millis(KNOWN_AFTER_MS));
     let before = site.ledger().events.len();
@@ -283,7 +286,7 @@
     let after = site.ledger();
     let drained = after.events[before..]
         .iter()
-        .any(|event| event.what == What::Drain);
+        .any(|event| event.what == VmEventKind::Drain);
     assert!(
         !drained,
         "drained while a rack was down: {:#?}",
@@ -397,7 +400,7 @@
         let assigned = ledger
             .events
             .iter()
-            .rfind(|event| event.vm == *vm && event.what == What::Assign)
+            .rfind(|event| event.vm == *vm && event.what == VmEventKind::Assign)
             .unwrap();
         let late = ledger
             .runs
@@ -430,7 +433,7 @@
     let released = ledger
         .events
         .iter()
-        .filter(|event| event.what == What::Release)
+        .filter(|event| event.what == VmEventKind::Release)
         .count();
     assert_eq!(released, 1);
     // The pool asks for ten, so a spare takes its place.
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -50,13 +50,13 @@
     /// The VM.
     pub vm: String,
     /// What happened.
-    pub what: What,
+    pub what: VmEventKind,
 }
 
 /// What happened to a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum VmEventKind {
     /// The system drained it.
     Drain,
     /// The system ended the drain.
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     http::{Answer, Call, answer, json, serve},
-    ledger::{Ledger, RunEnd, What, now_ms},
+    ledger::{Ledger, RunEnd, VmEventKind, now_ms},
     log::Streams,
     vm::{Effect, Machine},
     worker,
@@ -272,14 +272,14 @@
         Effect::Stale => return Some(answer(409, "text/plain", "stale")),
         Effect::BackAfter(time) => {
             spring_trap(shared);
-            back_after(shared, vm, time, What::Back, failures);
+            back_after(shared, vm, time, VmEventKind::Back, failures);
         }
     }
     or_lost(shared, answer(200, "application/json", "{}"))
 }
 
 /// Brings a VM back after a time, unless it has failed once more than so often meanwhile.
-fn back_after(shared: &Shared, vm: &str, time: Duration, what: What, failures: u32) {
+fn back_after(shared: &Shared, vm: &str, time: Duration, what: VmEventKind, failures: u32) {
     let (shared, vm) = (shared.clone(), vm.to_owned());
     tokio::spawn(async move {
         sleep(time).await;
@@ -371,7 +371,7 @@
             shared,
             vm,
             Duration::from_millis(time),
-            What::Restore,
+            VmEventKind::Restore,
             failures,
         );
     }
--- a/crates/standin/src/vm.rs
+++ b/crates/standin/src/vm.rs
@@ -1,6 +1,6 @@
 //! The stand-in's VMs: what a call or a fault makes of one.
 
-use crate::ledger::{Ledger, RunEnd, VmEvent, What, now_ms};
+use crate::ledger::{Ledger, RunEnd, VmEvent, VmEventKind, now_ms};
 use platform::{VmCall, VmInfo, VmLifecycle};
 use std::{
     collections::{HashMap, HashSet},
@@ -63,7 +63,7 @@
         };
         let stale_boot = matches!(call, VmCall::Reboot { boot, .. } if *boot != self.info.boot);
         if token < self.info.token || stale_boot {
-            self.note(ledger, What::Stale);
+            self.note(ledger, VmEventKind::Stale);
             return Effect::Stale;
         }
         self.info.token = token;
@@ -73,18 +73,18 @@
             VmCall::Assign { pool, .. } => {
                 self.info.pool.clone_from(pool);
                 self.info.drained = false;
-                self.note(ledger, What::Assign);
+                self.note(ledger, VmEventKind::Assign);
                 Effect::Done
             }
             VmCall::Release { .. } => {
                 self.power_off(ledger, RunEnd::CutByCall);
-                self.note(ledger, What::Release);
+                self.note(ledger, VmEventKind::Release);
                 Effect::Removed
             }
             VmCall::Reboot { .. } if !self.info.up => Effect::Done,
             VmCall::Reboot { .. } => {
                 self.power_off(ledger, RunEnd::CutByCall);
-                self.note(ledger, What::Reboot);
+                self.note(ledger, VmEventKind::Reboot);
                 Effect::BackAfter(reboot * self.slowness)
             }
         }
@@ -94,11 +94,11 @@
     pub fn fail(&mut self, ledger: &mut Ledger) {
         self.failures += 1;
         self.power_off(ledger, RunEnd::CutByFault);
-        self.note(ledger, What::Fail);
+        self.note(ledger, VmEventKind::Fail);
     }
 
     /// Brings the VM back, booted once more; a boot ends a drain.
-    pub fn restore(&mut self, ledger: &mut Ledger, what: What) {
+    pub fn restore(&mut self, ledger: &mut Ledger, what: VmEventKind) {
         self.info.up = true;
         self.info.boot += 1;
         self.info.state = VmLifecycle::Live;
@@ -110,7 +110,11 @@
     fn set_drained(&mut self, ledger: &mut Ledger, drained: bool) -> Effect {
         if self.info.drained != drained {
             self.info.drained = drained;
-            let what = if drained { What::Drain } else { What::Undrain };
+            let what = if drained {
+                VmEventKind::Drain
+            } else {
+                VmEventKind::Undrain
+            };
             self.note(ledger, what);
         }
         Effect::Done
@@ -126,7 +130,7 @@
         self.power.send_replace(false);
     }
 
-    fn note(&self, ledger: &mut Ledger, what: What) {
+    fn note(&self, ledger: &mut Ledger, what: VmEventKind) {
         ledger.events.push(VmEvent {
             at: now_ms(),
             vm: self.info.id.clone(),
