--- a/crates/havenladder/tests/soak.rs
+++ b/crates/havenladder/tests/soak.rs
@@ -39,7 +39,7 @@
         assert!(!tells_key, "{} tells a key", path.display());
     }
     assert!(
-        report.breaches.is_empty(),
+        report.violations.is_empty(),
         "{:?}, logs in {}",
         report,
         plan.logs.display()
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/invariants.rs
@@ -23,39 +23,39 @@
 
 /// A promise that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// Which.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// The job, and the task if it is about one.
     pub about: String,
 }
 
 /// A promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
+pub enum Invariant {
     /// No two runs of a task at once, and none after an end that was acknowledged.
     RunsOnce,
     /// Nothing runs of a job that every answer refused, or that nobody handed in.
-    RefusedIsTrue,
+    RefusedNeverRuns,
     /// A step begins only after the steps before it.
-    InOrder,
+    StepsInOrder,
     /// A job that was accepted is known, and is done or fails for a cause.
-    Kept,
+    AcceptedIsKept,
     /// Nothing starts of a job after its cancelling was told.
-    CancelHolds,
+    NoStartAfterCancel,
     /// A job is shown as done only when all its tasks are.
-    DoneIsTrue,
+    DoneMeansAllTasks,
     /// A task that ends its workers is not started again and again.
-    HarmEnds,
+    CrashesAreBounded,
     /// A workspace has no more running than it may.
     WithinBound,
     /// A wrong key, or another workspace's, opens nothing.
-    KeysHold,
+    KeysAreEnforced,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.promise, self.about)
+        write!(f, "{:?}: {}", self.invariant, self.about)
     }
 }
 
@@ -63,17 +63,21 @@
 type BoundChange = (Instant, String, u64);
 
 /// Checks all promises.
-pub fn check(jobs: &BTreeMap<u64, Job>, events: &[Event], bounds: &[BoundChange]) -> Vec<Breach> {
-    let mut breaches = Vec::new();
-    check_bounds(jobs, events, bounds, &mut breaches);
-    check_runs(events, &mut breaches);
-    check_order(events, &mut breaches);
+pub fn check(
+    jobs: &BTreeMap<u64, Job>,
+    events: &[Event],
+    bounds: &[BoundChange],
+) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    check_bounds(jobs, events, bounds, &mut violations);
+    check_runs(events, &mut violations);
+    check_order(events, &mut violations);
     for (id, job) in jobs {
-        check_job(*id, job, events, &mut breaches);
+        check_job(*id, job, events, &mut violations);
     }
     let unasked = events.iter().find(|e| !jobs.contains_key(&job_of(&e.task)));
-    breaches.extend(unasked.map(|event| breach(Promise::RefusedIsTrue, &event.task)));
-    breaches
+    violations.extend(unasked.map(|event| violation(Invariant::RefusedNeverRuns, &event.task)));
+    violations
 }
 
 /// Each task takes a core: no start may bring its workspace over the highest bound that its owner may have known.
@@ -81,7 +85,7 @@
     jobs: &BTreeMap<u64, Job>,
     events: &[Event],
     bounds: &[BoundChange],
-    breaches: &mut Vec<Breach>,
+    violations: &mut Vec<Violation>,
 ) {
     let mut running: HashMap<&str, HashSet<(&str, &str, u64)>> = HashMap::new();
     for event in events {
@@ -95,7 +99,7 @@
             RunEvent::Started => {
                 runs.insert(run);
                 if runs.len() as u64 > highest_bound(bounds, workspace, event.at) {
-                    breaches.push(breach(Promise::WithinBound, &event.task));
+                    violations.push(violation(Invariant::WithinBound, &event.task));
                 }
             }
             RunEvent::Done | RunEvent::Ended | RunEvent::Lost => {
@@ -121,9 +125,9 @@
     }
 }
 
-fn breach(promise: Promise, about: impl fmt::Display) -> Breach {
-    Breach {
-        promise,
+fn violation(invariant: Invariant, about: impl fmt::Display) -> Violation {
+    Violation {
+        invariant,
         about: about.to_string(),
     }
 }
@@ -139,7 +143,7 @@
     task.split('.').nth(2).unwrap_or_default()
 }
 
-fn check_runs(events: &[Event], breaches: &mut Vec<Breach>) {
+fn check_runs(events: &[Event], violations: &mut Vec<Violation>) {
     let mut running: HashMap<&str, (&str, u64)> = HashMap::new();
     let mut noted: HashSet<&str> = HashSet::new();
     for event in events {
@@ -148,7 +152,7 @@
             RunEvent::Started => {
                 if running.insert(&event.task, run).is_some() || noted.contains(event.task.as_str())
                 {
-                    breaches.push(breach(Promise::RunsOnce, &event.task));
+                    violations.push(violation(Invariant::RunsOnce, &event.task));
                 }
             }
             RunEvent::Done | RunEvent::Ended | RunEvent::Lost => {
@@ -164,7 +168,7 @@
 }
 
 /// Tasks of the second step must start after the last end of the first step's tasks.
-fn check_order(events: &[Event], breaches: &mut Vec<Breach>) {
+fn check_order(events: &[Event], violations: &mut Vec<Violation>) {
     let mut open: HashMap<u64, HashSet<&str>> = HashMap::new();
     for event in events {
         let first = step_of(&event.task) == "0";
@@ -177,37 +181,37 @@
                 waiting.remove(event.task.as_str());
             }
             RunEvent::Started if !waiting.is_empty() => {
-                breaches.push(breach(Promise::InOrder, &event.task));
+                violations.push(violation(Invariant::StepsInOrder, &event.task));
             }
             _ => {}
         }
     }
 }
 
-fn check_job(id: u64, job: &Job, events: &[Event], breaches: &mut Vec<Breach>) {
+fn check_job(id: u64, job: &Job, events: &[Event], violations: &mut Vec<Violation>) {
     let name = format!("{id:016x}");
     let own = || events.iter().filter(|event| event.task.starts_with(&name));
     let started = |event: &&Event| event.what == RunEvent::Started;
     if job.refused && job.accepted.is_none() && own().any(|event| started(&event)) {
-        breaches.push(breach(Promise::RefusedIsTrue, &name));
+        violations.push(violation(Invariant::RefusedNeverRuns, &name));
     }
     if job.leaked {
-        breaches.push(breach(Promise::KeysHold, &name));
+        violations.push(violation(Invariant::KeysAreEnforced, &name));
     }
-    check_kept(&name, job, own(), breaches);
+    check_kept(&name, job, own(), violations);
     if job.fatal && own().filter(started).count() > FATAL_STARTS {
-        breaches.push(breach(Promise::HarmEnds, &name));
+        violations.push(violation(Invariant::CrashesAreBounded, &name));
     }
     if let Some(told) = job.cancelled {
         let late = |event: &&Event| started(event) && event.at > told + CANCEL;
-        breaches.extend(
+        violations.extend(
             own()
                 .find(late)
-                .map(|e| breach(Promise::CancelHolds, &e.task)),
+                .map(|e| violation(Invariant::NoStartAfterCancel, &e.task)),
         );
     }
     if let Some(shown) = job.succeeded {
-        check_done(&name, shown, own(), breaches);
+        check_done(&name, shown, own(), violations);
     }
 }
 
@@ -225,17 +229,23 @@
     name: &str,
     job: &Job,
     own: impl Iterator<Item = &'e Event>,
-    breaches: &mut Vec<Breach>,
+    violations: &mut Vec<Violation>,
 ) {
     if job.denied.is_some() && job.cancelling.is_none() {
-        breaches.push(breach(Promise::Kept, format!("{name} is denied")));
+        violations.push(violation(
+            Invariant::AcceptedIsKept,
+            format!("{name} is denied"),
+        ));
     }
     if job.is_open() {
-        breaches.push(breach(Promise::Kept, format!("{name} is not over")));
+        violations.push(violation(
+            Invariant::AcceptedIsKept,
+            format!("{name} is not over"),
+        ));
     }
     if job.failed && !may_be_given_up(own) {
-        breaches.push(breach(
-            Promise::Kept,
+        violations.push(violation(
+            Invariant::AcceptedIsKept,
             format!("{name} failed without a cause"),
         ));
     }
@@ -246,7 +256,7 @@
     name: &str,
     shown: Instant,
     own: impl Iterator<Item = &'e Event>,
-    breaches: &mut Vec<Breach>,
+    violations: &mut Vec<Violation>,
 ) {
     let mut open: HashSet<&str> = HashSet::new();
     let mut done: HashSet<&str> = HashSet::new();
@@ -262,6 +272,6 @@
         }
     }
     if open.is_empty() || open.iter().any(|task| !done.contains(task)) {
-        breaches.push(breach(Promise::DoneIsTrue, name));
+        violations.push(violation(Invariant::DoneMeansAllTasks, name));
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -13,11 +13,11 @@
 pub mod caller;
 pub mod entries;
 pub mod faults;
-pub mod promises;
+pub mod invariants;
 pub mod site;
 
 use caller::Ledger;
-use promises::Breach;
+use invariants::Violation;
 use rand::{SeedableRng, rngs::StdRng};
 use site::Site;
 use std::{
@@ -63,7 +63,7 @@
     /// The faults, in order.
     pub faults: Vec<String>,
     /// The promises that were broken.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
 }
 
 /// Runs the soak once.
@@ -81,13 +81,13 @@
     callers.stop();
     let calm = Instant::now();
     wait_for_jobs(&mut site, &ledger, calm + SETTLE).await?;
-    let breaches = promises::check(&ledger.all(), &site.events.all(), &site.bounds);
+    let violations = invariants::check(&ledger.all(), &site.events.all(), &site.bounds);
     Ok(Report {
         jobs: ledger.all().len(),
         accepted: ledger.count(|job| job.accepted.is_some()),
         succeeded: ledger.count(|job| job.succeeded.is_some()),
         faults,
-        breaches,
+        violations,
     })
 }
 
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -40,7 +40,7 @@
         let plan = plan(&args, seed);
         let report = runtime.block_on(run(&plan))?;
         print(seed, &report);
-        if report.breaches.is_empty() {
+        if report.violations.is_empty() {
             fs::remove_dir_all(&plan.logs)?;
         } else {
             red += 1;
@@ -68,18 +68,18 @@
 /// Prints what a run showed, and its faults if it broke a promise.
 fn print(seed: u64, report: &Report) {
     println!(
-        "seed {seed}: {} jobs, {} accepted, {} succeeded, {} faults, {} promises broken",
+        "seed {seed}: {} jobs, {} accepted, {} succeeded, {} faults, {} invariants violated",
         report.jobs,
         report.accepted,
         report.succeeded,
         report.faults.len(),
-        report.breaches.len()
+        report.violations.len()
     );
-    if report.breaches.is_empty() {
+    if report.violations.is_empty() {
         return;
     }
-    for breach in &report.breaches {
-        println!("  {breach}");
+    for violation in &report.violations {
+        println!("  {violation}");
     }
     for fault in &report.faults {
         println!("  {fault}");
--- a/crates/soak/tests/promises.rs
+++ b/crates/soak/tests/invariants.rs
@@ -2,7 +2,7 @@
 
 use havenladder_soak::{
     caller::Job,
-    promises::{Promise, check},
+    invariants::{Invariant, check},
 };
 use standin::users::events::{Event, RunEvent};
 use std::{
@@ -35,19 +35,22 @@
     }
 }
 
-fn promises(job: Job, events: &[Event]) -> Vec<Promise> {
+fn violated(job: Job, events: &[Event]) -> Vec<Invariant> {
     let jobs = BTreeMap::from([(ID, job)]);
     let found = check(&jobs, events, &[]);
-    found.into_iter().map(|breach| breach.promise).collect()
+    found
+        .into_iter()
+        .map(|violation| violation.invariant)
+        .collect()
 }
 
 use RunEvent::{Acknowledged, Done, Ended, Lost, Started};
 
 #[parameterized(
     five_starts = { 5, &[] },
-    six_starts = { 6, &[Promise::HarmEnds] },
+    six_starts = { 6, &[Invariant::CrashesAreBounded] },
 )]
-fn a_task_that_ends_its_workers_may_be_started_five_times(starts: u64, found: &[Promise]) {
+fn a_task_that_ends_its_workers_may_be_started_five_times(starts: u64, found: &[Invariant]) {
     let from = Instant::now();
     let rows: Vec<_> = (1..=starts)
         .flat_map(|run| [("w", "0.0", run, Started), ("w", "0.0", run, Lost)])
@@ -58,14 +61,14 @@
         fatal: true,
         ..Job::default()
     };
-    assert_eq!(promises(job, &events(from, &rows)), found);
+    assert_eq!(violated(job, &events(from, &rows)), found);
 }
 
 #[parameterized(
-    after_one_end_of_a_worker = { 1, &[Promise::Kept] },
+    after_one_end_of_a_worker = { 1, &[Invariant::AcceptedIsKept] },
     after_two = { 2, &[] },
 )]
-fn a_job_may_fail_once_two_workers_have_ended_under_a_task(ends: u64, found: &[Promise]) {
+fn a_job_may_fail_once_two_workers_have_ended_under_a_task(ends: u64, found: &[Invariant]) {
     let from = Instant::now();
     let rows: Vec<_> = (1..=ends)
         .flat_map(|run| [("w", "0.0", run, Started), ("w", "0.0", run, Lost)])
@@ -75,7 +78,7 @@
         failed: true,
         ..Job::default()
     };
-    assert_eq!(promises(job, &events(from, &rows)), found);
+    assert_eq!(violated(job, &events(from, &rows)), found);
 }
 
 #[test]
@@ -90,7 +93,7 @@
         ("w1", "1.0", 1, Started),
         ("w1", "1.0", 1, Done),
     ];
-    assert_eq!(promises(done(from), &events(from, &rows)), []);
+    assert_eq!(violated(done(from), &events(from, &rows)), []);
 }
 
 #[parameterized(
@@ -101,8 +104,8 @@
 fn a_task_that_runs_twice_is_found(rows: &[(&str, &str, u64, RunEvent)]) {
     let from = Instant::now();
     assert_eq!(
-        promises(done(from), &events(from, rows)),
-        [Promise::RunsOnce]
+        violated(done(from), &events(from, rows)),
+        [Invariant::RunsOnce]
     );
 }
 
@@ -116,8 +119,8 @@
         ("w1", "1.0", 1, Done),
     ];
     assert_eq!(
-        promises(done(from), &events(from, &rows)),
-        [Promise::InOrder]
+        violated(done(from), &events(from, &rows)),
+        [Invariant::StepsInOrder]
     );
 }
 
@@ -130,8 +133,8 @@
     };
     let rows = [("w1", "0.0", 1, Started)];
     assert_eq!(
-        promises(job, &events(from, &rows)),
-        [Promise::RefusedIsTrue]
+        violated(job, &events(from, &rows)),
+        [Invariant::RefusedNeverRuns]
     );
 }
 
@@ -143,7 +146,7 @@
         &events(from, &[("w1", "0.0", 1, Started)]),
         &[],
     );
-    assert_eq!(found[0].promise, Promise::RefusedIsTrue);
+    assert_eq!(found[0].invariant, Invariant::RefusedNeverRuns);
 }
 
 #[parameterized(
@@ -152,7 +155,7 @@
     denied = { Job { denied: Some(Instant::now()), ..Job::default() } },
 )]
 fn a_job_that_was_not_kept_is_found(job: Job) {
-    assert_eq!(promises(job, &[]), [Promise::Kept]);
+    assert_eq!(violated(job, &[]), [Invariant::AcceptedIsKept]);
 }
 
 #[test]
@@ -171,7 +174,10 @@
         ("w1", "0.1", 1, Ended),
         ("w1", "0.2", 1, Started),
     ];
-    assert_eq!(promises(job, &events(from, &rows)), [Promise::CancelHolds]);
+    assert_eq!(
+        violated(job, &events(from, &rows)),
+        [Invariant::NoStartAfterCancel]
+    );
 }
 
 #[parameterized(
@@ -181,7 +187,7 @@
 fn a_job_that_is_shown_as_done_too_early_is_found(rows: &[(&str, &str, u64, RunEvent)]) {
     let from = Instant::now();
     assert_eq!(
-        promises(done(from), &events(from, rows)),
-        [Promise::DoneIsTrue]
+        violated(done(from), &events(from, rows)),
+        [Invariant::DoneMeansAllTasks]
     );
 }
