--- a/crates/havenladder/tests/drained_worker.rs
+++ b/crates/havenladder/tests/drained_worker.rs
@@ -56,7 +56,7 @@
         work(&site, 1, Duration::from_secs(2)).await;
         assert!(begun(&site, "vm-0", began) > 0, "it is in use");
         site.links[owner(name, seed, 3)].silence_connections();
-        site.cloud.announce_end("vm-0");
+        site.cloud.announce_draining("vm-0");
         work(&site, 100, DRAINED).await;
         let drained = Instant::now();
         work(&site, 200, Duration::from_secs(3)).await;
--- a/crates/havenladder/tests/feed.rs
+++ b/crates/havenladder/tests/feed.rs
@@ -64,7 +64,7 @@
         let readers = 2 * (2 * READERS + 1);
         let most = readers * READS * SPAN.as_secs() as usize;
         assert!(made <= most, "{made} reads, {most} at the most");
-        site.change_keys();
+        site.rotate_keys();
         for entry in 0..ENTRIES {
             wait_refused(&site, entry, 1).await;
         }
@@ -84,7 +84,7 @@
             let signal = [Signal::KILL, Signal::STOP][entry % 3 - 1];
             site.entries[entry].signal(signal);
         }
-        site.change_keys();
+        site.rotate_keys();
         for entry in (0..ENTRIES).filter(|entry| !lost(entry)) {
             wait_refused(&site, entry, 1).await;
         }
--- a/crates/havenladder/tests/keys.rs
+++ b/crates/havenladder/tests/keys.rs
@@ -125,7 +125,7 @@
         // One entry that owns nothing does not reach the store; the owner and the seeds answer it.
         let cut = (owner + 1) % site.entries.len();
         site.links[cut].cut(true);
-        site.change_keys();
+        site.rotate_keys();
         let old = call("GET", 1, Some(&token(WORKSPACES[0], 1)), "");
         for entry in 0..site.entries.len() {
             let took = wait_for(&site, entry, &old, 401).await;
@@ -144,7 +144,7 @@
         for entry in 0..site.entries.len() {
             site.entries[entry].signal(Signal::STOP);
         }
-        site.change_keys();
+        site.rotate_keys();
         time::sleep(Duration::from_millis(2_500)).await;
         let addresses: Vec<_> = site.entries.iter().map(|entry| entry.address).collect();
         let waiting: Vec<_> = addresses
@@ -172,7 +172,7 @@
     block_on(async {
         let mut site = start("keys-new", SEED + 3).await;
         for round in 0..4 {
-            site.change_keys();
+            site.rotate_keys();
             let workspaces = site.workspaces.as_ref().expect("there are workspaces");
             let newest = workspaces[0].keys.last().expect("it has keys").clone();
             let state = call("GET", 1, Some(&format!("Token {newest}")), "");
@@ -213,7 +213,9 @@
         let owner = owner(name, seed, site.entries.len());
         site.entries[owner].signal(Signal::KILL);
         time::sleep(Duration::from_millis(200)).await;
-        site.entries[owner].revive().expect("it starts again");
+        site.entries[owner]
+            .ensure_running()
+            .expect("it starts again");
         time::sleep(Duration::from_secs(8)).await;
         let state = call("GET", 2, Some(&token(WORKSPACES[0], 0)), "");
         wait_for(&site, (owner + 1) % 3, &state, 200).await;
@@ -242,7 +244,7 @@
     block_on(async {
         let (name, seed) = ("keys-logs", SEED + 5);
         let mut site = start(name, seed).await;
-        site.change_keys();
+        site.rotate_keys();
         for shown in ["Token secret-guess", "Basic secret-guess", "secret-guess"] {
             let state = call("GET", 1, Some(shown), "");
             assert_eq!(status(&site, 1, &state).await, 401);
--- a/crates/havenladder/tests/restarted_workers.rs
+++ b/crates/havenladder/tests/restarted_workers.rs
@@ -220,7 +220,7 @@
         for id in 1..=10 {
             hand_in(&site, id, &body()).await;
         }
-        site.ask_wave();
+        site.request_wave();
         for id in 11..=40 {
             hand_in(&site, id, &body()).await;
         }
--- a/crates/havenladder/tests/slow_store.rs
+++ b/crates/havenladder/tests/slow_store.rs
@@ -45,7 +45,7 @@
 
 async fn finish_a_wave_slowly() {
     let mut site = start(911).await;
-    site.ask_wave();
+    site.request_wave();
     for link in &site.links {
         link.delay(SLOW);
     }
@@ -61,7 +61,7 @@
     for link in &site.links {
         link.delay(SLOW);
     }
-    site.ask_wave();
+    site.request_wave();
     // The second order follows on the renewal for the first one, while its own record is on the way.
     assert!(wait_orders(&site, 2, WAVE).await);
     for link in &site.links {
--- a/crates/havenladder/tests/strict_revocation.rs
+++ b/crates/havenladder/tests/strict_revocation.rs
@@ -72,7 +72,7 @@
         while entry.is_running() {
             time::sleep(Duration::from_millis(10)).await;
         }
-        entry.revive().unwrap();
+        entry.ensure_running().unwrap();
     }
     for entry in 0..site.entries.len() {
         wait_for(&site, entry, &call("POST", BODY), "200").await;
--- a/crates/soak/src/entries.rs
+++ b/crates/soak/src/entries.rs
@@ -114,7 +114,7 @@
     /// # Errors
     ///
     /// Fails when the process cannot be started.
-    pub fn revive(&mut self) -> io::Result<()> {
+    pub fn ensure_running(&mut self) -> io::Result<()> {
         self.signal(Signal::CONT);
         if !self.is_running() {
             self.child = spawn(&self.program, &self.settings, &self.log)?;
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -236,9 +236,9 @@
         Kind::Late => fault.worker.stall(true, false),
         Kind::Crash => site.cloud.crash(vm),
         Kind::Configure => site.configure(),
-        Kind::Keys => site.change_keys(),
+        Kind::Keys => site.rotate_keys(),
         Kind::Bounds => site.set_bounds(LOWERED),
-        Kind::Wave => site.ask_wave(),
+        Kind::Wave => site.request_wave(),
         Kind::Swallow => site.log.lose_responses(SWALLOWED, seed),
         Kind::Hush => link.silence_connections(),
         Kind::HushWorker => fault.worker.silence_connections(),
@@ -249,9 +249,12 @@
     let link = &site.links[fault.entry];
     match fault.kind {
         Kind::Kill | Kind::Stop | Kind::Pause | Kind::Suspend => {
-            site.entries[fault.entry].revive()?
+            site.entries[fault.entry].ensure_running()?
         }
-        Kind::KillAll => site.entries.iter_mut().try_for_each(|e| e.revive())?,
+        Kind::KillAll => site
+            .entries
+            .iter_mut()
+            .try_for_each(|e| e.ensure_running())?,
         Kind::Cut => link.cut(false),
         Kind::MuteRequests | Kind::MuteAnswers => link.stall(false, false),
         Kind::Slow => link.delay(Duration::ZERO),
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -142,7 +142,7 @@
     }
 
     /// Takes a key away from each workspace and gives it another, where there are such.
-    pub fn change_keys(&mut self) {
+    pub fn rotate_keys(&mut self) {
         let next = self.version;
         for workspace in self.workspaces.iter_mut().flatten() {
             workspace.keys.truncate(1);
@@ -159,7 +159,7 @@
     }
 
     /// Asks for the upkeep of all VMs, one at a time.
-    pub fn ask_wave(&mut self) {
+    pub fn request_wave(&mut self) {
         self.waves += 1;
         operator::write_wave(&self.log, self.waves, &self.cloud.names());
     }
@@ -187,6 +187,6 @@
                 link.stall(false, false);
             }
         }
-        self.entries.iter_mut().try_for_each(Entry::revive)
+        self.entries.iter_mut().try_for_each(Entry::ensure_running)
     }
 }
--- a/crates/standin/src/users/cloud.rs
+++ b/crates/standin/src/users/cloud.rs
@@ -349,7 +349,7 @@
     }
 
     /// Has the entry of a VM's worker say that it is about to leave; it serves on.
-    pub fn announce_end(&self, name: &str) {
+    pub fn announce_draining(&self, name: &str) {
         self.write_entry_as(name, "draining");
     }
 
