--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -347,7 +347,7 @@
             .method(method)
             .uri(format!("{PREFIX}{id:016x}"))
             .header("host", HOST)
-            .header(users::DEADLINE, PATIENCE.as_millis() as u64)
+            .header(users::DEADLINE_HEADER, PATIENCE.as_millis() as u64)
             .body(Full::from(body.to_owned()))
             .ok()?;
         let response = sender.send_request(request).await.ok()?;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,7 +1,7 @@
 //! The stand-in's platform: log, list of VMs, calls, faults and the ledger, over HTTP.
 
 use crate::{
-    http::{Answer, Call, answer, json, serve},
+    http::{HandlerResponse, HttpRequest, build_response, json, serve},
     ledger::{Ledger, RunEnd, VmEventKind, now_ms},
     log::Streams,
     vm::{Effect, Machine},
@@ -52,7 +52,7 @@
     down: Option<Instant>,
     lose: u64,
     /// A fault that strikes a time after the next reboot has begun.
-    trap: Option<(Duration, String, Call)>,
+    trap: Option<(Duration, String, HttpRequest)>,
     plan: Plan,
 }
 
@@ -110,7 +110,9 @@
     tokio::spawn(refresh(shared.clone(), plan.lag));
     while let Ok((stream, _)) = listener.accept().await {
         let shared = shared.clone();
-        tokio::spawn(serve(stream, move |call| handle(shared.clone(), call)));
+        tokio::spawn(serve(stream, move |request| {
+            handle(shared.clone(), request)
+        }));
     }
 }
 
@@ -154,39 +156,39 @@
     }
 }
 
-async fn handle(shared: Shared, call: Call) -> Answer {
-    let parts: Vec<&str> = call.path.trim_matches('/').split('/').collect();
+async fn handle(shared: Shared, request: HttpRequest) -> HandlerResponse {
+    let parts: Vec<&str> = request.path.trim_matches('/').split('/').collect();
     if parts[0] != "fault" && parts[0] != "ledger" {
         let down = shared.lock().down;
         if down.is_some_and(|until| Instant::now() < until) {
             return None;
         }
     }
-    match (call.method.as_str(), parts.as_slice()) {
-        ("POST", ["log", stream]) => append(&shared, stream, &call).await,
-        ("GET", ["log", stream]) => read(&shared, stream, &call).await,
+    match (request.method.as_str(), parts.as_slice()) {
+        ("POST", ["log", stream]) => append(&shared, stream, &request).await,
+        ("GET", ["log", stream]) => read(&shared, stream, &request).await,
         ("GET", ["log", stream, "at"]) => {
-            let at = UNIX_EPOCH + Duration::from_millis(call.number("ms")?);
+            let at = UNIX_EPOCH + Duration::from_millis(request.query_number("ms")?);
             let offset = shared.lock().streams.offset_at(stream, at);
             Some(json(&Appended { offset }))
         }
-        ("GET", ["vms"]) => list(&shared, &call),
+        ("GET", ["vms"]) => list(&shared, &request),
         ("GET", ["vms", vm]) => match shared.lock().machines.get(*vm) {
             Some(machine) => Some(json(&machine.info)),
-            None => Some(answer(404, "text/plain", "no such VM")),
+            None => Some(build_response(404, "text/plain", "no such VM")),
         },
-        ("POST", ["vms", vm]) => vm_call(&shared, vm, &call),
+        ("POST", ["vms", vm]) => vm_call(&shared, vm, &request),
         ("GET", ["ledger", "appends"]) => Some(json(&shared.lock().streams.appends)),
         ("GET", ["ledger"]) => Some(json(&shared.lock().ledger)),
-        ("POST", ["fault", rest @ ..]) => fault(&shared, rest, &call).await,
-        _ => Some(answer(404, "text/plain", "no such path")),
+        ("POST", ["fault", rest @ ..]) => fault(&shared, rest, &request).await,
+        _ => Some(build_response(404, "text/plain", "no such path")),
     }
 }
 
 /// The list of VMs, of one hall or all, unless the caller's copy is still right. Counts of
 /// running tasks alone do not make a new list.
-fn list(shared: &Shared, call: &Call) -> Answer {
-    let hall = call.query.get("hall");
+fn list(shared: &Shared, request: &HttpRequest) -> HandlerResponse {
+    let hall = request.query.get("hall");
     let state = shared.lock();
     let in_hall = |vm: &&VmInfo| hall.is_none_or(|hall| vm.hall == *hall);
     let vms: Vec<VmInfo> = state.list.iter().filter(in_hall).cloned().collect();
@@ -202,25 +204,25 @@
         .hash(&mut hasher);
     }
     let tag = format!("\"{:x}\"", hasher.finish());
-    if call.headers.get("if-none-match") == Some(&tag) {
-        return Some(answer(304, "application/json", ""));
+    if request.headers.get("if-none-match") == Some(&tag) {
+        return Some(build_response(304, "application/json", ""));
     }
     let mut response = json(&vms);
     response.headers_mut().insert("etag", tag.parse().ok()?);
     Some(response)
 }
 
-async fn append(shared: &Shared, stream: &str, call: &Call) -> Answer {
+async fn append(shared: &Shared, stream: &str, request: &HttpRequest) -> HandlerResponse {
     let turn = shared.lock().streams.turn();
     sleep_until(turn.into()).await;
-    let offset = shared.lock().streams.append(stream, call.body.to_vec());
+    let offset = shared.lock().streams.append(stream, request.body.to_vec());
     shared.appended.notify_waiters();
     or_lost(shared, json(&Appended { offset }))
 }
 
-async fn read(shared: &Shared, stream: &str, call: &Call) -> Answer {
-    let from = call.number("from").unwrap_or_default();
-    let wait = Duration::from_millis(call.number("wait_ms").unwrap_or_default());
+async fn read(shared: &Shared, stream: &str, request: &HttpRequest) -> HandlerResponse {
+    let from = request.query_number("from").unwrap_or_default();
+    let wait = Duration::from_millis(request.query_number("wait_ms").unwrap_or_default());
     let until = Instant::now() + wait;
     loop {
         let appended = shared.appended.notified();
@@ -228,7 +230,7 @@
         let left = until.saturating_duration_since(Instant::now());
         if !slice.records.is_empty() || left.is_zero() || slice.has_gap(from) {
             let body = encode(&slice).expect("a slice has a form in the codec");
-            return Some(answer(200, "application/msgpack", body));
+            return Some(build_response(200, "application/msgpack", body));
         }
         tokio::select! {
             () = appended => {}
@@ -241,7 +243,7 @@
 fn or_lost(
     shared: &Shared,
     response: hyper::Response<http_body_util::Full<bytes::Bytes>>,
-) -> Answer {
+) -> HandlerResponse {
     let mut state = shared.lock();
     if state.lose > 0 {
         state.lose -= 1;
@@ -250,15 +252,15 @@
     Some(response)
 }
 
-fn vm_call(shared: &Shared, vm: &str, call: &Call) -> Answer {
-    let Ok(wanted) = serde_json::from_slice::<VmCall>(&call.body) else {
-        return Some(answer(400, "text/plain", "not a call"));
+fn vm_call(shared: &Shared, vm: &str, request: &HttpRequest) -> HandlerResponse {
+    let Ok(wanted) = serde_json::from_slice::<VmCall>(&request.body) else {
+        return Some(build_response(400, "text/plain", "not a call"));
     };
     let (effect, failures) = {
         let mut state = shared.lock();
         let state = &mut *state;
         let Some(machine) = state.machines.get_mut(vm) else {
-            return Some(answer(404, "text/plain", "no such VM"));
+            return Some(build_response(404, "text/plain", "no such VM"));
         };
         let effect = machine.call(&wanted, &mut state.ledger, state.plan.reboot);
         let failures = machine.failures;
@@ -269,13 +271,13 @@
     };
     match effect {
         Effect::Done | Effect::Removed => {}
-        Effect::Stale => return Some(answer(409, "text/plain", "stale")),
+        Effect::Stale => return Some(build_response(409, "text/plain", "stale")),
         Effect::BackAfter(time) => {
             spring_trap(shared);
             back_after(shared, vm, time, VmEventKind::Back, failures);
         }
     }
-    or_lost(shared, answer(200, "application/json", "{}"))
+    or_lost(shared, build_response(200, "application/json", "{}"))
 }
 
 /// Brings a VM back after a time, unless it has failed once more than so often meanwhile.
@@ -295,33 +297,33 @@
 
 /// A reboot has begun: the fault that waits for one strikes after its time.
 fn spring_trap(shared: &Shared) {
-    let Some((delay, rack, call)) = shared.lock().trap.take() else {
+    let Some((delay, rack, request)) = shared.lock().trap.take() else {
         return;
     };
     let shared = shared.clone();
     tokio::spawn(async move {
         sleep(delay).await;
-        fault_rack(&shared, &rack, &call);
+        fault_rack(&shared, &rack, &request);
     });
 }
 
 /// Injects a fault: `log?down_ms=`, `lose?n=`, `vm/<id>?down_ms=|slow=|failing=|leaving=`,
 /// `rack/<id>?down_ms=`, with `&after_reboot_ms=` so long after the next reboot has begun, `add/<hall>/<rack>/<id>`, `via/<vm>/<address>`.
-async fn fault(shared: &Shared, path: &[&str], call: &Call) -> Answer {
+async fn fault(shared: &Shared, path: &[&str], request: &HttpRequest) -> HandlerResponse {
     match path {
         ["log"] => {
-            let time = Duration::from_millis(call.number("down_ms")?);
+            let time = Duration::from_millis(request.query_number("down_ms")?);
             shared.lock().down = Some(Instant::now() + time);
         }
-        ["lose"] => shared.lock().lose = call.number("n")?,
-        ["rack", rack] => match call.number("after_reboot_ms") {
+        ["lose"] => shared.lock().lose = request.query_number("n")?,
+        ["rack", rack] => match request.query_number("after_reboot_ms") {
             Some(ms) => {
                 let delay = Duration::from_millis(ms);
-                shared.lock().trap = Some((delay, (*rack).to_owned(), call.clone()));
+                shared.lock().trap = Some((delay, (*rack).to_owned(), request.clone()));
             }
-            None => fault_rack(shared, rack, call),
+            None => fault_rack(shared, rack, request),
         },
-        ["vm", vm] => fault_vm(shared, vm, call),
+        ["vm", vm] => fault_vm(shared, vm, request),
         ["via", vm, addr] => {
             if let Some(machine) = shared.lock().machines.get_mut(*vm) {
                 (*addr).clone_into(&mut machine.info.addr);
@@ -330,13 +332,13 @@
         ["add", hall, rack, vm] => {
             add(shared, (*vm).to_owned(), hall, (*rack).to_owned()).await;
         }
-        _ => return Some(answer(404, "text/plain", "no such fault")),
+        _ => return Some(build_response(404, "text/plain", "no such fault")),
     }
-    Some(answer(200, "application/json", "{}"))
+    Some(build_response(200, "application/json", "{}"))
 }
 
 /// Injects a fault into all VMs of a rack.
-fn fault_rack(shared: &Shared, rack: &str, call: &Call) {
+fn fault_rack(shared: &Shared, rack: &str, request: &HttpRequest) {
     let vms: Vec<String> = shared
         .lock()
         .machines
@@ -345,26 +347,26 @@
         .map(|machine| machine.info.id.clone())
         .collect();
     for vm in vms {
-        fault_vm(shared, &vm, call);
+        fault_vm(shared, &vm, request);
     }
 }
 
-fn fault_vm(shared: &Shared, vm: &str, call: &Call) {
+fn fault_vm(shared: &Shared, vm: &str, request: &HttpRequest) {
     let mut state = shared.lock();
     let state = &mut *state;
     let Some(machine) = state.machines.get_mut(vm) else {
         return;
     };
-    if let Some(slow) = call.number("slow") {
+    if let Some(slow) = request.query_number("slow") {
         machine.slowness = u32::try_from(slow).unwrap_or(u32::MAX);
     }
-    if let Some(failing) = call.number("failing") {
+    if let Some(failing) = request.query_number("failing") {
         machine.failing = failing > 0;
     }
-    if call.query.contains_key("leaving") {
+    if request.query.contains_key("leaving") {
         machine.info.state = VmLifecycle::Leaving;
     }
-    if let Some(time) = call.number("down_ms") {
+    if let Some(time) = request.query_number("down_ms") {
         machine.fail(&mut state.ledger);
         let failures = machine.failures;
         back_after(
--- a/crates/standin/src/users/cloud.rs
+++ b/crates/standin/src/users/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::{events::Events, log::Log, worker::Worker};
 use crate::{
-    http::{Answer, Call, answer, json},
+    http::{HandlerResponse, HttpRequest, build_response, json},
     proxy::{Faults, Proxy},
 };
 use serde_json::{Value, json as value};
@@ -191,15 +191,15 @@
     }
 
     /// Answers a call.
-    pub async fn handle(&self, call: Call) -> Answer {
-        let body: Value = serde_json::from_slice(&call.body).unwrap_or_default();
+    pub async fn handle(&self, request: HttpRequest) -> HandlerResponse {
+        let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let name = body["machine"].as_str().unwrap_or_default();
-        let fence = call
+        let fence = request
             .headers
             .get("fencing-token")
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
-        let status = match (call.method.as_str(), call.path.as_str()) {
+        let status = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/machines") => return Some(json(&self.list())),
             ("POST", "/machine-move") => {
                 self.move_to(name, body["pool"].as_str().unwrap_or_default(), fence)
@@ -210,8 +210,8 @@
             _ => Err("call"),
         };
         Some(match status {
-            Ok(()) => answer(200, "application/json", "{}"),
-            Err(reason) => answer(
+            Ok(()) => build_response(200, "application/json", "{}"),
+            Err(reason) => build_response(
                 409,
                 "application/json",
                 value!({ "reason": reason }).to_string(),
--- a/crates/standin/src/users/log.rs
+++ b/crates/standin/src/users/log.rs
@@ -1,7 +1,7 @@
 //! The users' log: topics with one partition, appends on conditions, long polls, and the newest record of
 //! each key.
 
-use crate::http::{Answer, Call, answer, json};
+use crate::http::{HandlerResponse, HttpRequest, build_response, json};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use http_body_util::Full;
 use hyper::Response;
@@ -60,24 +60,24 @@
 
 impl Log {
     /// Answers a call.
-    pub async fn handle(&self, call: Call) -> Answer {
-        let topic = call.query.get("topic").cloned().unwrap_or_default();
-        if call.method == "GET" {
+    pub async fn handle(&self, request: HttpRequest) -> HandlerResponse {
+        let topic = request.query.get("topic").cloned().unwrap_or_default();
+        if request.method == "GET" {
             let mut reads = self.reads.lock().expect("no thread panics here");
             *reads.entry(topic.clone()).or_default() += 1;
         }
-        match (call.method.as_str(), call.path.as_str()) {
+        match (request.method.as_str(), request.path.as_str()) {
             ("POST", "/log-append") => {
-                let answer = self.append(&topic, &call);
+                let answer = self.append(&topic, &request);
                 if self.loses_response() {
                     // The connection stays open, and nothing more is said on it.
                     future::pending::<()>().await;
                 }
                 Some(answer)
             }
-            ("GET", "/log-read") => Some(self.read(&topic, &call).await),
+            ("GET", "/log-read") => Some(self.read(&topic, &request).await),
             ("GET", "/log-newest") => Some(self.newest(&topic)),
-            _ => Some(answer(404, "text/plain", "")),
+            _ => Some(build_response(404, "text/plain", "")),
         }
     }
 
@@ -132,22 +132,22 @@
         work(topics.entry(topic.to_owned()).or_default())
     }
 
-    fn append(&self, name: &str, call: &Call) -> Response<Full<Bytes>> {
-        let outcome = self.with(name, |topic| topic.append(name, call));
+    fn append(&self, name: &str, request: &HttpRequest) -> Response<Full<Bytes>> {
+        let outcome = self.with(name, |topic| topic.append(name, request));
         self.changed.notify_waiters();
         let (status, body) = outcome;
-        answer(status, "application/json", body.to_string())
+        build_response(status, "application/json", body.to_string())
     }
 
-    async fn read(&self, name: &str, call: &Call) -> Response<Full<Bytes>> {
-        let from = call.number("from").unwrap_or(0) as usize;
-        let wait = Duration::from_millis(call.number("wait-ms").unwrap_or(0));
+    async fn read(&self, name: &str, request: &HttpRequest) -> Response<Full<Bytes>> {
+        let from = request.query_number("from").unwrap_or(0) as usize;
+        let wait = Duration::from_millis(request.query_number("wait-ms").unwrap_or(0));
         let until = time::Instant::now() + wait;
         loop {
             let changed = self.changed.notified();
             let body = self.with(name, |topic| topic.slice(from));
             if body.len() > READ_HEAD || time::Instant::now() >= until {
-                return answer(200, "application/octet-stream", body);
+                return build_response(200, "application/octet-stream", body);
             }
             // The end of the wait is an answer without records.
             let _ = time::timeout_at(until, changed).await;
@@ -181,29 +181,32 @@
         self.records.push(record);
     }
 
-    fn append(&mut self, name: &str, call: &Call) -> (u16, Value) {
+    fn append(&mut self, name: &str, request: &HttpRequest) -> (u16, Value) {
         let end = self.records.len() as u64;
-        if call.number("at").is_some_and(|at| at != end) {
+        if request.query_number("at").is_some_and(|at| at != end) {
             return (412, value!({ "end": end }));
         }
-        if let Some(refusal) = self.check_producer(call) {
+        if let Some(refusal) = self.check_producer(request) {
             return refusal;
         }
-        let mut body = call.body.clone();
+        let mut body = request.body.clone();
         while body.len() >= 4 {
             let length = body.get_u32() as usize;
             let record = body.split_to(length.min(body.len()));
             self.push(name, record);
         }
         let end = self.records.len() as u64;
-        self.note_producer(call, end);
+        self.note_producer(request, end);
         (200, value!({ "end": end }))
     }
 
     /// What a producer is told that may not append now.
-    fn check_producer(&mut self, call: &Call) -> Option<(u16, Value)> {
-        let name = call.query.get("producer")?;
-        let (epoch, number) = (call.number("epoch")?, call.number("sequence")?);
+    fn check_producer(&mut self, request: &HttpRequest) -> Option<(u16, Value)> {
+        let name = request.query.get("producer")?;
+        let (epoch, number) = (
+            request.query_number("epoch")?,
+            request.query_number("sequence")?,
+        );
         let known = self.producers.entry(name.clone()).or_default();
         if epoch < known.epoch {
             return Some((409, value!({ "reason": "fenced" })));
@@ -218,12 +221,12 @@
         (number != next).then(|| (409, value!({ "reason": "seq", "sequence": next })))
     }
 
-    fn note_producer(&mut self, call: &Call, end: u64) {
-        let Some(name) = call.query.get("producer") else {
+    fn note_producer(&mut self, request: &HttpRequest, end: u64) {
+        let Some(name) = request.query.get("producer") else {
             return;
         };
-        let epoch = call.number("epoch").unwrap_or(0);
-        let number = call.number("sequence").unwrap_or(0);
+        let epoch = request.query_number("epoch").unwrap_or(0);
+        let number = request.query_number("sequence").unwrap_or(0);
         let known = self.producers.entry(name.clone()).or_default();
         if epoch > known.epoch {
             known.last.clear();
--- a/crates/standin/src/users/mod.rs
+++ b/crates/standin/src/users/mod.rs
@@ -8,12 +8,12 @@
 pub mod settings;
 pub mod worker;
 
-use crate::http::{Answer, Call, serve};
+use crate::http::{HandlerResponse, HttpRequest, serve};
 use std::{io, net::SocketAddr, sync::Arc};
 use tokio::net::TcpListener;
 
 /// The header of a call that tells for how many ms its caller waits.
-pub const DEADLINE: &str = "request-deadline-ms";
+pub const DEADLINE_HEADER: &str = "request-deadline-ms";
 
 /// Serves calls at a free port of the loopback interface, each with a clone of what is shared, and returns
 /// the address.
@@ -24,8 +24,8 @@
 pub async fn listen<T, H, A>(shared: &T, handle: H) -> io::Result<SocketAddr>
 where
     T: Clone + Send + Sync + 'static,
-    H: Fn(T, Call) -> A + Send + Sync + 'static,
-    A: Future<Output = Answer> + Send + 'static,
+    H: Fn(T, HttpRequest) -> A + Send + Sync + 'static,
+    A: Future<Output = HandlerResponse> + Send + 'static,
 {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
@@ -33,7 +33,9 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let (shared, handle) = (shared.clone(), Arc::clone(&handle));
-            tokio::spawn(serve(stream, move |call| handle(shared.clone(), call)));
+            tokio::spawn(serve(stream, move |request| {
+                handle(shared.clone(), request)
+            }));
         }
     });
     Ok(addr)
--- a/crates/standin/src/users/worker.rs
+++ b/crates/standin/src/users/worker.rs
@@ -4,7 +4,7 @@
     events::{Events, RunEvent},
     listen,
 };
-use crate::http::{Answer, Call, answer};
+use crate::http::{HandlerResponse, HttpRequest, build_response};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Response;
@@ -216,21 +216,21 @@
         self.state.lock().expect("no thread panics here")
     }
 
-    async fn handle(self: Arc<Self>, call: Call) -> Answer {
+    async fn handle(self: Arc<Self>, request: HttpRequest) -> HandlerResponse {
         let life = self.life()?;
-        if call
+        if request
             .headers
             .get("expect-instance")
             .is_some_and(|life| *life != self.id)
         {
-            return Some(answer(421, "application/json", "{}"));
+            return Some(build_response(421, "application/json", "{}"));
         }
-        let body: Body = serde_json::from_slice(&call.body).unwrap_or_default();
-        let answer = match call.path.as_str() {
+        let body: Body = serde_json::from_slice(&request.body).unwrap_or_default();
+        let answer = match request.path.as_str() {
             "/run-start" => self.start_run(&body),
             "/run-stop" => self.stop_run(&body),
             "/hold" => self.hold(&body).await,
-            _ => answer(400, "application/json", "{}"),
+            _ => build_response(400, "application/json", "{}"),
         };
         // What waits for an answer when a life ends gets none.
         (self.life() == Some(life)).then_some(answer)
@@ -241,7 +241,7 @@
         if !reason.is_empty() {
             body["reason"] = reason.into();
         }
-        answer(status, "application/json", body.to_string())
+        build_response(status, "application/json", body.to_string())
     }
 
     fn start_run(&self, body: &Body) -> Response<Full<Bytes>> {
@@ -340,7 +340,7 @@
         let body = json!({
             "clock-ms": state.clock(), "born": state.born, "running": running, "ended-at": ended,
         });
-        answer(200, "application/json", body.to_string())
+        build_response(200, "application/json", body.to_string())
     }
 
     /// Forgets the ends up to a number, which the caller has made durable.
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -4,7 +4,7 @@
 //! caller's mark), `fail` (fail at the end), `short` (announce more than is sent).
 
 use crate::{
-    http::{Answer, Call, answer, json, serve},
+    http::{HandlerResponse, HttpRequest, build_response, json, serve},
     ledger::{Run, RunEnd, now_ms},
     platform::Shared,
 };
@@ -93,29 +93,29 @@
     stream: TcpStream,
     mut power: watch::Receiver<bool>,
 ) {
-    let handle = move |call| handle(shared.clone(), vm.clone(), call);
+    let handle = move |request| handle(shared.clone(), vm.clone(), request);
     tokio::select! {
         () = serve(stream, handle) => {}
         _ = power.wait_for(|up| !up) => {}
     }
 }
 
-async fn handle(shared: Shared, vm: String, call: Call) -> Answer {
-    if call.path == USAGE {
+async fn handle(shared: Shared, vm: String, request: HttpRequest) -> HandlerResponse {
+    if request.path == USAGE {
         return usage(&shared, &vm);
     }
-    let attempt = call.path.strip_prefix(TASKS)?.to_owned();
-    match call.method.as_str() {
-        "POST" => task(shared, vm, attempt, call).await,
+    let attempt = request.path.strip_prefix(TASKS)?.to_owned();
+    match request.method.as_str() {
+        "POST" => task(shared, vm, attempt, request).await,
         "DELETE" => {
             stop(&shared, &vm, &attempt);
-            Some(answer(204, "text/plain", ""))
+            Some(build_response(204, "text/plain", ""))
         }
-        _ => Some(answer(405, "text/plain", "")),
+        _ => Some(build_response(405, "text/plain", "")),
     }
 }
 
-fn usage(shared: &Shared, vm: &str) -> Answer {
+fn usage(shared: &Shared, vm: &str) -> HandlerResponse {
     let state = shared.lock();
     let machine = state.machines.get(vm)?;
     Some(json(&Usage {
@@ -125,10 +125,15 @@
     }))
 }
 
-async fn task(shared: Shared, vm: String, attempt: String, call: Call) -> Answer {
-    let ask = Ask::read(&String::from_utf8_lossy(&call.body));
-    if let Err(why) = begin(&shared, &vm, &attempt, &call, &ask) {
-        let mut refusal = answer(503, "text/plain", why);
+async fn task(
+    shared: Shared,
+    vm: String,
+    attempt: String,
+    request: HttpRequest,
+) -> HandlerResponse {
+    let ask = Ask::read(&String::from_utf8_lossy(&request.body));
+    if let Err(why) = begin(&shared, &vm, &attempt, &request, &ask) {
+        let mut refusal = build_response(503, "text/plain", why);
         refusal
             .headers_mut()
             .insert(HEADER_REFUSED, why.parse().ok()?);
@@ -140,7 +145,7 @@
         vm: vm.clone(),
         attempt: attempt.clone(),
     };
-    let lease: u64 = call.headers.get(HEADER_LEASE)?.parse().ok()?;
+    let lease: u64 = request.headers.get(HEADER_LEASE)?.parse().ok()?;
     let left = lease.saturating_sub(now_ms());
     if ask.run > 0 {
         sleep(Duration::from_millis(ask.run.min(left))).await;
@@ -149,8 +154,8 @@
     shared.end(&vm, &attempt, end);
     drop(guard);
     let mut done = match end {
-        RunEnd::Done => answer(200, "text/plain", text(&ask, &vm)),
-        _ => answer(500, "text/plain", "the task failed"),
+        RunEnd::Done => build_response(200, "text/plain", text(&ask, &vm)),
+        _ => build_response(500, "text/plain", "the task failed"),
     };
     done.headers_mut().insert(HEADER_ID, attempt.parse().ok()?);
     if ask.short {
@@ -188,13 +193,13 @@
     shared: &Shared,
     vm: &str,
     attempt: &str,
-    call: &Call,
+    request: &HttpRequest,
     ask: &Ask,
 ) -> Result<(), &'static str> {
     let mut state = shared.lock();
     let state = &mut *state;
     let machine = state.machines.get_mut(vm).ok_or("gone")?;
-    let header = |name| call.headers.get(name).cloned().unwrap_or_default();
+    let header = |name| request.headers.get(name).cloned().unwrap_or_default();
     let pool = header(HEADER_POOL);
     let lease: u64 = header(HEADER_LEASE).parse().map_err(|_| "no-lease")?;
     if machine.info.drained {
