--- a/crates/havenladder/tests/crashing_tasks.rs
+++ b/crates/havenladder/tests/crashing_tasks.rs
@@ -53,7 +53,7 @@
     let events = site.events.all();
     let started = events
         .iter()
-        .filter(|event| event.task == task && event.what == RunEvent::Started);
+        .filter(|event| event.task == task && event.kind == RunEvent::Started);
     started.count()
 }
 
@@ -63,7 +63,7 @@
     let events = site.events.all();
     let done = events
         .iter()
-        .filter(|event| event.task.starts_with(&job) && event.what == RunEvent::Done);
+        .filter(|event| event.task.starts_with(&job) && event.kind == RunEvent::Done);
     done.count()
 }
 
--- a/crates/havenladder/tests/drained_worker.rs
+++ b/crates/havenladder/tests/drained_worker.rs
@@ -40,7 +40,7 @@
     let events = site.events.all();
     let starts = events
         .iter()
-        .filter(|event| event.what == RunEvent::Started && event.at > since);
+        .filter(|event| event.kind == RunEvent::Started && event.at > since);
     starts
         .filter(|event| site.cloud.vm_of(&event.worker).as_deref() == Some(vm))
         .count()
--- a/crates/havenladder/tests/emptied_data_centre.rs
+++ b/crates/havenladder/tests/emptied_data_centre.rs
@@ -36,7 +36,7 @@
     let events = site.events.all();
     let starts = events
         .iter()
-        .filter(|event| event.what == RunEvent::Started && event.at > since);
+        .filter(|event| event.kind == RunEvent::Started && event.at > since);
     starts.filter(|event| there(&event.worker)).count()
 }
 
--- a/crates/havenladder/tests/fleet.rs
+++ b/crates/havenladder/tests/fleet.rs
@@ -54,7 +54,7 @@
     let (mut most, mut most_known) = (0, 0);
     for event in ledger.events.iter().filter(|event| vms.contains(&event.vm)) {
         let vm = event.vm.clone();
-        match event.what {
+        match event.kind {
             VmEventKind::Drain | VmEventKind::Reboot | VmEventKind::Release => {
                 by_system.insert(vm);
                 let known = |(other, at): (&String, &u64)| {
@@ -86,7 +86,7 @@
     for event in ledger
         .events
         .iter()
-        .filter(|event| event.what == VmEventKind::Reboot)
+        .filter(|event| event.kind == VmEventKind::Reboot)
     {
         *reboots.entry(event.vm.clone()).or_default() += 1;
     }
@@ -236,7 +236,7 @@
     let after = site.ledger();
     let drained = after.events[before..]
         .iter()
-        .filter(|event| event.what == VmEventKind::Drain)
+        .filter(|event| event.kind == VmEventKind::Drain)
         .count();
     assert_eq!(drained, 0, "drained while a rack was down");
     wait_wave(&site, 0, wave);
@@ -247,7 +247,7 @@
 fn tell(ledger: &Ledger) -> Vec<String> {
     let began = ledger.events.first().map_or(0, |event| event.at);
     let events = ledger.events.iter();
-    let line = events.map(|event| format!("{} {} {:?}", event.at - began, event.vm, event.what));
+    let line = events.map(|event| format!("{} {} {:?}", event.at - began, event.vm, event.kind));
     line.collect()
 }
 
@@ -278,7 +278,7 @@
         ledger
             .events
             .iter()
-            .any(|event| event.what == VmEventKind::Fail)
+            .any(|event| event.kind == VmEventKind::Fail)
     });
     thread::sleep(Duration::from_millis(KNOWN_AFTER_MS));
     let before = site.ledger().events.len();
@@ -286,7 +286,7 @@
     let after = site.ledger();
     let drained = after.events[before..]
         .iter()
-        .any(|event| event.what == VmEventKind::Drain);
+        .any(|event| event.kind == VmEventKind::Drain);
     assert!(
         !drained,
         "drained while a rack was down: {:#?}",
@@ -400,7 +400,7 @@
         let assigned = ledger
             .events
             .iter()
-            .rfind(|event| event.vm == *vm && event.what == VmEventKind::Assign)
+            .rfind(|event| event.vm == *vm && event.kind == VmEventKind::Assign)
             .unwrap();
         let late = ledger
             .runs
@@ -433,7 +433,7 @@
     let released = ledger
         .events
         .iter()
-        .filter(|event| event.what == VmEventKind::Release)
+        .filter(|event| event.kind == VmEventKind::Release)
         .count();
     assert_eq!(released, 1);
     // The pool asks for ten, so a spare takes its place.
--- a/crates/havenladder/tests/foreign_entries.rs
+++ b/crates/havenladder/tests/foreign_entries.rs
@@ -38,7 +38,7 @@
     let events = site.events.all();
     let started = events
         .iter()
-        .filter(|event| event.what == RunEvent::Started)
+        .filter(|event| event.kind == RunEvent::Started)
         .filter(|event| jobs.iter().any(|job| event.task.starts_with(job)));
     started.map(|event| event.worker.clone()).collect()
 }
--- a/crates/havenladder/tests/keys.rs
+++ b/crates/havenladder/tests/keys.rs
@@ -190,7 +190,7 @@
     let mut most = 0;
     for event in site.events.all() {
         let run = (event.worker, event.task, event.run);
-        match event.what {
+        match event.kind {
             RunEvent::Started => drop(running.insert(run)),
             RunEvent::Done | RunEvent::Ended | RunEvent::Lost => drop(running.remove(&run)),
             RunEvent::Acknowledged => {}
@@ -229,7 +229,7 @@
             .events
             .all()
             .iter()
-            .filter(|e| e.what == RunEvent::Done)
+            .filter(|e| e.kind == RunEvent::Done)
             .count();
         assert!(done > 40, "{done} runs are done");
         let never =
--- a/crates/havenladder/tests/lost_starts.rs
+++ b/crates/havenladder/tests/lost_starts.rs
@@ -45,7 +45,7 @@
 /// How often something happened to runs.
 fn count(site: &Site, what: RunEvent) -> usize {
     let events = site.events.all();
-    events.iter().filter(|event| event.what == what).count()
+    events.iter().filter(|event| event.kind == what).count()
 }
 
 async fn run_once() {
--- a/crates/havenladder/tests/restarted_workers.rs
+++ b/crates/havenladder/tests/restarted_workers.rs
@@ -59,7 +59,7 @@
 fn done(site: &Site) -> BTreeMap<String, usize> {
     let mut done = BTreeMap::new();
     for event in site.events.all() {
-        if event.what == RunEvent::Done {
+        if event.kind == RunEvent::Done {
             *done.entry(event.task).or_default() += 1;
         }
     }
@@ -82,7 +82,7 @@
     let mut noted: BTreeMap<String, u64> = BTreeMap::new();
     for event in site.events.all() {
         let run = (event.worker.clone(), event.run);
-        match event.what {
+        match event.kind {
             RunEvent::Started => {
                 let before = noted.get(&event.task);
                 assert_eq!(before, None, "{} run {} was done", event.task, event.run);
@@ -204,7 +204,7 @@
         let starts = site.events.all();
         let starts = starts
             .iter()
-            .filter(|event| event.what == RunEvent::Started);
+            .filter(|event| event.kind == RunEvent::Started);
         assert_eq!(starts.count() as u64, 5 * TASKS, "none is started again");
     });
 }
--- a/crates/havenladder/tests/turns.rs
+++ b/crates/havenladder/tests/turns.rs
@@ -20,7 +20,7 @@
 /// How many tasks of the job have ended well.
 fn done(site: &Site) -> usize {
     let events = site.events.all();
-    let done = events.iter().filter(|event| event.what == RunEvent::Done);
+    let done = events.iter().filter(|event| event.kind == RunEvent::Done);
     done.map(|event| event.task.clone())
         .collect::<BTreeSet<_>>()
         .len()
--- a/crates/soak/benches/owner.rs
+++ b/crates/soak/benches/owner.rs
@@ -170,7 +170,7 @@
     let jobs: usize = callers.join_all().await.into_iter().sum();
     let took = used(entry.id()) - before;
     let all = events.all();
-    let starts = all.iter().filter(|event| event.what == RunEvent::Started);
+    let starts = all.iter().filter(|event| event.kind == RunEvent::Started);
     let starts = starts.count();
     println!(
         "{jobs} jobs, {starts} starts in {:.0} s: {:.3} of a core, {:.0} us a start, {} MB",
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -95,7 +95,7 @@
         };
         let runs = running.entry(workspace).or_default();
         let run = (event.worker.as_str(), event.task.as_str(), event.run);
-        match event.what {
+        match event.kind {
             RunEvent::Started => {
                 runs.insert(run);
                 if runs.len() as u64 > highest_bound(bounds, workspace, event.at) {
@@ -148,7 +148,7 @@
     let mut noted: HashSet<&str> = HashSet::new();
     for event in events {
         let run = (event.worker.as_str(), event.run);
-        match event.what {
+        match event.kind {
             RunEvent::Started => {
                 if running.insert(&event.task, run).is_some() || noted.contains(event.task.as_str())
                 {
@@ -173,7 +173,7 @@
     for event in events {
         let first = step_of(&event.task) == "0";
         let waiting = open.entry(job_of(&event.task)).or_default();
-        match event.what {
+        match event.kind {
             RunEvent::Started if first => {
                 waiting.insert(&event.task);
             }
@@ -191,7 +191,7 @@
 fn check_job(id: u64, job: &Job, events: &[Event], violations: &mut Vec<Violation>) {
     let name = format!("{id:016x}");
     let own = || events.iter().filter(|event| event.task.starts_with(&name));
-    let started = |event: &&Event| event.what == RunEvent::Started;
+    let started = |event: &&Event| event.kind == RunEvent::Started;
     if job.refused && job.accepted.is_none() && own().any(|event| started(&event)) {
         violations.push(violation(Invariant::RefusedNeverRuns, &name));
     }
@@ -218,7 +218,7 @@
 /// Whether so many workers have ended under a task that the users allow its job to be given up.
 fn may_be_given_up<'e>(own: impl Iterator<Item = &'e Event>) -> bool {
     let mut lost: HashMap<&str, u32> = HashMap::new();
-    for event in own.filter(|event| event.what == RunEvent::Lost) {
+    for event in own.filter(|event| event.kind == RunEvent::Lost) {
         *lost.entry(&event.task).or_default() += 1;
     }
     lost.values().any(|count| *count >= GIVEN_UP_AFTER)
@@ -261,7 +261,7 @@
     let mut open: HashSet<&str> = HashSet::new();
     let mut done: HashSet<&str> = HashSet::new();
     for event in own.filter(|event| event.at < shown) {
-        match event.what {
+        match event.kind {
             RunEvent::Started => {
                 open.insert(&event.task);
             }
--- a/crates/soak/tests/invariants.rs
+++ b/crates/soak/tests/invariants.rs
@@ -16,12 +16,12 @@
 
 /// Events at 1 s each from the first: worker, step and index of the task, run, what happened.
 fn events(from: Instant, rows: &[(&str, &str, u64, RunEvent)]) -> Vec<Event> {
-    let event = |(second, (worker, task, run, what)): (u64, &(&str, &str, u64, RunEvent))| Event {
+    let event = |(second, (worker, task, run, kind)): (u64, &(&str, &str, u64, RunEvent))| Event {
         at: from + Duration::from_secs(second),
         worker: (*worker).to_owned(),
         task: format!("{ID:016x}.0.{task}"),
         run: *run,
-        what: *what,
+        kind: *kind,
     };
     (0..).zip(rows).map(event).collect()
 }
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -50,7 +50,8 @@
     /// The VM.
     pub vm: String,
     /// What happened.
-    pub what: VmEventKind,
+    #[serde(rename = "what")]
+    pub kind: VmEventKind,
 }
 
 /// What happened to a VM.
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -281,7 +281,7 @@
 }
 
 /// Brings a VM back after a time, unless it has failed once more than so often meanwhile.
-fn back_after(shared: &Shared, vm: &str, time: Duration, what: VmEventKind, failures: u32) {
+fn back_after(shared: &Shared, vm: &str, time: Duration, kind: VmEventKind, failures: u32) {
     let (shared, vm) = (shared.clone(), vm.to_owned());
     tokio::spawn(async move {
         sleep(time).await;
@@ -290,7 +290,7 @@
         if let Some(machine) = state.machines.get_mut(&vm)
             && machine.failures == failures
         {
-            machine.restore(&mut state.ledger, what);
+            machine.restore(&mut state.ledger, kind);
         }
     });
 }
--- a/crates/standin/src/users/events.rs
+++ b/crates/standin/src/users/events.rs
@@ -32,7 +32,7 @@
     /// The run.
     pub run: u64,
     /// What happened.
-    pub what: RunEvent,
+    pub kind: RunEvent,
 }
 
 /// All events, in order; clones share them.
@@ -41,13 +41,13 @@
 
 impl Events {
     /// Notes an event.
-    pub fn record(&self, worker: &str, task: &str, run: u64, what: RunEvent) {
+    pub fn record(&self, worker: &str, task: &str, run: u64, kind: RunEvent) {
         let event = Event {
             at: Instant::now(),
             worker: worker.to_owned(),
             task: task.to_owned(),
             run,
-            what,
+            kind,
         };
         self.0.lock().expect("no thread panics here").push(event);
     }
--- a/crates/standin/src/users/worker.rs
+++ b/crates/standin/src/users/worker.rs
@@ -361,11 +361,11 @@
             return;
         };
         state.last_end += 1;
-        let what = match how {
+        let kind = match how {
             "done" => RunEvent::Done,
             _ => RunEvent::Ended,
         };
-        self.events.record(&self.id, task, run.number, what);
+        self.events.record(&self.id, task, run.number, kind);
         state.close(task, run.number);
         let end = End {
             number: state.last_end,
--- a/crates/standin/src/vm.rs
+++ b/crates/standin/src/vm.rs
@@ -98,11 +98,11 @@
     }
 
     /// Brings the VM back, booted once more; a boot ends a drain.
-    pub fn restore(&mut self, ledger: &mut Ledger, what: VmEventKind) {
+    pub fn restore(&mut self, ledger: &mut Ledger, kind: VmEventKind) {
         self.info.up = true;
         self.info.boot += 1;
         self.info.state = VmLifecycle::Live;
-        self.note(ledger, what);
+        self.note(ledger, kind);
         self.set_drained(ledger, false);
         self.power.send_replace(true);
     }
@@ -110,12 +110,12 @@
     fn set_drained(&mut self, ledger: &mut Ledger, drained: bool) -> Effect {
         if self.info.drained != drained {
             self.info.drained = drained;
-            let what = if drained {
+            let kind = if drained {
                 VmEventKind::Drain
             } else {
                 VmEventKind::Undrain
             };
-            self.note(ledger, what);
+            self.note(ledger, kind);
         }
         Effect::Done
     }
@@ -130,11 +130,11 @@
         self.power.send_replace(false);
     }
 
-    fn note(&self, ledger: &mut Ledger, what: VmEventKind) {
+    fn note(&self, ledger: &mut Ledger, kind: VmEventKind) {
         ledger.events.push(VmEvent {
             at: now_ms(),
             vm: self.info.id.clone(),
-            what,
+            kind,
         });
     }
 }
