--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -1,93 +1,93 @@
-//! The independent record of what really happened.
+//! The stand-in's own record of what happened, independent of the system under test.
 
 use serde::{Deserialize, Serialize};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// One task that a worker began.
+/// A run of one task on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: String,
-    /// The service it was sent for.
+    /// Service that the task was sent for.
     pub service: String,
-    /// The pool it was sent for.
+    /// Pool that the task was sent for.
     pub pool: String,
-    /// The VM.
+    /// VM whose worker ran the task.
     pub vm: String,
-    /// The caller's own mark in the body.
+    /// Tag that the caller put into the body.
     pub tag: String,
-    /// When it began, in milliseconds since 1970.
+    /// Start time, in milliseconds since 1970.
     pub began: u64,
-    /// When it ended.
+    /// End time, in milliseconds since 1970; `None` while the task runs.
     pub ended: Option<u64>,
-    /// How it ended.
+    /// How the run ended; `None` while the task runs.
     pub end: Option<RunEnd>,
 }
 
-/// How a task ended.
+/// The ways in which a run can end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunEnd {
-    /// It ran to its end.
+    /// The task ran to completion.
     Done,
-    /// It failed as it was told to.
+    /// The task failed, as its body or an injected fault demanded.
     Failed,
-    /// Its caller went away or stopped it.
+    /// The caller disconnected or stopped the task.
     Stopped,
-    /// Its lease ended.
+    /// The lease expired.
     Lapsed,
-    /// Its VM went down under it by a call of the system.
+    /// The VM went down because of a call of the system under test.
     CutByCall,
-    /// Its VM failed.
+    /// The VM failed.
     CutByFault,
 }
 
 /// One change of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEvent {
-    /// When, in milliseconds since 1970.
+    /// Time of the event, in milliseconds since 1970.
     pub at: u64,
-    /// The VM.
+    /// VM that changed.
     pub vm: String,
-    /// What happened.
+    /// Kind of the event.
     #[serde(rename = "what")]
     pub kind: VmEventKind,
 }
 
-/// What happened to a VM.
+/// The kinds of events of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmEventKind {
-    /// The system drained it.
+    /// The system drained the VM.
     Drain,
     /// The system ended the drain.
     Undrain,
-    /// The system rebooted it.
+    /// The system rebooted the VM.
     Reboot,
-    /// It is back after a reboot.
+    /// The VM came back after a reboot.
     Back,
-    /// The system handed it back.
+    /// The system released the VM.
     Release,
-    /// The system gave it to a pool.
+    /// The system assigned the VM to a pool.
     Assign,
-    /// It failed.
+    /// The VM failed.
     Fail,
-    /// It is back after a failure.
+    /// The VM came back after a failure.
     Restore,
-    /// A call was refused because its token or count of boots was stale.
+    /// A call was refused because its fencing token or boot count was stale.
     Stale,
 }
 
-/// Everything that happened.
+/// All runs and VM events so far.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Ledger {
-    /// The tasks.
+    /// Runs in the order in which they started.
     pub runs: Vec<Run>,
-    /// The changes of VMs.
+    /// VM events in the order in which they happened.
     pub events: Vec<VmEvent>,
 }
 
-/// Returns the time in milliseconds since 1970.
+/// Returns the current time in milliseconds since 1970.
 pub fn now_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what the system meets: the platform with its workers, and a proxy that injects
-//! faults. For tests and trials on one machine only.
+//! Stand-ins for the system's environment: the platform with its workers, and a proxy that injects
+//! faults. Only for tests and trials on one machine.
 
 #![expect(
     clippy::missing_panics_doc,
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -22,26 +22,27 @@
     time::{sleep, sleep_until},
 };
 
-/// The longest time that is told apart, in microseconds.
+/// Upper limit of the histograms, in microseconds; longer times are recorded as this one.
 const MAX_TIME_US: u64 = 600_000_000;
 
-/// One kind of request.
+/// A kind of request that is offered at a steady average rate.
 #[derive(Clone, Debug)]
 pub struct RequestKind {
-    /// Path of its service.
+    /// Path of the service.
     pub service: String,
-    /// Its pool.
+    /// Pool of the service.
     pub pool: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Shortest and longest run, in milliseconds; drawn evenly on a logarithmic scale.
+    /// Shortest and longest run time, in milliseconds. Run times are drawn from a log-uniform
+    /// distribution between them.
     pub run_ms: (f64, f64),
-    /// Time that each request has.
+    /// Time from sending a request to its deadline.
     pub patience: Duration,
 }
 
 impl RequestKind {
-    /// The mean run, in seconds.
+    /// Returns the mean run time in seconds.
     pub fn mean_run(&self) -> f64 {
         let (low, high) = self.run_ms;
         if high <= low {
@@ -57,18 +58,18 @@
     }
 }
 
-/// What became of one kind of request.
+/// The results of one kind of request.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// Requests that were offered.
+    /// Number of requests that were sent.
     pub offered: u64,
-    /// Requests done once, whole and in time.
+    /// Number of requests that were done once, completely and in time.
     pub good: u64,
-    /// Requests that were told they were not run.
+    /// Number of requests that were reported as not run.
     pub refused: u64,
-    /// All others: late, broken or unknown.
+    /// Number of all other requests: late, broken or with an unknown outcome.
     pub lost: u64,
-    /// Time to a good answer, in microseconds.
+    /// Time to a good response, in microseconds.
     pub good_us: Histogram<u64>,
     /// Time to a refusal, in microseconds.
     pub refused_us: Histogram<u64>,
@@ -95,7 +96,7 @@
 }
 
 impl Tally {
-    fn count(&mut self, outcome: &Outcome, took: Duration) {
+    fn record(&mut self, outcome: &Outcome, took: Duration) {
         let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
         match outcome {
             Outcome::Good => {
@@ -111,23 +112,24 @@
     }
 }
 
-/// Where requests are sent.
+/// The processes that requests are sent to.
 #[derive(Clone, Debug)]
 pub enum Destination {
-    /// To entries, one after the other.
+    /// Entries, one of which is picked at random for each request.
     Entries(Vec<SocketAddr>),
-    /// To a random worker, first in, first out, with as many at once as there are slots.
+    /// Workers directly: requests queue first in, first out, for as many slots as there are, and
+    /// each goes to a random worker.
     Baseline {
-        /// The workers.
+        /// Addresses of the workers.
         workers: Vec<SocketAddr>,
-        /// Slots of all of them.
+        /// Total number of slots of all workers.
         slots: usize,
     },
 }
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// Offers requests of each kind for `time` and returns a tally for each.
+/// Offers requests of each kind for `time` and returns a tally for each kind.
 pub async fn offer(
     destination: Destination,
     kinds: &[RequestKind],
@@ -139,29 +141,29 @@
     let http: Http = Client::builder(TokioExecutor::new()).build(connector);
     let tallies: Arc<Vec<Mutex<Tally>>> =
         Arc::new(kinds.iter().map(|_| Mutex::default()).collect());
-    let line = Arc::new(Line::new(&destination));
+    let queue = Arc::new(FifoQueue::new(&destination));
     let mut requests = JoinSet::new();
     let mut rng = SmallRng::seed_from_u64(seed);
-    let began = Instant::now();
+    let started_at = Instant::now();
     for (at, kind) in schedule(kinds, time, &mut rng) {
-        sleep_until((began + at).into()).await;
-        let (http, destination, line) = (http.clone(), destination.clone(), Arc::clone(&line));
-        let (tallies, ask) = (Arc::clone(&tallies), kinds[kind].clone());
-        let (run, pick) = (ask.draw_run(&mut rng), rng.random::<u64>());
+        sleep_until((started_at + at).into()).await;
+        let (http, destination, queue) = (http.clone(), destination.clone(), Arc::clone(&queue));
+        let (tallies, chosen) = (Arc::clone(&tallies), kinds[kind].clone());
+        let (run, random) = (chosen.draw_run(&mut rng), rng.random::<u64>());
         requests.spawn(async move {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let outcome = match destination {
                 Destination::Entries(entries) => {
-                    let entry = entries[pick as usize % entries.len()];
-                    through_entry(&http, entry, &ask, run).await
+                    let entry = entries[random as usize % entries.len()];
+                    send_to_entry(&http, entry, &chosen, run).await
                 }
                 Destination::Baseline { workers, .. } => {
-                    line.through(&http, &workers, &ask, run, pick).await
+                    queue.send(&http, &workers, &chosen, run, random).await
                 }
             };
             let mut tally = tallies[kind].lock().expect("no holder panics");
             tally.offered += 1;
-            tally.count(&outcome, began.elapsed());
+            tally.record(&outcome, started_at.elapsed());
         });
     }
     requests.join_all().await;
@@ -171,7 +173,8 @@
         .collect()
 }
 
-/// Arrivals of all kinds in order, each kind a Poisson process.
+/// Returns the arrival times of all kinds in order; the arrivals of each kind are a Poisson
+/// process.
 fn schedule(kinds: &[RequestKind], time: Duration, rng: &mut SmallRng) -> Vec<(Duration, usize)> {
     let mut arrivals = Vec::new();
     for (index, kind) in kinds.iter().enumerate() {
@@ -188,17 +191,17 @@
     arrivals
 }
 
-async fn through_entry(http: &Http, entry: SocketAddr, kind: &RequestKind, run: u64) -> Outcome {
+async fn send_to_entry(http: &Http, entry: SocketAddr, kind: &RequestKind, run: u64) -> Outcome {
     let deadline = now_ms() + kind.patience.as_millis() as u64;
     let request = Request::post(format!("http://{entry}/v1/{}", kind.service))
         .header("havenladder-deadline", deadline.to_string())
         .body(Full::from(format!("run={run}")))
         .expect("a well-formed request");
-    let Ok(answer) = http.request(request).await else {
+    let Ok(response) = http.request(request).await else {
         return Outcome::Lost;
     };
-    let outcome = answer.headers().get("havenladder-outcome").cloned();
-    if answer.into_body().collect().await.is_err() {
+    let outcome = response.headers().get("havenladder-outcome").cloned();
+    if response.into_body().collect().await.is_err() {
         return Outcome::Lost;
     }
     match outcome.as_ref().map(|outcome| outcome.as_bytes()) {
@@ -208,34 +211,38 @@
     }
 }
 
-/// The baseline's queue: whoever came first goes next, to a random worker.
-struct Line {
-    turn: Semaphore,
+/// The queue of the baseline: the request that has waited longest gets the next free slot.
+struct FifoQueue {
+    permits: Semaphore,
 }
 
-impl Line {
+impl FifoQueue {
     fn new(destination: &Destination) -> Self {
         let slots = match destination {
             Destination::Entries(_) => 1,
             Destination::Baseline { slots, .. } => *slots,
         };
         Self {
-            turn: Semaphore::new(slots),
+            permits: Semaphore::new(slots),
         }
     }
 
-    async fn through(
+    async fn send(
         &self,
         http: &Http,
         workers: &[SocketAddr],
         kind: &RequestKind,
         run: u64,
-        pick: u64,
+        random: u64,
     ) -> Outcome {
         let deadline = Instant::now() + kind.patience;
-        // The semaphore of this runtime is fair: first in, first out.
-        let _turn = self.turn.acquire().await.expect("it is never closed");
-        let mut rng = SmallRng::seed_from_u64(pick);
+        // Tokio's semaphore is fair: it grants permits first in, first out.
+        let _permit = self
+            .permits
+            .acquire()
+            .await
+            .expect("the semaphore is never closed");
+        let mut rng = SmallRng::seed_from_u64(random);
         loop {
             let worker = workers[rng.random_range(0..workers.len())];
             match send_to_worker(http, worker, kind, run).await {
@@ -248,7 +255,8 @@
     }
 }
 
-/// Sends a task straight to a worker: done, refused, or broken.
+/// Sends a task directly to a worker. Returns true if it was done, false if the worker refused it,
+/// and `None` if the exchange failed.
 pub async fn send_to_worker(
     http: &Http,
     worker: SocketAddr,
@@ -263,10 +271,10 @@
         .header(HEADER_LEASE, lease.to_string())
         .body(Full::from(format!("run={run}")))
         .expect("a well-formed request");
-    let answer = http.request(request).await.ok()?;
-    let refused = answer.headers().contains_key(HEADER_REFUSED);
-    let status = answer.status();
-    answer.into_body().collect().await.ok()?;
+    let response = http.request(request).await.ok()?;
+    let refused = response.headers().contains_key(HEADER_REFUSED);
+    let status = response.status();
+    response.into_body().collect().await.ok()?;
     if refused {
         return Some(false);
     }
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -6,52 +6,54 @@
     time::{Duration, Instant, SystemTime},
 };
 
-/// Records that one read returns at the most.
-const MOST_RECORDS: usize = 1_000;
+/// Maximum number of records that one read returns.
+const MAX_RECORDS: usize = 1_000;
 
-/// Bytes after which a read ends.
-const MOST_BYTES: usize = 4 << 20;
+/// Size after which a read returns no further records.
+const MAX_BYTES: usize = 4 << 20;
 
-/// One stream.
+/// One stream of records.
 #[derive(Debug, Default)]
 struct Stream {
     oldest: Offset,
     records: VecDeque<LogRecord>,
 }
 
-/// All streams, kept for a limited time and written at a limited rate.
+/// All streams of the log. Records expire after a retention time, and the rate of appends is
+/// limited.
 #[derive(Debug)]
 pub struct Streams {
     streams: HashMap<String, Stream>,
-    keep: Duration,
-    gap: Duration,
-    free: Instant,
-    /// Appends that were taken.
+    retention: Duration,
+    append_interval: Duration,
+    next_append: Instant,
+    /// Number of appends that were accepted.
     pub appends: u64,
 }
 
 impl Streams {
-    /// Makes an empty log that keeps records for `keep` and takes `rate` appends a second.
-    pub fn new(keep: Duration, rate: u32) -> Self {
+    /// Creates an empty log that keeps records for `retention` and accepts `rate` appends per
+    /// second.
+    pub fn new(retention: Duration, rate: u32) -> Self {
         Self {
             streams: HashMap::new(),
-            keep,
-            gap: Duration::from_secs(1) / rate.max(1),
-            free: Instant::now(),
+            retention,
+            append_interval: Duration::from_secs(1) / rate.max(1),
+            next_append: Instant::now(),
             appends: 0,
         }
     }
 
-    /// Books a place for one append and returns when its turn is.
-    pub fn turn(&mut self) -> Instant {
-        self.free = self.free.max(Instant::now()) + self.gap;
-        self.free
+    /// Reserves the next time slot for an append and returns when the append may proceed.
+    pub fn reserve_append(&mut self) -> Instant {
+        self.next_append = self.next_append.max(Instant::now()) + self.append_interval;
+        self.next_append
     }
 
     /// Appends a record and returns its offset.
     pub fn append(&mut self, name: &str, data: Vec<u8>) -> Offset {
         self.appends += 1;
-        let keep = self.keep;
+        let retention = self.retention;
         let stream = self.streams.entry(name.to_owned()).or_default();
         let now = SystemTime::now();
         let last = stream.records.back().map_or(now, |record| record.at);
@@ -61,24 +63,24 @@
             at: now.max(last),
             data,
         });
-        stream.forget(now, keep);
+        stream.expire(now, retention);
         offset
     }
 
-    /// Reads records from `from` on.
+    /// Reads records from the offset `from` on.
     pub fn read(&mut self, name: &str, from: Offset) -> LogSlice {
-        let keep = self.keep;
+        let retention = self.retention;
         let stream = self.streams.entry(name.to_owned()).or_default();
-        stream.forget(SystemTime::now(), keep);
+        stream.expire(SystemTime::now(), retention);
         let skip = usize::try_from(from.saturating_sub(stream.oldest)).unwrap_or(usize::MAX);
         let mut bytes = 0;
         let records = stream
             .records
             .iter()
             .skip(skip)
-            .take(MOST_RECORDS)
+            .take(MAX_RECORDS)
             .take_while(|record| {
-                let fits = bytes < MOST_BYTES;
+                let fits = bytes < MAX_BYTES;
                 bytes += record.data.len();
                 fits
             })
@@ -91,11 +93,11 @@
         }
     }
 
-    /// Returns the first offset that was taken at `at` or later.
+    /// Returns the offset of the first record that was appended at `at` or later.
     pub fn offset_at(&mut self, name: &str, at: SystemTime) -> Offset {
         let stream = self.streams.entry(name.to_owned()).or_default();
-        let before = stream.records.partition_point(|record| record.at < at);
-        stream.oldest + before as Offset
+        let index = stream.records.partition_point(|record| record.at < at);
+        stream.oldest + index as Offset
     }
 }
 
@@ -104,9 +106,9 @@
         self.oldest + self.records.len() as Offset
     }
 
-    fn forget(&mut self, now: SystemTime, keep: Duration) {
+    fn expire(&mut self, now: SystemTime, retention: Duration) {
         while let Some(first) = self.records.front() {
-            if now.duration_since(first.at).unwrap_or_default() <= keep {
+            if now.duration_since(first.at).unwrap_or_default() <= retention {
                 return;
             }
             self.records.pop_front();
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as a program: `standin platform`.
+//! Command line of the stand-ins: `standin platform`.
 
 use clap::{Parser, Subcommand};
 use havenladder_standin::platform::{self, Plan};
@@ -20,37 +20,37 @@
 
 #[derive(clap::Args)]
 struct PlatformArgs {
-    /// Address to listen on; port 0 takes a free one, which is printed.
+    /// Address to listen on; port 0 picks a free port, which is printed.
     #[arg(long, default_value = "127.0.0.1:7000")]
     listen: SocketAddr,
-    /// A hall and its number of VMs, as `hall-1=6`.
+    /// Data centre and its number of VMs, as `hall-1=6`.
     #[arg(long = "hall", value_parser = hall)]
     halls: Vec<(String, u32)>,
-    /// VMs to a rack.
+    /// Number of VMs per rack.
     #[arg(long, default_value_t = 4)]
     rack: u32,
     /// Slots of each worker.
     #[arg(long, default_value_t = 8)]
     slots: u32,
-    /// Time of a reboot, in milliseconds.
+    /// Duration of a reboot, in milliseconds.
     #[arg(long, default_value_t = 1_000)]
     reboot_ms: u64,
-    /// How far the list of VMs lags, in milliseconds.
+    /// Delay with which the list of VMs is updated, in milliseconds.
     #[arg(long, default_value_t = 500)]
     lag_ms: u64,
-    /// Time for which the log keeps records, in milliseconds.
+    /// Retention time of the log's records, in milliseconds.
     #[arg(long, default_value_t = 3_600_000)]
     keep_ms: u64,
-    /// Appends that the log takes in a second.
+    /// Maximum number of appends to the log per second.
     #[arg(long, default_value_t = 300)]
     rate: u32,
 }
 
 fn hall(text: &str) -> Result<(String, u32), String> {
-    let (name, count) = text.split_once('=').ok_or("must be <hall>=<VMs>")?;
+    let (name, count) = text.split_once('=').ok_or("must be <data centre>=<VMs>")?;
     let count = count
         .parse()
-        .map_err(|_| "the number of VMs is no number")?;
+        .map_err(|_| "the number of VMs is not a number")?;
     Ok((name.to_owned(), count))
 }
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,10 +1,10 @@
-//! The stand-in's platform: log, list of VMs, calls, faults and the ledger, over HTTP.
+//! The stand-in's platform over HTTP: log, list of VMs, calls about VMs, faults and the ledger.
 
 use crate::{
     http::{HandlerResponse, HttpRequest, build_response, json, serve},
     ledger::{Ledger, RunEnd, VmEventKind, now_ms},
     log::Streams,
-    vm::{Effect, Machine},
+    vm::{Effect, SimulatedVm},
     worker,
 };
 use platform::{Appended, VmCall, VmInfo, VmLifecycle};
@@ -22,41 +22,41 @@
     time::{sleep, sleep_until},
 };
 
-/// What the platform is made of.
+/// Settings of the platform.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Halls by name, with the number of VMs in each.
+    /// Names of the data centres, with the number of VMs in each.
     pub halls: Vec<(String, u32)>,
-    /// VMs to a rack.
+    /// Number of VMs per rack.
     pub rack: u32,
     /// Slots of each worker.
     pub slots: u32,
-    /// Time of a reboot.
+    /// Duration of a reboot.
     pub reboot: Duration,
-    /// How far the list of VMs lags.
+    /// Delay with which the list of VMs is updated.
     pub lag: Duration,
-    /// Time for which the log keeps records.
+    /// Retention time of the log's records.
     pub keep: Duration,
-    /// Appends that the log takes in a second.
+    /// Maximum number of appends to the log per second.
     pub rate: u32,
 }
 
-/// Everything the platform knows.
+/// The state of the platform.
 pub struct State {
-    /// The VMs.
-    pub machines: BTreeMap<String, Machine>,
-    /// What really happened.
+    /// VMs by their ids.
+    pub vms: BTreeMap<String, SimulatedVm>,
+    /// Runs of tasks and events of VMs so far.
     pub ledger: Ledger,
     streams: Streams,
-    list: Vec<VmInfo>,
-    down: Option<Instant>,
-    lose: u64,
-    /// A fault that strikes a time after the next reboot has begun.
-    trap: Option<(Duration, String, HttpRequest)>,
+    listed: Vec<VmInfo>,
+    down_until: Option<Instant>,
+    responses_to_lose: u64,
+    /// A fault that is injected into a rack at a given time after the next reboot begins.
+    pending_fault: Option<(Duration, String, HttpRequest)>,
     plan: Plan,
 }
 
-/// The state, shared between connections.
+/// A handle to the state that connections share.
 #[derive(Clone)]
 pub struct Shared {
     state: Arc<Mutex<State>>,
@@ -69,32 +69,32 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Ends a task, if it still runs.
-    pub fn end(&self, vm: &str, attempt: &str, end: RunEnd) {
+    /// Records the end of a task if it still runs.
+    pub fn end(&self, id: &str, attempt: &str, end: RunEnd) {
         let mut state = self.lock();
         let state = &mut *state;
-        let Some(machine) = state.machines.get_mut(vm) else {
+        let Some(vm) = state.vms.get_mut(id) else {
             return;
         };
-        if let Some(place) = machine.running.remove(attempt) {
-            machine.info.running -= 1;
-            state.ledger.runs[place].end = Some(end);
-            state.ledger.runs[place].ended = Some(now_ms());
+        if let Some(index) = vm.running.remove(attempt) {
+            vm.info.running -= 1;
+            state.ledger.runs[index].end = Some(end);
+            state.ledger.runs[index].ended = Some(now_ms());
         }
     }
 }
 
-/// Starts the platform and its workers; serves until the process ends.
+/// Starts the platform and its workers, and serves requests until the process ends.
 pub async fn run(plan: Plan, listener: TcpListener) {
     let shared = Shared {
         state: Arc::new(Mutex::new(State {
-            machines: BTreeMap::new(),
+            vms: BTreeMap::new(),
             ledger: Ledger::default(),
             streams: Streams::new(plan.keep, plan.rate),
-            list: Vec::new(),
-            down: None,
-            lose: 0,
-            trap: None,
+            listed: Vec::new(),
+            down_until: None,
+            responses_to_lose: 0,
+            pending_fault: None,
             plan: plan.clone(),
         })),
         appended: Arc::default(),
@@ -110,9 +110,7 @@
     tokio::spawn(refresh(shared.clone(), plan.lag));
     while let Ok((stream, _)) = listener.accept().await {
         let shared = shared.clone();
-        tokio::spawn(serve(stream, move |request| {
-            handle(shared.clone(), request)
-        }));
+        tokio::spawn(serve(stream, move |req| handle(shared.clone(), req)));
     }
 }
 
@@ -122,7 +120,7 @@
     let addr = listener
         .local_addr()
         .expect("a bound listener has an address");
-    let machine = Machine::new(VmInfo {
+    let vm = SimulatedVm::new(VmInfo {
         id: id.clone(),
         hall: hall.to_owned(),
         rack,
@@ -136,21 +134,17 @@
         pool: String::new(),
         token: 0,
     });
-    let power = machine.power.subscribe();
-    shared.lock().machines.insert(id.clone(), machine);
+    let power = vm.power.subscribe();
+    shared.lock().vms.insert(id.clone(), vm);
     tokio::spawn(worker::run(shared.clone(), id, listener, power));
 }
 
-/// Renews the list of VMs, which lags by `lag`.
+/// Updates the list of VMs every `lag`, so that it lags behind by up to that time.
 async fn refresh(shared: Shared, lag: Duration) {
     loop {
         {
             let mut state = shared.lock();
-            state.list = state
-                .machines
-                .values()
-                .map(|machine| machine.info.clone())
-                .collect();
+            state.listed = state.vms.values().map(|vm| vm.info.clone()).collect();
         }
         sleep(lag.max(Duration::from_millis(1))).await;
     }
@@ -159,8 +153,8 @@
 async fn handle(shared: Shared, request: HttpRequest) -> HandlerResponse {
     let parts: Vec<&str> = request.path.trim_matches('/').split('/').collect();
     if parts[0] != "fault" && parts[0] != "ledger" {
-        let down = shared.lock().down;
-        if down.is_some_and(|until| Instant::now() < until) {
+        let down_until = shared.lock().down_until;
+        if down_until.is_some_and(|until| Instant::now() < until) {
             return None;
         }
     }
@@ -173,11 +167,11 @@
             Some(json(&Appended { offset }))
         }
         ("GET", ["vms"]) => list(&shared, &request),
-        ("GET", ["vms", vm]) => match shared.lock().machines.get(*vm) {
-            Some(machine) => Some(json(&machine.info)),
+        ("GET", ["vms", id]) => match shared.lock().vms.get(*id) {
+            Some(vm) => Some(json(&vm.info)),
             None => Some(build_response(404, "text/plain", "no such VM")),
         },
-        ("POST", ["vms", vm]) => vm_call(&shared, vm, &request),
+        ("POST", ["vms", id]) => vm_call(&shared, id, &request),
         ("GET", ["ledger", "appends"]) => Some(json(&shared.lock().streams.appends)),
         ("GET", ["ledger"]) => Some(json(&shared.lock().ledger)),
         ("POST", ["fault", rest @ ..]) => fault(&shared, rest, &request).await,
@@ -185,13 +179,13 @@
     }
 }
 
-/// The list of VMs, of one hall or all, unless the caller's copy is still right. Counts of
-/// running tasks alone do not make a new list.
+/// Returns the list of VMs of one data centre or of all, or "not modified" if the caller's copy is
+/// current. A change in the number of running tasks alone doesn't change the list's tag.
 fn list(shared: &Shared, request: &HttpRequest) -> HandlerResponse {
     let hall = request.query.get("hall");
     let state = shared.lock();
     let in_hall = |vm: &&VmInfo| hall.is_none_or(|hall| vm.hall == *hall);
-    let vms: Vec<VmInfo> = state.list.iter().filter(in_hall).cloned().collect();
+    let vms: Vec<VmInfo> = state.listed.iter().filter(in_hall).cloned().collect();
     let mut hasher = DefaultHasher::new();
     for vm in &vms {
         format!(
@@ -213,11 +207,11 @@
 }
 
 async fn append(shared: &Shared, stream: &str, request: &HttpRequest) -> HandlerResponse {
-    let turn = shared.lock().streams.turn();
-    sleep_until(turn.into()).await;
+    let append_at = shared.lock().streams.reserve_append();
+    sleep_until(append_at.into()).await;
     let offset = shared.lock().streams.append(stream, request.body.to_vec());
     shared.appended.notify_waiters();
-    or_lost(shared, json(&Appended { offset }))
+    respond_unless_lost(shared, json(&Appended { offset }))
 }
 
 async fn read(shared: &Shared, stream: &str, request: &HttpRequest) -> HandlerResponse {
@@ -239,33 +233,34 @@
     }
 }
 
-/// Gives the answer, or loses it although the call has taken effect.
-fn or_lost(
+/// Returns the response, or drops it if responses are to be lost; the call has taken effect either
+/// way.
+fn respond_unless_lost(
     shared: &Shared,
     response: hyper::Response<http_body_util::Full<bytes::Bytes>>,
 ) -> HandlerResponse {
     let mut state = shared.lock();
-    if state.lose > 0 {
-        state.lose -= 1;
+    if state.responses_to_lose > 0 {
+        state.responses_to_lose -= 1;
         return None;
     }
     Some(response)
 }
 
-fn vm_call(shared: &Shared, vm: &str, request: &HttpRequest) -> HandlerResponse {
+fn vm_call(shared: &Shared, id: &str, request: &HttpRequest) -> HandlerResponse {
     let Ok(wanted) = serde_json::from_slice::<VmCall>(&request.body) else {
         return Some(build_response(400, "text/plain", "not a call"));
     };
     let (effect, failures) = {
         let mut state = shared.lock();
         let state = &mut *state;
-        let Some(machine) = state.machines.get_mut(vm) else {
+        let Some(vm) = state.vms.get_mut(id) else {
             return Some(build_response(404, "text/plain", "no such VM"));
         };
-        let effect = machine.call(&wanted, &mut state.ledger, state.plan.reboot);
-        let failures = machine.failures;
+        let effect = vm.call(&wanted, &mut state.ledger, state.plan.reboot);
+        let failures = vm.failures;
         if matches!(effect, Effect::Removed) {
-            state.machines.remove(vm);
+            state.vms.remove(id);
         }
         (effect, failures)
     };
@@ -273,31 +268,32 @@
         Effect::Done | Effect::Removed => {}
         Effect::Stale => return Some(build_response(409, "text/plain", "stale")),
         Effect::BackAfter(time) => {
-            spring_trap(shared);
-            back_after(shared, vm, time, VmEventKind::Back, failures);
+            inject_pending_fault(shared);
+            back_after(shared, id, time, VmEventKind::Back, failures);
         }
     }
-    or_lost(shared, build_response(200, "application/json", "{}"))
+    respond_unless_lost(shared, build_response(200, "application/json", "{}"))
 }
 
-/// Brings a VM back after a time, unless it has failed once more than so often meanwhile.
-fn back_after(shared: &Shared, vm: &str, time: Duration, kind: VmEventKind, failures: u32) {
-    let (shared, vm) = (shared.clone(), vm.to_owned());
+/// Brings a VM back after `time`, unless it has failed again meanwhile: `failures` is the number of
+/// its failures so far.
+fn back_after(shared: &Shared, id: &str, time: Duration, kind: VmEventKind, failures: u32) {
+    let (shared, id) = (shared.clone(), id.to_owned());
     tokio::spawn(async move {
         sleep(time).await;
         let mut state = shared.lock();
         let state = &mut *state;
-        if let Some(machine) = state.machines.get_mut(&vm)
-            && machine.failures == failures
+        if let Some(vm) = state.vms.get_mut(&id)
+            && vm.failures == failures
         {
-            machine.restore(&mut state.ledger, kind);
+            vm.restore(&mut state.ledger, kind);
         }
     });
 }
 
-/// A reboot has begun: the fault that waits for one strikes after its time.
-fn spring_trap(shared: &Shared) {
-    let Some((delay, rack, request)) = shared.lock().trap.take() else {
+/// Injects the pending fault, if there is one, after its delay. Called when a reboot begins.
+fn inject_pending_fault(shared: &Shared) {
+    let Some((delay, rack, request)) = shared.lock().pending_fault.take() else {
         return;
     };
     let shared = shared.clone();
@@ -307,30 +303,33 @@
     });
 }
 
-/// Injects a fault: `log?down_ms=`, `lose?n=`, `vm/<id>?down_ms=|slow=|failing=|leaving=`,
-/// `rack/<id>?down_ms=`, with `&after_reboot_ms=` so long after the next reboot has begun, `add/<hall>/<rack>/<id>`, `via/<vm>/<address>`.
+/// Injects the fault that the path names: `log?down_ms=` (an outage of the platform), `lose?n=`
+/// (the next `n` responses are lost), `vm/<id>?down_ms=|slow=|failing=|leaving=`,
+/// `rack/<id>?down_ms=` (with `&after_reboot_ms=`: only that long after the next reboot has begun),
+/// `add/<hall>/<rack>/<id>` (a new VM) and `via/<vm>/<address>` (another address of the VM's
+/// worker).
 async fn fault(shared: &Shared, path: &[&str], request: &HttpRequest) -> HandlerResponse {
     match path {
         ["log"] => {
             let time = Duration::from_millis(request.query_number("down_ms")?);
-            shared.lock().down = Some(Instant::now() + time);
+            shared.lock().down_until = Some(Instant::now() + time);
         }
-        ["lose"] => shared.lock().lose = request.query_number("n")?,
+        ["lose"] => shared.lock().responses_to_lose = request.query_number("n")?,
         ["rack", rack] => match request.query_number("after_reboot_ms") {
             Some(ms) => {
                 let delay = Duration::from_millis(ms);
-                shared.lock().trap = Some((delay, (*rack).to_owned(), request.clone()));
+                shared.lock().pending_fault = Some((delay, (*rack).to_owned(), request.clone()));
             }
             None => fault_rack(shared, rack, request),
         },
-        ["vm", vm] => fault_vm(shared, vm, request),
-        ["via", vm, addr] => {
-            if let Some(machine) = shared.lock().machines.get_mut(*vm) {
-                (*addr).clone_into(&mut machine.info.addr);
+        ["vm", id] => fault_vm(shared, id, request),
+        ["via", id, addr] => {
+            if let Some(vm) = shared.lock().vms.get_mut(*id) {
+                (*addr).clone_into(&mut vm.info.addr);
             }
         }
-        ["add", hall, rack, vm] => {
-            add(shared, (*vm).to_owned(), hall, (*rack).to_owned()).await;
+        ["add", hall, rack, id] => {
+            add(shared, (*id).to_owned(), hall, (*rack).to_owned()).await;
         }
         _ => return Some(build_response(404, "text/plain", "no such fault")),
     }
@@ -339,39 +338,39 @@
 
 /// Injects a fault into all VMs of a rack.
 fn fault_rack(shared: &Shared, rack: &str, request: &HttpRequest) {
-    let vms: Vec<String> = shared
+    let ids: Vec<String> = shared
         .lock()
-        .machines
+        .vms
         .values()
-        .filter(|machine| machine.info.rack == rack)
-        .map(|machine| machine.info.id.clone())
+        .filter(|vm| vm.info.rack == rack)
+        .map(|vm| vm.info.id.clone())
         .collect();
-    for vm in vms {
-        fault_vm(shared, &vm, request);
+    for id in ids {
+        fault_vm(shared, &id, request);
     }
 }
 
-fn fault_vm(shared: &Shared, vm: &str, request: &HttpRequest) {
+fn fault_vm(shared: &Shared, id: &str, request: &HttpRequest) {
     let mut state = shared.lock();
     let state = &mut *state;
-    let Some(machine) = state.machines.get_mut(vm) else {
+    let Some(vm) = state.vms.get_mut(id) else {
         return;
     };
     if let Some(slow) = request.query_number("slow") {
-        machine.slowness = u32::try_from(slow).unwrap_or(u32::MAX);
+        vm.reboot_factor = u32::try_from(slow).unwrap_or(u32::MAX);
     }
     if let Some(failing) = request.query_number("failing") {
-        machine.failing = failing > 0;
+        vm.failing = failing > 0;
     }
     if request.query.contains_key("leaving") {
-        machine.info.state = VmLifecycle::Leaving;
+        vm.info.state = VmLifecycle::Leaving;
     }
     if let Some(time) = request.query_number("down_ms") {
-        machine.fail(&mut state.ledger);
-        let failures = machine.failures;
+        vm.fail(&mut state.ledger);
+        let failures = vm.failures;
         back_after(
             shared,
-            vm,
+            id,
             Duration::from_millis(time),
             VmEventKind::Restore,
             failures,
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -17,19 +17,19 @@
     time::sleep,
 };
 
-/// Bytes that are passed on at once.
-const BUFFER: usize = 16 << 10;
+/// Size of the buffer in which each direction of a connection is forwarded.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// Time between two looks at the faults while bytes are held back.
-const ROUND: Duration = Duration::from_millis(5);
+/// Time between two checks of the faults while bytes are held back.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Faults that can be switched while connections are open.
+/// Faults that can be switched on and off while connections are open.
 #[derive(Debug, Default)]
 pub struct Faults {
     cut: AtomicBool,
     delay_ms: AtomicU64,
-    lose: AtomicU64,
-    short: AtomicU64,
+    lost_responses: AtomicU64,
+    truncated_responses: AtomicU64,
     duplicate: AtomicBool,
     stalled_requests: AtomicBool,
     stalled_responses: AtomicBool,
@@ -39,66 +39,69 @@
 }
 
 impl Faults {
-    /// Cuts the link, or mends it: open connections break and new ones are closed at once.
+    /// Cuts the link, or restores it. While it is cut, open connections break and new ones are
+    /// closed immediately.
     pub fn cut(&self, cut: bool) {
         self.cut.store(cut, Relaxed);
     }
 
-    /// Delays everything by this time.
+    /// Delays every chunk of bytes by `delay`, in both directions.
     pub fn delay(&self, delay: Duration) {
         let millis = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
         self.delay_ms.store(millis, Relaxed);
     }
 
-    /// Breaks the connection in place of the next `n` answers, after the requests went through.
+    /// Breaks the connection instead of forwarding the next `n` responses; their requests were
+    /// forwarded.
     pub fn lose_responses(&self, n: u64) {
-        self.lose.store(n, Relaxed);
+        self.lost_responses.store(n, Relaxed);
     }
 
-    /// Breaks the connection in the middle of the next `n` answers.
+    /// Breaks the connection in the middle of each of the next `n` responses.
     pub fn truncate_responses(&self, n: u64) {
-        self.short.store(n, Relaxed);
+        self.truncated_responses.store(n, Relaxed);
     }
 
-    /// Sends every request twice, or no longer does.
+    /// Switches the sending of every request to a second connection as well.
     pub fn duplicate(&self, duplicate: bool) {
         self.duplicate.store(duplicate, Relaxed);
     }
 
-    /// Holds back all requests, all answers, or both, and lets them go again: connections stay open.
+    /// Holds back requests, responses or both, or releases them. Connections stay open.
     pub fn stall(&self, requests: bool, responses: bool) {
         self.stalled_requests.store(requests, Relaxed);
         self.stalled_responses.store(responses, Relaxed);
     }
 
-    /// Connections that are open now give no more answers, and stay open; new ones work.
+    /// Drops all further responses on the connections that are open now, which stay open. New
+    /// connections work.
     pub fn silence_connections(&self) {
         self.silenced.store(self.connections(), Relaxed);
     }
 
-    /// Connections that were taken.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> u64 {
         self.connections.load(Relaxed)
     }
 
-    /// Bytes that went through, both ways.
+    /// Returns the number of bytes read so far, in both directions.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Relaxed)
     }
 
-    /// Takes one of the counted faults, if one is left.
-    fn take(counter: &AtomicU64) -> bool {
-        let taken = counter.fetch_update(Relaxed, Relaxed, |left| left.checked_sub(1));
-        taken.is_ok()
+    /// Uses up one of the counted faults; returns false if none is left.
+    fn use_up(counter: &AtomicU64) -> bool {
+        let result = counter.fetch_update(Relaxed, Relaxed, |left| left.checked_sub(1));
+        result.is_ok()
     }
 }
 
 /// A proxy in front of one address.
 #[derive(Clone, Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub addr: SocketAddr,
-    /// Its faults.
+    /// Faults that the proxy injects.
     pub faults: Arc<Faults>,
 }
 
@@ -116,14 +119,24 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let number = shared.connections.fetch_add(1, Relaxed);
-                tokio::spawn(connection(stream, target, Arc::clone(&shared), number));
+                tokio::spawn(forward_connection(
+                    stream,
+                    target,
+                    Arc::clone(&shared),
+                    number,
+                ));
             }
         });
         Ok(Self { addr, faults })
     }
 }
 
-async fn connection(caller: TcpStream, target: SocketAddr, faults: Arc<Faults>, number: u64) {
+async fn forward_connection(
+    caller: TcpStream,
+    target: SocketAddr,
+    faults: Arc<Faults>,
+    number: u64,
+) {
     if faults.cut.load(Relaxed) {
         return;
     }
@@ -131,40 +144,40 @@
         return;
     };
     let _ = (caller.set_nodelay(true), callee.set_nodelay(true));
-    let second = if faults.duplicate.load(Relaxed) {
+    let duplicate_connection = if faults.duplicate.load(Relaxed) {
         TcpStream::connect(target).await.ok()
     } else {
         None
     };
     let (from_caller, to_caller) = caller.into_split();
     let (from_callee, to_callee) = callee.into_split();
-    // A connection ends as a whole as soon as one direction does or the link is cut.
+    // Both directions end as soon as one of them ends or the link is cut.
     tokio::select! {
-        () = requests(from_caller, to_callee, second, &faults) => {}
-        () = responses(from_callee, to_caller, &faults, number) => {}
+        () = forward_requests(from_caller, to_callee, duplicate_connection, &faults) => {}
+        () = forward_responses(from_callee, to_caller, &faults, number) => {}
         () = until_cut(&faults) => {}
     }
 }
 
 async fn until_cut(faults: &Faults) {
     while !faults.cut.load(Relaxed) {
-        sleep(ROUND).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn requests(
+async fn forward_requests(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut second: Option<TcpStream>,
+    mut duplicate_connection: Option<TcpStream>,
     faults: &Faults,
 ) {
-    let mut buffer = vec![0; BUFFER];
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
         faults.bytes.fetch_add(read as u64, Relaxed);
         until_released(&faults.stalled_requests).await;
-        hold(faults).await;
-        if let Some(second) = &mut second {
-            let _ = second.write_all(&buffer[..read]).await;
+        wait_for_delay(faults).await;
+        if let Some(duplicate_connection) = &mut duplicate_connection {
+            let _ = duplicate_connection.write_all(&buffer[..read]).await;
         }
         if to.write_all(&buffer[..read]).await.is_err() {
             return;
@@ -172,19 +185,24 @@
     }
 }
 
-async fn responses(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, faults: &Faults, number: u64) {
-    let mut buffer = vec![0; BUFFER];
+async fn forward_responses(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    faults: &Faults,
+    number: u64,
+) {
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
         faults.bytes.fetch_add(read as u64, Relaxed);
         until_released(&faults.stalled_responses).await;
-        hold(faults).await;
+        wait_for_delay(faults).await;
         if number < faults.silenced.load(Relaxed) {
             continue;
         }
-        if Faults::take(&faults.lose) {
+        if Faults::use_up(&faults.lost_responses) {
             return;
         }
-        if Faults::take(&faults.short) {
+        if Faults::use_up(&faults.truncated_responses) {
             let _ = to.write_all(&buffer[..read - read.min(5)]).await;
             return;
         }
@@ -196,11 +214,11 @@
 
 async fn until_released(stalled: &AtomicBool) {
     while stalled.load(Relaxed) {
-        sleep(ROUND).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn hold(faults: &Faults) {
+async fn wait_for_delay(faults: &Faults) {
     let delay = faults.delay_ms.load(Relaxed);
     if delay > 0 {
         sleep(Duration::from_millis(delay)).await;
--- a/crates/standin/src/users/mod.rs
+++ b/crates/standin/src/users/mod.rs
@@ -33,9 +33,7 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let (shared, handle) = (shared.clone(), Arc::clone(&handle));
-            tokio::spawn(serve(stream, move |request| {
-                handle(shared.clone(), request)
-            }));
+            tokio::spawn(serve(stream, move |req| handle(shared.clone(), req)));
         }
     });
     Ok(addr)
--- a/crates/standin/src/vm.rs
+++ b/crates/standin/src/vm.rs
@@ -1,4 +1,4 @@
-//! The stand-in's VMs: what a call or a fault makes of one.
+//! The stand-in's VMs, and how calls and faults change them.
 
 use crate::ledger::{Ledger, RunEnd, VmEvent, VmEventKind, now_ms};
 use platform::{VmCall, VmInfo, VmLifecycle};
@@ -8,51 +8,51 @@
 };
 use tokio::sync::watch;
 
-/// One VM.
-pub struct Machine {
-    /// What the platform shows of it.
+/// A simulated VM.
+pub struct SimulatedVm {
+    /// Description of the VM as the platform publishes it.
     pub info: VmInfo,
-    /// Attempts that its worker has begun since it was made.
-    pub seen: HashSet<String>,
-    /// Places of its running tasks in the ledger.
+    /// Ids of all attempts that its worker has begun since the VM was created.
+    pub attempts: HashSet<String>,
+    /// Index in the ledger's runs of each running task, by the id of its attempt.
     pub running: HashMap<String, usize>,
-    /// How many times longer than others it takes to come back.
-    pub slowness: u32,
-    /// How often it has failed.
+    /// Factor by which its reboots take longer than those of other VMs.
+    pub reboot_factor: u32,
+    /// Number of its failures so far.
     pub failures: u32,
     /// Whether its worker fails every task.
     pub failing: bool,
-    /// Tells its worker whether it is up.
+    /// Channel that tells its worker whether the VM is up.
     pub power: watch::Sender<bool>,
 }
 
-/// What a call leads to.
+/// What the platform has to do after a call.
 pub enum Effect {
-    /// Nothing more.
+    /// The call needs nothing further.
     Done,
-    /// The VM is back after this time.
+    /// The VM comes back after this time.
     BackAfter(Duration),
-    /// The VM is no longer there.
+    /// The VM no longer exists.
     Removed,
-    /// The call was stale.
+    /// The call was refused because its token or boot count is stale.
     Stale,
 }
 
-impl Machine {
-    /// Makes a VM that is up.
+impl SimulatedVm {
+    /// Creates a VM that is up.
     pub fn new(info: VmInfo) -> Self {
         Self {
             info,
-            seen: HashSet::new(),
+            attempts: HashSet::new(),
             running: HashMap::new(),
-            slowness: 1,
+            reboot_factor: 1,
             failures: 0,
             failing: false,
             power: watch::Sender::new(true),
         }
     }
 
-    /// Carries out a call.
+    /// Carries out a call, or refuses it if its token or boot count is stale.
     pub fn call(&mut self, call: &VmCall, ledger: &mut Ledger, reboot: Duration) -> Effect {
         let token = match call {
             VmCall::Drain { token }
@@ -63,7 +63,7 @@
         };
         let stale_boot = matches!(call, VmCall::Reboot { boot, .. } if *boot != self.info.boot);
         if token < self.info.token || stale_boot {
-            self.note(ledger, VmEventKind::Stale);
+            self.record_event(ledger, VmEventKind::Stale);
             return Effect::Stale;
         }
         self.info.token = token;
@@ -73,36 +73,36 @@
             VmCall::Assign { pool, .. } => {
                 self.info.pool.clone_from(pool);
                 self.info.drained = false;
-                self.note(ledger, VmEventKind::Assign);
+                self.record_event(ledger, VmEventKind::Assign);
                 Effect::Done
             }
             VmCall::Release { .. } => {
                 self.power_off(ledger, RunEnd::CutByCall);
-                self.note(ledger, VmEventKind::Release);
+                self.record_event(ledger, VmEventKind::Release);
                 Effect::Removed
             }
             VmCall::Reboot { .. } if !self.info.up => Effect::Done,
             VmCall::Reboot { .. } => {
                 self.power_off(ledger, RunEnd::CutByCall);
-                self.note(ledger, VmEventKind::Reboot);
-                Effect::BackAfter(reboot * self.slowness)
+                self.record_event(ledger, VmEventKind::Reboot);
+                Effect::BackAfter(reboot * self.reboot_factor)
             }
         }
     }
 
-    /// Makes the VM fail; a reboot that is under way does not bring it back.
+    /// Makes the VM fail. A reboot in progress does not bring it back.
     pub fn fail(&mut self, ledger: &mut Ledger) {
         self.failures += 1;
         self.power_off(ledger, RunEnd::CutByFault);
-        self.note(ledger, VmEventKind::Fail);
+        self.record_event(ledger, VmEventKind::Fail);
     }
 
-    /// Brings the VM back, booted once more; a boot ends a drain.
+    /// Brings the VM back with a higher boot count; a boot also ends a drain.
     pub fn restore(&mut self, ledger: &mut Ledger, kind: VmEventKind) {
         self.info.up = true;
         self.info.boot += 1;
         self.info.state = VmLifecycle::Live;
-        self.note(ledger, kind);
+        self.record_event(ledger, kind);
         self.set_drained(ledger, false);
         self.power.send_replace(true);
     }
@@ -115,7 +115,7 @@
             } else {
                 VmEventKind::Undrain
             };
-            self.note(ledger, kind);
+            self.record_event(ledger, kind);
         }
         Effect::Done
     }
@@ -123,14 +123,14 @@
     fn power_off(&mut self, ledger: &mut Ledger, end: RunEnd) {
         self.info.up = false;
         self.info.running = 0;
-        for (_, place) in self.running.drain() {
-            ledger.runs[place].end = Some(end);
-            ledger.runs[place].ended = Some(now_ms());
+        for (_, index) in self.running.drain() {
+            ledger.runs[index].end = Some(end);
+            ledger.runs[index].ended = Some(now_ms());
         }
         self.power.send_replace(false);
     }
 
-    fn note(&self, ledger: &mut Ledger, kind: VmEventKind) {
+    fn record_event(&self, ledger: &mut Ledger, kind: VmEventKind) {
         ledger.events.push(VmEvent {
             at: now_ms(),
             vm: self.info.id.clone(),
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,7 +1,8 @@
-//! The stand-in's workers: each runs tasks as their bodies say.
+//! The stand-in's workers, which run tasks as the tasks' bodies demand.
 //!
-//! A body is words: `run=20` (milliseconds), `size=100` (bytes of the answer), `tag=x` (the
-//! caller's mark), `fail` (fail at the end), `short` (announce more than is sent).
+//! A body consists of words: `run=20` (run time in milliseconds), `size=100` (bytes of the
+//! response), `tag=x` (a tag of the caller), `fail` (fail at the end), `short` (announce a longer
+//! response than is sent).
 
 use crate::{
     http::{HandlerResponse, HttpRequest, build_response, json, serve},
@@ -19,9 +20,9 @@
     time::sleep,
 };
 
-/// What a body asks for.
+/// The demands of a task's body.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Ask {
+struct TaskSpec {
     run: u64,
     size: usize,
     tag: String,
@@ -29,27 +30,27 @@
     short: bool,
 }
 
-impl Ask {
-    fn read(body: &str) -> Self {
-        let mut ask = Self::default();
+impl TaskSpec {
+    fn parse(body: &str) -> Self {
+        let mut spec = Self::default();
         for word in body.split_whitespace() {
             match word.split_once('=') {
-                Some(("run", ms)) => ask.run = ms.parse().unwrap_or_default(),
-                Some(("size", size)) => ask.size = size.parse().unwrap_or_default(),
-                Some(("tag", tag)) => tag.clone_into(&mut ask.tag),
-                _ if word == "fail" => ask.fails = true,
-                _ if word == "short" => ask.short = true,
+                Some(("run", ms)) => spec.run = ms.parse().unwrap_or_default(),
+                Some(("size", size)) => spec.size = size.parse().unwrap_or_default(),
+                Some(("tag", tag)) => tag.clone_into(&mut spec.tag),
+                _ if word == "fail" => spec.fails = true,
+                _ if word == "short" => spec.short = true,
                 _ => {}
             }
         }
-        ask
+        spec
     }
 }
 
-/// Listens for one VM's worker, while the VM is up, until it is removed.
+/// Accepts connections to one VM's worker while the VM is up, until the VM is removed.
 pub async fn run(
     shared: Shared,
-    vm: String,
+    id: String,
     listener: TcpListener,
     mut power: watch::Receiver<bool>,
 ) {
@@ -75,7 +76,7 @@
         tokio::select! {
             accepted = open.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    tokio::spawn(connection(shared.clone(), vm.clone(), stream, power.clone()));
+                    tokio::spawn(serve_stream(shared.clone(), id.clone(), stream, power.clone()));
                 }
             }
             changed = power.changed() => {
@@ -87,146 +88,141 @@
     }
 }
 
-async fn connection(
+async fn serve_stream(
     shared: Shared,
-    vm: String,
+    id: String,
     stream: TcpStream,
     mut power: watch::Receiver<bool>,
 ) {
-    let handle = move |request| handle(shared.clone(), vm.clone(), request);
+    let handle = move |request| handle(shared.clone(), id.clone(), request);
     tokio::select! {
         () = serve(stream, handle) => {}
         _ = power.wait_for(|up| !up) => {}
     }
 }
 
-async fn handle(shared: Shared, vm: String, request: HttpRequest) -> HandlerResponse {
+async fn handle(shared: Shared, id: String, request: HttpRequest) -> HandlerResponse {
     if request.path == USAGE {
-        return usage(&shared, &vm);
+        return usage(&shared, &id);
     }
     let attempt = request.path.strip_prefix(TASKS)?.to_owned();
     match request.method.as_str() {
-        "POST" => task(shared, vm, attempt, request).await,
+        "POST" => run_task(shared, id, attempt, request).await,
         "DELETE" => {
-            stop(&shared, &vm, &attempt);
+            stop_task(&shared, &id, &attempt);
             Some(build_response(204, "text/plain", ""))
         }
         _ => Some(build_response(405, "text/plain", "")),
     }
 }
 
-fn usage(shared: &Shared, vm: &str) -> HandlerResponse {
+fn usage(shared: &Shared, id: &str) -> HandlerResponse {
     let state = shared.lock();
-    let machine = state.machines.get(vm)?;
+    let vm = state.vms.get(id)?;
     Some(json(&Usage {
-        running: machine.info.running,
-        draining: machine.info.drained,
-        boot: machine.info.boot,
+        running: vm.info.running,
+        draining: vm.info.drained,
+        boot: vm.info.boot,
     }))
 }
 
-async fn task(
+async fn run_task(
     shared: Shared,
-    vm: String,
+    id: String,
     attempt: String,
     request: HttpRequest,
 ) -> HandlerResponse {
-    let ask = Ask::read(&String::from_utf8_lossy(&request.body));
-    if let Err(why) = begin(&shared, &vm, &attempt, &request, &ask) {
-        let mut refusal = build_response(503, "text/plain", why);
+    let spec = TaskSpec::parse(&String::from_utf8_lossy(&request.body));
+    if let Err(reason) = begin_task(&shared, &id, &attempt, &request, &spec) {
+        let mut refusal = build_response(503, "text/plain", reason);
         refusal
             .headers_mut()
-            .insert(HEADER_REFUSED, why.parse().ok()?);
+            .insert(HEADER_REFUSED, reason.parse().ok()?);
         return Some(refusal);
     }
-    // A caller that goes away drops this future, and the guard then frees the slot.
-    let guard = Guard {
+    // A caller that disconnects drops this future, and dropping the guard frees the slot.
+    let guard = SlotGuard {
         shared: shared.clone(),
-        vm: vm.clone(),
+        id: id.clone(),
         attempt: attempt.clone(),
     };
     let lease: u64 = request.headers.get(HEADER_LEASE)?.parse().ok()?;
     let left = lease.saturating_sub(now_ms());
-    if ask.run > 0 {
-        sleep(Duration::from_millis(ask.run.min(left))).await;
+    if spec.run > 0 {
+        sleep(Duration::from_millis(spec.run.min(left))).await;
     }
-    let end = end_of(&shared, &vm, &ask, left);
-    shared.end(&vm, &attempt, end);
+    let end = run_end(&shared, &id, &spec, left);
+    shared.end(&id, &attempt, end);
     drop(guard);
     let mut done = match end {
-        RunEnd::Done => build_response(200, "text/plain", text(&ask, &vm)),
+        RunEnd::Done => build_response(200, "text/plain", response_body(&spec, &id)),
         _ => build_response(500, "text/plain", "the task failed"),
     };
     done.headers_mut().insert(HEADER_ID, attempt.parse().ok()?);
-    if ask.short {
-        let longer = (text(&ask, &vm).len() + 10).to_string();
+    if spec.short {
+        let longer = (response_body(&spec, &id).len() + 10).to_string();
         done.headers_mut()
             .insert("content-length", longer.parse().ok()?);
     }
     Some(done)
 }
 
-fn end_of(shared: &Shared, vm: &str, ask: &Ask, left: u64) -> RunEnd {
-    let failing = shared
-        .lock()
-        .machines
-        .get(vm)
-        .is_none_or(|machine| machine.failing);
-    if ask.fails || failing {
+fn run_end(shared: &Shared, id: &str, spec: &TaskSpec, left: u64) -> RunEnd {
+    let failing = shared.lock().vms.get(id).is_none_or(|vm| vm.failing);
+    if spec.fails || failing {
         RunEnd::Failed
-    } else if ask.run > left {
+    } else if spec.run > left {
         RunEnd::Lapsed
     } else {
         RunEnd::Done
     }
 }
 
-fn text(ask: &Ask, vm: &str) -> String {
-    let mut text = format!("tag={} vm={vm}\n", ask.tag);
-    while text.len() < ask.size {
+fn response_body(spec: &TaskSpec, id: &str) -> String {
+    let mut text = format!("tag={} vm={id}\n", spec.tag);
+    while text.len() < spec.size {
         text.push('.');
     }
     text
 }
 
-fn begin(
+fn begin_task(
     shared: &Shared,
-    vm: &str,
+    id: &str,
     attempt: &str,
     request: &HttpRequest,
-    ask: &Ask,
+    spec: &TaskSpec,
 ) -> Result<(), &'static str> {
     let mut state = shared.lock();
     let state = &mut *state;
-    let machine = state.machines.get_mut(vm).ok_or("gone")?;
+    let vm = state.vms.get_mut(id).ok_or("gone")?;
     let header = |name| request.headers.get(name).cloned().unwrap_or_default();
     let pool = header(HEADER_POOL);
     let lease: u64 = header(HEADER_LEASE).parse().map_err(|_| "no-lease")?;
-    if machine.info.drained {
+    if vm.info.drained {
         return Err("draining");
     }
-    if !machine.info.pool.is_empty() && machine.info.pool != pool {
+    if !vm.info.pool.is_empty() && vm.info.pool != pool {
         return Err("wrong-pool");
     }
-    if machine.info.running >= machine.info.slots {
+    if vm.info.running >= vm.info.slots {
         return Err("full");
     }
     if lease <= now_ms() {
         return Err("lease-past");
     }
-    if !machine.seen.insert(attempt.to_owned()) {
+    if !vm.attempts.insert(attempt.to_owned()) {
         return Err(REFUSED_SEEN);
     }
-    machine.info.running += 1;
-    machine
-        .running
+    vm.info.running += 1;
+    vm.running
         .insert(attempt.to_owned(), state.ledger.runs.len());
     state.ledger.runs.push(Run {
         attempt: attempt.to_owned(),
         service: header(HEADER_SERVICE),
         pool,
-        vm: vm.to_owned(),
-        tag: ask.tag.clone(),
+        vm: id.to_owned(),
+        tag: spec.tag.clone(),
         began: now_ms(),
         ended: None,
         end: None,
@@ -234,19 +230,19 @@
     Ok(())
 }
 
-fn stop(shared: &Shared, vm: &str, attempt: &str) {
-    shared.end(vm, attempt, RunEnd::Stopped);
+fn stop_task(shared: &Shared, id: &str, attempt: &str) {
+    shared.end(id, attempt, RunEnd::Stopped);
 }
 
-/// Frees the slot of a task whose caller went away.
-struct Guard {
+/// A guard that frees a task's slot when it is dropped, also when the caller has disconnected.
+struct SlotGuard {
     shared: Shared,
-    vm: String,
+    id: String,
     attempt: String,
 }
 
-impl Drop for Guard {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
-        stop(&self.shared, &self.vm, &self.attempt);
+        stop_task(&self.shared, &self.id, &self.attempt);
     }
 }
