--- a/crates/standin/src/users/cloud.rs
+++ b/crates/standin/src/users/cloud.rs
@@ -1,4 +1,4 @@
-//! The users' VMs: their list, moves between pools and upkeep.
+//! The users' VMs: the list of VMs, moves between pools and maintenance.
 
 use super::{events::Events, log::Log, worker::Worker};
 use crate::{
@@ -17,40 +17,41 @@
 };
 use tokio::time;
 
-/// How long a VM is away for a move or an upkeep.
-const AWAY: Duration = Duration::from_millis(800);
+/// The time for which a VM is down during a move or maintenance.
+const DOWNTIME: Duration = Duration::from_millis(800);
 
-/// How long the entry of a worker stays that has ended without notice: three of its writes.
-const LAPSE: Duration = Duration::from_millis(4_500);
+/// The time after which the log entry of a worker that ended abruptly expires: three of the
+/// worker's write intervals.
+const ENTRY_EXPIRY: Duration = Duration::from_millis(4_500);
 
-/// The topic with the workers' entries.
-const WORKERS: &str = "keyed.servers";
+/// The topic for workers' entries.
+const WORKERS_TOPIC: &str = "keyed.servers";
 
-/// An order about a VM that was taken.
+/// An accepted order about a VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ordered {
-    /// The VM.
+pub struct VmOrder {
+    /// VM that the order is about.
     pub vm: String,
-    /// The fence of the process that gave it.
+    /// Fencing token of the process that sent the order.
     pub fence: u64,
-    /// When it came.
+    /// Time at which the order was received.
     pub at: Instant,
 }
 
-/// A VM.
+/// A VM and its worker.
 struct Vm {
     pool: String,
-    /// Its state, in the words of the list.
+    /// State of the VM, as the list of VMs spells it.
     state: &'static str,
-    /// The highest fence that an order about it had.
+    /// Highest fencing token among the orders about the VM.
     fence: u64,
-    /// The waves in which it has had its upkeep.
+    /// Waves in which the VM has been maintained.
     waves: Vec<u64>,
-    /// Its worker, while it is up.
+    /// Worker of the VM while it is up.
     worker: Option<Arc<Worker>>,
-    /// Where that takes calls.
+    /// Address of the proxy in front of the worker.
     address: Option<SocketAddr>,
-    /// The faults of the way to its worker.
+    /// Faults of the link to the worker.
     link: Arc<Faults>,
 }
 
@@ -60,29 +61,29 @@
     log: Log,
     events: Events,
     vms: Arc<Mutex<BTreeMap<String, Vm>>>,
-    /// Whether a worker that has ended starts again under its id, and not under another.
+    /// Whether a worker that has ended restarts under the same id instead of a new one.
     keeps_ids: Arc<AtomicBool>,
-    /// The VM of each life of a worker that there has been, in the order in which they began.
-    lives: Arc<Mutex<Vec<String>>>,
-    /// The orders that were taken, in the order in which they came.
-    orders: Arc<Mutex<Vec<Ordered>>>,
+    /// VM of each worker id so far, in the order in which the ids were given out.
+    worker_vms: Arc<Mutex<Vec<String>>>,
+    /// Accepted orders in the order in which they were received.
+    orders: Arc<Mutex<Vec<VmOrder>>>,
 }
 
 impl Cloud {
-    /// A cloud without VMs, whose workers are listed in this log.
+    /// Creates a cloud without VMs whose workers register in `log`.
     pub fn new(log: Log, events: Events) -> Self {
         Cloud {
             log,
             events,
             vms: Arc::default(),
             keeps_ids: Arc::default(),
-            lives: Arc::default(),
+            worker_vms: Arc::default(),
             orders: Arc::default(),
         }
     }
 
-    /// Has workers that are added from now on start again under their ids, when a task ends them or their VM is moved or
-    /// kept up.
+    /// Makes workers keep their ids across restarts, whether a task ended them or their VM was
+    /// moved or maintained. Applies to workers that are added from now on.
     pub fn keep_ids(&self) {
         self.keeps_ids.store(true, Relaxed);
     }
@@ -106,91 +107,95 @@
         self.boot(name).await
     }
 
-    /// The names of all VMs.
+    /// Returns the names of all VMs.
     pub fn names(&self) -> Vec<String> {
         self.vms().keys().cloned().collect()
     }
 
-    /// The VM that a worker has, or had.
+    /// Returns the VM on which a worker runs or ran.
     pub fn vm_of(&self, worker: &str) -> Option<String> {
         let number: String = worker
             .chars()
             .filter(char::is_ascii_digit)
             .take(4)
             .collect();
-        let life = number.parse::<usize>().ok()?.checked_sub(1)?;
-        let lives = self.lives.lock().expect("no thread panics here");
-        lives.get(life).cloned()
+        let index = number.parse::<usize>().ok()?.checked_sub(1)?;
+        let worker_vms = self.worker_vms.lock().expect("no thread panics here");
+        worker_vms.get(index).cloned()
     }
 
-    /// The orders that were taken so far.
-    pub fn orders(&self) -> Vec<Ordered> {
+    /// Returns the orders accepted so far.
+    pub fn orders(&self) -> Vec<VmOrder> {
         self.orders.lock().expect("no thread panics here").clone()
     }
 
-    /// Crashes a VM's worker without notice; another life of it comes a little later.
+    /// Crashes a VM's worker abruptly; a new incarnation boots after [`DOWNTIME`].
     pub fn crash(&self, name: &str) {
         self.take_down(name, "down");
     }
 
-    /// Crashes a VM's worker without notice; it starts again under its id after a time, and writes its entry anew.
-    pub fn restart(&self, name: &str, away: Duration) {
+    /// Crashes a VM's worker abruptly. It restarts under the same id after `delay` and writes its
+    /// entry again.
+    pub fn restart(&self, name: &str, delay: Duration) {
         let found = self.vms().get(name).and_then(|vm| vm.worker.clone());
         let Some(worker) = found else { return };
-        worker.restart(away);
+        worker.restart(delay);
         let (cloud, name) = (self.clone(), name.to_owned());
         tokio::spawn(async move {
-            time::sleep(away).await;
+            time::sleep(delay).await;
             cloud.write_entry(&name);
         });
     }
 
-    /// Takes a VM down when a task ends its worker.
-    fn watch_crash(&self, name: &str, worker: Arc<Worker>) {
+    /// Watches for the end of a VM's worker caused by a task. A worker that keeps its id writes its
+    /// entry again after the restart. Otherwise the VM goes down and boots a new worker later, and
+    /// the old entry expires after [`ENTRY_EXPIRY`].
+    fn watch_crashes(&self, name: &str, worker: Arc<Worker>) {
         let (cloud, name) = (self.clone(), name.to_owned());
         tokio::spawn(async move {
             worker.crashed.notified().await;
             while cloud.keeps_ids.load(Relaxed) {
-                time::sleep(AWAY).await;
+                time::sleep(DOWNTIME).await;
                 cloud.write_entry(&name);
                 worker.crashed.notified().await;
             }
-            if cloud.lose(&name, &worker) {
+            if cloud.detach_worker(&name, &worker) {
                 cloud.boot_later(&name);
-                time::sleep(LAPSE).await;
-                cloud.log.put(WORKERS, &worker.id, b"");
+                time::sleep(ENTRY_EXPIRY).await;
+                cloud.log.put(WORKERS_TOPIC, &worker.id, b"");
             }
         });
     }
 
-    /// Notes that a VM has this worker no more; false if it had another one.
-    fn lose(&self, name: &str, worker: &Worker) -> bool {
+    /// Detaches a worker that has ended from its VM and marks the VM as down; returns false if the
+    /// VM has another worker.
+    fn detach_worker(&self, name: &str, worker: &Worker) -> bool {
         let mut vms = self.vms();
         let Some(vm) = vms.get_mut(name) else {
             return false;
         };
-        let had = vm.worker.take_if(|its| its.id == worker.id).is_some();
-        if had {
+        let detached = vm.worker.take_if(|its| its.id == worker.id).is_some();
+        if detached {
             vm.state = "down";
         }
-        had
+        detached
     }
 
-    /// Starts another life of a VM's worker after the time for which it is away.
+    /// Boots a new worker on a VM after [`DOWNTIME`].
     fn boot_later(&self, name: &str) {
         let (cloud, name) = (self.clone(), name.to_owned());
         tokio::spawn(async move {
-            time::sleep(AWAY).await;
+            time::sleep(DOWNTIME).await;
             cloud.boot(&name).await.expect("a port is free");
         });
     }
 
-    /// The faults of the way to the worker that a VM has now.
+    /// Returns the faults of the link to the worker that a VM has now.
     pub fn link(&self, name: &str) -> Option<Arc<Faults>> {
         self.vms().get(name).map(|vm| Arc::clone(&vm.link))
     }
 
-    /// Answers a call.
+    /// Handles a request.
     pub async fn handle(&self, request: HttpRequest) -> HandlerResponse {
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let name = body["machine"].as_str().unwrap_or_default();
@@ -205,7 +210,7 @@
                 self.move_to(name, body["pool"].as_str().unwrap_or_default(), fence)
             }
             ("POST", "/machine-upkeep") => {
-                self.upkeep(name, body["wave"].as_u64().unwrap_or(0), fence)
+                self.maintain(name, body["wave"].as_u64().unwrap_or(0), fence)
             }
             _ => Err("call"),
         };
@@ -241,7 +246,7 @@
     }
 
     fn move_to(&self, name: &str, pool: &str, fence: u64) -> Result<(), &'static str> {
-        self.admit(name, fence)?;
+        self.accept_order(name, fence)?;
         if self.vms().get(name).is_some_and(|vm| vm.pool == pool) {
             return Ok(());
         }
@@ -253,8 +258,8 @@
         Ok(())
     }
 
-    fn upkeep(&self, name: &str, wave: u64, fence: u64) -> Result<(), &'static str> {
-        self.admit(name, fence)?;
+    fn maintain(&self, name: &str, wave: u64, fence: u64) -> Result<(), &'static str> {
+        self.accept_order(name, fence)?;
         if self
             .vms()
             .get(name)
@@ -270,8 +275,8 @@
         Ok(())
     }
 
-    /// Refuses a lower fence than one seen for the VM.
-    fn admit(&self, name: &str, fence: u64) -> Result<(), &'static str> {
+    /// Records an order unless a higher fencing token was seen for the VM.
+    fn accept_order(&self, name: &str, fence: u64) -> Result<(), &'static str> {
         let mut vms = self.vms();
         let vm = vms.get_mut(name).ok_or("busy")?;
         if fence < vm.fence {
@@ -279,7 +284,7 @@
         }
         vm.fence = fence;
         let mut orders = self.orders.lock().expect("no thread panics here");
-        orders.push(Ordered {
+        orders.push(VmOrder {
             vm: name.to_owned(),
             fence,
             at: Instant::now(),
@@ -292,10 +297,10 @@
         up.then_some(()).ok_or("busy")
     }
 
-    /// Ends the worker of a VM and starts another life of it later.
+    /// Ends the worker of a VM and boots the VM again later.
     fn take_down(&self, name: &str, state: &'static str) {
         if self.keeps_ids.load(Relaxed) {
-            return self.take_down_for_a_while(name, state);
+            return self.take_down_temporarily(name, state);
         }
         let worker = self.vms().get_mut(name).and_then(|vm| {
             vm.state = state;
@@ -303,35 +308,35 @@
         });
         let Some(worker) = worker else { return };
         worker.kill();
-        self.log.put(WORKERS, &worker.id, b"");
+        self.log.put(WORKERS_TOPIC, &worker.id, b"");
         self.boot_later(name);
     }
 
-    /// Ends the worker of a VM, which is back under its id when the VM is.
-    fn take_down_for_a_while(&self, name: &str, state: &'static str) {
+    /// Ends the worker of a VM; it restarts under the same id when the VM is up again.
+    fn take_down_temporarily(&self, name: &str, state: &'static str) {
         if let Some(vm) = self.vms().get_mut(name) {
             vm.state = state;
         }
-        self.restart(name, AWAY);
+        self.restart(name, DOWNTIME);
         let (cloud, name) = (self.clone(), name.to_owned());
         tokio::spawn(async move {
-            time::sleep(AWAY).await;
+            time::sleep(DOWNTIME).await;
             if let Some(vm) = cloud.vms().get_mut(&name) {
                 vm.state = "up";
             }
         });
     }
 
-    /// Starts a new life of a VM's worker and lists it.
+    /// Starts a new worker on a VM and registers it.
     async fn boot(&self, name: &str) -> std::io::Result<()> {
         let number = {
-            let mut lives = self.lives.lock().expect("no thread panics here");
-            lives.push(name.to_owned());
-            lives.len()
+            let mut worker_vms = self.worker_vms.lock().expect("no thread panics here");
+            worker_vms.push(name.to_owned());
+            worker_vms.len()
         };
-        let back = self.keeps_ids.load(Relaxed).then_some(AWAY);
+        let restart_delay = self.keeps_ids.load(Relaxed).then_some(DOWNTIME);
         let id = format!("i-{number:04}");
-        let worker = Worker::start(id, back, self.events.clone()).await?;
+        let worker = Worker::start(id, restart_delay, self.events.clone()).await?;
         let address = *worker.address.lock().expect("no thread panics here");
         let Some(address) = address else {
             return Ok(());
@@ -344,22 +349,22 @@
             vm.link = Arc::clone(&proxy.faults);
         }
         self.write_entry(name);
-        self.watch_crash(name, worker);
+        self.watch_crashes(name, worker);
         Ok(())
     }
 
-    /// Has the entry of a VM's worker say that it is about to leave; it serves on.
+    /// Marks the entry of a VM's worker as draining; the worker keeps serving requests.
     pub fn announce_draining(&self, name: &str) {
-        self.write_entry_as(name, "draining");
+        self.write_entry_in_state(name, "draining");
     }
 
-    /// Writes the entry of a VM's worker, if it has one.
+    /// Writes the entry of a VM's worker as ready, if the VM has a worker.
     fn write_entry(&self, name: &str) {
-        self.write_entry_as(name, "ready");
+        self.write_entry_in_state(name, "ready");
     }
 
-    /// The same, in a state.
-    fn write_entry_as(&self, name: &str, state: &str) {
+    /// Writes the entry of a VM's worker in the given state, if the VM has a worker.
+    fn write_entry_in_state(&self, name: &str, state: &str) {
         let vms = self.vms();
         let Some(vm) = vms.get(name) else { return };
         let (Some(worker), Some(address)) = (&vm.worker, vm.address) else {
@@ -368,20 +373,20 @@
         let entry = value!({
             "service": vm.pool, "address": address.to_string(), "zone": hall_of(name), "version": "v1",
             "slots": 8, "state": state, "cold-remaining-ms": 0, "capacity": capacity(),
-            "labels": ["k", "r1"], "born": worker.born(), "sequence": 1,
+            "labels": ["k", "r1"], "born": worker.started_at_ms(), "sequence": 1,
         });
         self.log
-            .put(WORKERS, &worker.id, entry.to_string().as_bytes());
+            .put(WORKERS_TOPIC, &worker.id, entry.to_string().as_bytes());
     }
 }
 
-/// The data centre of a VM: `b` for every second one, by the number that its name ends with.
+/// Returns the data centre of a VM: `b` if the number at the end of its name is odd, otherwise `a`.
 pub fn hall_of(name: &str) -> &'static str {
     let odd = name.ends_with(['1', '3', '5', '7', '9']);
     if odd { "b" } else { "a" }
 }
 
-/// The room of a VM: eight tasks of one core.
+/// Returns the capacity of a VM: eight tasks of one core each.
 fn capacity() -> Value {
     value!({ "cpu": 8_000, "mem-mb": 8_000, "gpu": 0 })
 }
--- a/crates/standin/src/users/events.rs
+++ b/crates/standin/src/users/events.rs
@@ -1,46 +1,46 @@
-//! What the workers have run, as they themselves saw it.
+//! A record of the runs on all workers, made by the workers themselves.
 
 use std::{
     sync::{Arc, Mutex},
     time::Instant,
 };
 
-/// What happened to a run.
+/// The kinds of events of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEvent {
-    /// It began.
+    /// The run started.
     Started,
-    /// It ended well.
+    /// The run completed successfully.
     Done,
-    /// It ended in another way: stopped or lapsed.
+    /// The run ended in another way: it was stopped, or its lease expired.
     Ended,
-    /// It ended with its worker.
+    /// The run was lost because its worker ended.
     Lost,
-    /// Its good end was acknowledged: nothing may start the task again.
+    /// The run's successful end was acknowledged; the task must not be started again.
     Acknowledged,
 }
 
 /// One event of a run.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// When.
+    /// Time of the event.
     pub at: Instant,
-    /// Which life of a worker.
+    /// Id of the worker that ran the task.
     pub worker: String,
-    /// The task, as it is written in calls.
+    /// Task, in the form that it has in requests.
     pub task: String,
-    /// The run.
+    /// Number of the run.
     pub run: u64,
-    /// What happened.
+    /// Kind of the event.
     pub kind: RunEvent,
 }
 
-/// All events, in order; clones share them.
+/// All events in the order in which they were recorded; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Events(Arc<Mutex<Vec<Event>>>);
 
 impl Events {
-    /// Notes an event.
+    /// Records an event that happens now.
     pub fn record(&self, worker: &str, task: &str, run: u64, kind: RunEvent) {
         let event = Event {
             at: Instant::now(),
@@ -52,7 +52,7 @@
         self.0.lock().expect("no thread panics here").push(event);
     }
 
-    /// The events so far.
+    /// Returns all events so far.
     pub fn all(&self) -> Vec<Event> {
         self.0.lock().expect("no thread panics here").clone()
     }
--- a/crates/standin/src/users/log.rs
+++ b/crates/standin/src/users/log.rs
@@ -1,5 +1,5 @@
-//! The users' log: topics with one partition, appends on conditions, long polls, and the newest record of
-//! each key.
+//! The users' log: topics with one partition, conditional appends, long polls, and the newest
+//! record of each key.
 
 use crate::http::{HandlerResponse, HttpRequest, build_response, json};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -15,21 +15,24 @@
 };
 use tokio::{sync::Notify, time};
 
-/// The beginning of the names of topics that keep the newest record of each key.
-const KEYED: &str = "keyed.";
+/// The prefix of the topics that keep the newest record of each key.
+const KEYED_PREFIX: &str = "keyed.";
 
-/// Answers to the last calls of a producer that are given again.
-const ANSWERS: usize = 5;
+/// The number of a producer's latest appends whose responses are kept, so that a retry gets the
+/// same response.
+const KEPT_RESPONSES: usize = 5;
 
-/// The bytes before the first record of a read's answer: the end, and a number that the stand-in leaves at 0.
-const READ_HEAD: usize = 16;
+/// The size of the header of a read's response: the end offset, and a number that the stand-in
+/// leaves at 0.
+const READ_HEADER_BYTES: usize = 16;
 
-/// What a producer has appended of late.
+/// The latest appends of a producer.
 #[derive(Debug, Default)]
 struct Producer {
     epoch: u64,
-    /// The numbers of its last calls in this epoch, and the ends that they were told.
-    last: Vec<(u64, u64)>,
+    /// Sequence numbers of the latest appends in this epoch, with the end offsets in their
+    /// responses.
+    recent: Vec<(u64, u64)>,
 }
 
 /// One topic.
@@ -40,10 +43,10 @@
     producers: HashMap<String, Producer>,
 }
 
-/// Which answers to appends are lost.
+/// A fault that loses some of the responses to appends.
 #[derive(Debug)]
 struct Loss {
-    /// The part of them.
+    /// Fraction of the responses that are lost.
     share: f64,
     rng: StdRng,
 }
@@ -54,12 +57,12 @@
     topics: Arc<Mutex<HashMap<String, Topic>>>,
     changed: Arc<Notify>,
     loss: Arc<Mutex<Option<Loss>>>,
-    /// How many reads were made of each topic.
+    /// Number of reads of each topic.
     reads: Arc<Mutex<BTreeMap<String, usize>>>,
 }
 
 impl Log {
-    /// Answers a call.
+    /// Handles a request.
     pub async fn handle(&self, request: HttpRequest) -> HandlerResponse {
         let topic = request.query.get("topic").cloned().unwrap_or_default();
         if request.method == "GET" {
@@ -68,12 +71,12 @@
         }
         match (request.method.as_str(), request.path.as_str()) {
             ("POST", "/log-append") => {
-                let answer = self.append(&topic, &request);
+                let response = self.append(&topic, &request);
                 if self.loses_response() {
-                    // The connection stays open, and nothing more is said on it.
+                    // The connection stays open, but no response is ever sent on it.
                     future::pending::<()>().await;
                 }
-                Some(answer)
+                Some(response)
             }
             ("GET", "/log-read") => Some(self.read(&topic, &request).await),
             ("GET", "/log-newest") => Some(self.newest(&topic)),
@@ -81,42 +84,43 @@
         }
     }
 
-    /// How many reads were made of a topic so far.
+    /// Returns the number of reads of a topic so far.
     pub fn reads(&self, topic: &str) -> usize {
         let reads = self.reads.lock().expect("no thread panics here");
         reads.get(topic).copied().unwrap_or(0)
     }
 
-    /// Loses this part of the answers to appends, which are done, until the share is 0. Which ones a seed decides.
+    /// Loses a fraction `share` of the responses to appends, which are carried out nevertheless.
+    /// `seed` decides which responses are lost; a share of 0 ends the fault.
     pub fn lose_responses(&self, share: f64, seed: u64) {
         let rng = StdRng::seed_from_u64(seed);
         let loss = (share > 0.0).then_some(Loss { share, rng });
         *self.loss.lock().expect("no thread panics here") = loss;
     }
 
-    /// Whether the next answer to an append is lost.
+    /// Returns whether the next response to an append is lost.
     fn loses_response(&self) -> bool {
         let mut loss = self.loss.lock().expect("no thread panics here");
         let loss = loss.as_mut();
         loss.is_some_and(|loss| loss.rng.random_bool(loss.share))
     }
 
-    /// Writes a record with a key; an empty value drops the key.
+    /// Appends a record with a key; an empty value removes the key.
     pub fn put(&self, topic: &str, key: &str, value: &[u8]) {
         let mut record = BytesMut::new();
         record.put_u8(key.len() as u8);
         record.put_slice(key.as_bytes());
         record.put_slice(value);
-        self.with(topic, |log| log.push(topic, record.freeze()));
+        self.with_topic(topic, |log| log.push(topic, record.freeze()));
         self.changed.notify_waiters();
     }
 
-    /// The newest record of a key.
+    /// Returns the value of the newest record of a key.
     pub fn get(&self, topic: &str, key: &str) -> Option<Bytes> {
-        self.with(topic, |log| log.newest.get(key).map(|(_, v)| v.clone()))
+        self.with_topic(topic, |log| log.newest.get(key).map(|(_, v)| v.clone()))
     }
 
-    /// The newest record of each key of a topic.
+    /// Returns the newest value of each key of a topic.
     pub fn records(&self, topic: &str) -> Vec<(String, Bytes)> {
         let newest = |log: &mut Topic| {
             let records = log.newest.iter();
@@ -124,16 +128,16 @@
                 .map(|(key, (_, value))| (key.clone(), value.clone()))
                 .collect()
         };
-        self.with(topic, newest)
+        self.with_topic(topic, newest)
     }
 
-    fn with<T>(&self, topic: &str, work: impl FnOnce(&mut Topic) -> T) -> T {
+    fn with_topic<T>(&self, topic: &str, operation: impl FnOnce(&mut Topic) -> T) -> T {
         let mut topics = self.topics.lock().expect("no thread panics here");
-        work(topics.entry(topic.to_owned()).or_default())
+        operation(topics.entry(topic.to_owned()).or_default())
     }
 
     fn append(&self, name: &str, request: &HttpRequest) -> Response<Full<Bytes>> {
-        let outcome = self.with(name, |topic| topic.append(name, request));
+        let outcome = self.with_topic(name, |topic| topic.append(name, request));
         self.changed.notify_waiters();
         let (status, body) = outcome;
         build_response(status, "application/json", body.to_string())
@@ -145,17 +149,17 @@
         let until = time::Instant::now() + wait;
         loop {
             let changed = self.changed.notified();
-            let body = self.with(name, |topic| topic.slice(from));
-            if body.len() > READ_HEAD || time::Instant::now() >= until {
+            let body = self.with_topic(name, |topic| topic.encode_from(from));
+            if body.len() > READ_HEADER_BYTES || time::Instant::now() >= until {
                 return build_response(200, "application/octet-stream", body);
             }
-            // The end of the wait is an answer without records.
+            // When the wait times out, the response contains no records.
             let _ = time::timeout_at(until, changed).await;
         }
     }
 
     fn newest(&self, name: &str) -> Response<Full<Bytes>> {
-        let page = self.with(name, |topic| {
+        let page = self.with_topic(name, |topic| {
             let item = |(key, (offset, bytes)): (&String, &(u64, Bytes))| {
                 value!({ "key": key, "value": base64(bytes), "offset": offset })
             };
@@ -168,7 +172,7 @@
 
 impl Topic {
     fn push(&mut self, name: &str, record: Bytes) {
-        if name.starts_with(KEYED) {
+        if name.starts_with(KEYED_PREFIX) {
             let mut rest = record.clone();
             let length = usize::from(rest.get_u8());
             let key = String::from_utf8_lossy(&rest.split_to(length)).into_owned();
@@ -196,11 +200,12 @@
             self.push(name, record);
         }
         let end = self.records.len() as u64;
-        self.note_producer(request, end);
+        self.record_append(request, end);
         (200, value!({ "end": end }))
     }
 
-    /// What a producer is told that may not append now.
+    /// Returns the response to an append that must not be carried out: it comes from an old epoch,
+    /// repeats an earlier append, or is out of sequence.
     fn check_producer(&mut self, request: &HttpRequest) -> Option<(u16, Value)> {
         let name = request.query.get("producer")?;
         let (epoch, number) = (
@@ -214,14 +219,14 @@
         if epoch > known.epoch {
             return None;
         }
-        if let Some((_, end)) = known.last.iter().find(|(n, _)| *n == number) {
+        if let Some((_, end)) = known.recent.iter().find(|(n, _)| *n == number) {
             return Some((200, value!({ "end": end })));
         }
-        let next = known.last.last().map_or(number, |(n, _)| n + 1);
+        let next = known.recent.last().map_or(number, |(n, _)| n + 1);
         (number != next).then(|| (409, value!({ "reason": "seq", "sequence": next })))
     }
 
-    fn note_producer(&mut self, request: &HttpRequest, end: u64) {
+    fn record_append(&mut self, request: &HttpRequest, end: u64) {
         let Some(name) = request.query.get("producer") else {
             return;
         };
@@ -229,16 +234,16 @@
         let number = request.query_number("sequence").unwrap_or(0);
         let known = self.producers.entry(name.clone()).or_default();
         if epoch > known.epoch {
-            known.last.clear();
+            known.recent.clear();
         }
         known.epoch = epoch;
-        known.last.push((number, end));
-        let drop = known.last.len().saturating_sub(ANSWERS);
-        known.last.drain(..drop);
+        known.recent.push((number, end));
+        let drop = known.recent.len().saturating_sub(KEPT_RESPONSES);
+        known.recent.drain(..drop);
     }
 
-    /// The records from an offset on, as an answer to a read.
-    fn slice(&self, from: usize) -> Bytes {
+    /// Encodes the records from an offset on as the body of a read's response.
+    fn encode_from(&self, from: usize) -> Bytes {
         let mut body = BytesMut::new();
         body.put_u64(self.records.len() as u64);
         body.put_u64(0);
--- a/crates/standin/src/users/mod.rs
+++ b/crates/standin/src/users/mod.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for the users' machines, by their published pages: the log, the workers and the list of VMs.
-//! Their words stand here and in `platform/` only.
+//! Stand-ins for the users' machines, after their published pages: the log, the workers and the
+//! list of VMs. The names that the users' machines use on the wire occur only here and in
+//! `platform/`.
 
 pub mod cloud;
 pub mod events;
@@ -12,11 +13,11 @@
 use std::{io, net::SocketAddr, sync::Arc};
 use tokio::net::TcpListener;
 
-/// The header of a call that tells for how many ms its caller waits.
+/// The header that says how many milliseconds the caller of a request waits.
 pub const DEADLINE_HEADER: &str = "request-deadline-ms";
 
-/// Serves calls at a free port of the loopback interface, each with a clone of what is shared, and returns
-/// the address.
+/// Serves requests on a free port of the loopback interface, each with a clone of `shared`, and
+/// returns the address.
 ///
 /// # Errors
 ///
--- a/crates/standin/src/users/operator.rs
+++ b/crates/standin/src/users/operator.rs
@@ -1,59 +1,62 @@
-//! What the users' operators write into the log: configurations and waves of upkeep.
+//! Records that the users' operators write into the log: configurations, drains of data centres and
+//! waves of maintenance.
 
 use super::log::Log;
 use serde_json::{Value, json};
 
-/// The topic with what operators ask for.
+/// The topic for operators' records.
 const TOPIC: &str = "keyed.op";
 
-/// The time-out of calls in ms, before the version is added to it: as long as the soak's callers wait.
-const TIMEOUT: u64 = 3_000;
+/// The timeout of calls in milliseconds, to which the version is added. It equals the time for
+/// which the soak's callers wait.
+const BASE_TIMEOUT_MS: u64 = 3_000;
 
-/// The latency in ms that the route is meant to have: three times what the soak's jobs are estimated at.
-const LATENCY: u64 = 600;
+/// The target latency of the route in milliseconds: three times the estimated run time of the
+/// soak's tasks.
+const TARGET_LATENCY_MS: u64 = 600;
 
-/// How often a task may be started: far more often than the faults of one soak end it.
-const ATTEMPTS: u64 = 50;
+/// The maximum number of starts of a task: far more than the faults of one soak can interrupt.
+const MAX_ATTEMPTS: u64 = 50;
 
-/// How long an upkeep of a VM takes in seconds, as the wave tells: far longer than the stand-in's VMs are
+/// The announced duration of a VM's maintenance in seconds: far longer than the stand-in's VMs are
 /// away, so that none counts as overdue.
-const UPKEEP: u64 = 20;
+const MAINTENANCE_SECONDS: u64 = 20;
 
 /// A workspace of the configuration.
 #[derive(Clone, Debug)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
-    /// Its keys.
+    /// API keys of the workspace.
     pub keys: Vec<String>,
-    /// How many cores it may have running; 0 is no bound.
+    /// Maximum number of cores that its running tasks may use; 0 means unlimited.
     pub cores: u64,
 }
 
-/// What a configuration says: one route for jobs, the pool that runs them, and the reserve.
+/// A configuration with one route for jobs, the pool that runs them, and the reserve.
 #[derive(Clone, Copy, Debug)]
 pub struct Config<'c> {
-    /// The host under which jobs are handed in.
+    /// Host to which jobs are submitted.
     pub host: &'c str,
-    /// The path under which jobs are handed in.
+    /// Path prefix under which jobs are submitted.
     pub prefix: &'c str,
-    /// The pool whose workers run the jobs.
+    /// Pool whose workers run the jobs.
     pub pool: &'c str,
-    /// The pool of VMs that are off.
+    /// Pool of VMs that are switched off.
     pub reserve: &'c str,
-    /// The workspaces; none on a deployment without them.
+    /// Workspaces; `None` for a deployment without workspaces.
     pub workspaces: Option<&'c [Workspace]>,
 }
 
-/// Writes a version of the configuration. The time-out differs with the version, so that each version
+/// Writes a version of the configuration. The timeout depends on the version, so that each version
 /// changes something.
 pub fn write_config(log: &Log, version: u64, config: &Config<'_>) {
     let mut text = json!({
         "version": version,
         "routes": [{
             "name": "r-1", "host": config.host, "path-prefix": config.prefix, "type": "unsafe",
-            "timeout-ms": TIMEOUT + version, "target-latency-ms": LATENCY, "priority": 0,
-            "service": config.pool, "max-attempts": ATTEMPTS, "stretch": 2.0,
+            "timeout-ms": BASE_TIMEOUT_MS + version, "target-latency-ms": TARGET_LATENCY_MS,
+            "priority": 0, "service": config.pool, "max-attempts": MAX_ATTEMPTS, "stretch": 2.0,
         }],
         "services": [
             { "name": config.pool, "admission-check": true, "headroom": false },
@@ -62,29 +65,29 @@
         "limits": {},
     });
     if let Some(workspaces) = config.workspaces {
-        text["tenants"] = workspaces.iter().map(row).collect();
+        text["tenants"] = workspaces.iter().map(workspace_row).collect();
     }
     log.put(TOPIC, "config", text.to_string().as_bytes());
 }
 
-/// A workspace as operators write it.
-fn row(workspace: &Workspace) -> Value {
+/// Returns a workspace in the form that operators write.
+fn workspace_row(workspace: &Workspace) -> Value {
     json!({
         "name": workspace.name, "api-keys": workspace.keys, "weight": 100,
         "upper-bound": { "cpu": workspace.cores * 1_000, "mem-mb": 0, "gpu": 0 },
     })
 }
 
-/// Asks for a data centre to be emptied, or takes it back.
+/// Requests that a data centre be drained, or withdraws the request.
 pub fn write_drain(log: &Log, hall: &str, drained: bool) {
     let value: &[u8] = if drained { b"{}" } else { b"" };
     log.put(TOPIC, &format!("evacuate/{hall}"), value);
 }
 
-/// Asks for the upkeep of these VMs, one at a time.
+/// Requests the maintenance of these VMs, one at a time.
 pub fn write_wave(log: &Log, wave: u64, vms: &[String]) {
     let text = json!({
-        "wave": wave, "machines": vms, "duration-s": UPKEEP, "upper-bound": 1,
+        "wave": wave, "machines": vms, "duration-s": MAINTENANCE_SECONDS, "upper-bound": 1,
     });
     log.put(TOPIC, &format!("wave/{wave}"), text.to_string().as_bytes());
 }
--- a/crates/standin/src/users/settings.rs
+++ b/crates/standin/src/users/settings.rs
@@ -2,27 +2,27 @@
 
 use std::net::SocketAddr;
 
-/// What differs between the entries of a site.
+/// The settings that differ between the entries of a site.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The entry's name.
+    /// Name of the entry.
     pub node: String,
-    /// Its address.
+    /// IP address of the entry.
     pub ip: String,
-    /// Its data centre.
+    /// Data centre of the entry.
     pub hall: String,
-    /// The first of its ports; the next nine are its own as well.
+    /// First of the entry's ports; the following nine are reserved for it as well.
     pub port: u16,
-    /// The addresses of the entries that all others know from the start.
+    /// IP addresses of the seed entries, which all others know from the start.
     pub seeds: Vec<String>,
-    /// Where the log is.
+    /// Address of the log.
     pub log: SocketAddr,
-    /// Where the list of VMs is.
+    /// Address of the service that lists VMs.
     pub cloud: SocketAddr,
 }
 
 impl Settings {
-    /// The text of the file.
+    /// Returns the text of the settings file.
     pub fn write(&self) -> String {
         let Settings {
             node,
--- a/crates/standin/src/users/worker.rs
+++ b/crates/standin/src/users/worker.rs
@@ -1,4 +1,5 @@
-//! A worker: runs tasks under a lease, refuses lower fences, and lists ends until they are acknowledged.
+//! A worker, which runs tasks under a lease, refuses fencing tokens lower than the highest one it
+//! has seen, and lists ended runs until they are acknowledged.
 
 use super::{
     events::{Events, RunEvent},
@@ -21,28 +22,29 @@
 };
 use tokio::{sync::Notify, time};
 
-/// Time between two looks at runs that end and at the lease.
-const TICK: Duration = Duration::from_millis(5);
+/// The interval at which ended runs and the lease are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The clock at a worker's start, in ms: no other clock shows the same.
-const CLOCK: u64 = 100_000;
+/// The worker's clock at the start of an incarnation, in milliseconds. It differs from every other
+/// clock.
+const CLOCK_START_MS: u64 = 100_000;
 
-/// How many tasks fit, each of the size that the soak hands in.
-const ROOM: usize = 8;
+/// The number of tasks that fit on a worker, each of the size that the soak submits.
+const CAPACITY: usize = 8;
 
-/// The run time of a task whose text does not give one.
-const RUN: Duration = Duration::from_millis(200);
+/// The run time of a task whose specification gives none.
+const DEFAULT_RUN_TIME: Duration = Duration::from_millis(200);
 
-/// The text of a task that ends each worker that starts it.
+/// The specification of a task that ends each worker that starts it.
 pub const ENDS_WORKER: &str = "ends-worker";
 
-/// How long after its start such a task does so: users saw 2 to 10 ms.
-const ENDS_AFTER: Duration = Duration::from_millis(10);
+/// The time from the start of such a task to the end of its worker: users saw 2 to 10 ms.
+const CRASH_DELAY: Duration = Duration::from_millis(10);
 
-/// The longest that a call waits for ends, however long it asks for.
-const MOST_WAIT: Duration = Duration::from_millis(2_000);
+/// The maximum time for which a `/hold` request waits for ended runs, even if it asks for more.
+const MAX_WAIT: Duration = Duration::from_millis(2_000);
 
-/// The body of any call.
+/// The body of any request; fields that a request doesn't use have their defaults.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 struct Body {
@@ -57,39 +59,40 @@
 
 struct Run {
     number: u64,
-    ends: Instant,
-    /// Whether its worker ends with it.
+    ends_at: Instant,
+    /// Whether the worker ends when the run does.
     fatal: bool,
 }
 
-struct End {
+struct EndedRun {
     number: u64,
     task: String,
     run: u64,
-    how: &'static str,
+    outcome: &'static str,
 }
 
-/// What one life of a worker holds and knows.
+/// The state of one incarnation of a worker.
 struct State {
-    /// When this life began, or begins: before, there is no answer.
-    began: Instant,
-    /// The same as a time of day, in ms since 1970.
-    born: u64,
+    /// Start of this incarnation; it may lie in the future, and no request is answered before.
+    starts_at: Instant,
+    /// The same start time in milliseconds since 1970.
+    started_at_ms: u64,
     fence: u64,
     deadline: u64,
     runs: BTreeMap<String, Run>,
-    ended: Vec<End>,
+    ended: Vec<EndedRun>,
     last_end: u64,
-    /// The highest run of each task that was stopped or has ended.
+    /// Highest run of each task that was stopped or has ended.
     closed: HashMap<String, u64>,
 }
 
 impl State {
-    /// A life that begins after this time and knows nothing of any before.
-    fn beginning_in(away: Duration) -> Self {
+    /// Returns the empty state of an incarnation that starts after `delay` and knows nothing of
+    /// earlier ones.
+    fn starting_in(delay: Duration) -> Self {
         State {
-            began: Instant::now() + away,
-            born: wall_ms(SystemTime::now() + away),
+            starts_at: Instant::now() + delay,
+            started_at_ms: unix_ms(SystemTime::now() + delay),
             fence: 0,
             deadline: 0,
             runs: BTreeMap::new(),
@@ -99,48 +102,49 @@
         }
     }
 
-    /// What its clock shows.
-    fn clock(&self) -> u64 {
-        CLOCK + self.began.elapsed().as_millis() as u64
+    /// Returns the reading of the worker's clock in milliseconds.
+    fn clock_ms(&self) -> u64 {
+        CLOCK_START_MS + self.starts_at.elapsed().as_millis() as u64
     }
 
-    /// Takes note of a call's fence; false if a higher one was seen before.
-    fn admit(&mut self, fence: u64) -> bool {
+    /// Records the fencing token of a request; returns false if a higher one was seen before.
+    fn observe_fence(&mut self, fence: u64) -> bool {
         let admitted = fence >= self.fence;
         self.fence = self.fence.max(fence);
         admitted
     }
 
-    /// Whether this run of the task goes on here.
+    /// Returns whether this run of the task is in progress here.
     fn has_run(&self, task: &str, run: u64) -> bool {
         self.runs.get(task).is_some_and(|known| known.number == run)
     }
 
-    /// Whether the task has this run or a higher one behind it.
+    /// Returns whether this run of the task, or a higher one, was stopped or has ended.
     fn has_closed(&self, task: &str, run: u64) -> bool {
-        self.closed.get(task).is_some_and(|top| run <= *top)
+        self.closed.get(task).is_some_and(|highest| run <= *highest)
     }
 
-    /// Notes that the task's runs up to this one must not start again.
+    /// Records that the task's runs up to this one must not start again.
     fn close(&mut self, task: &str, run: u64) {
-        let top = self.closed.entry(task.to_owned()).or_insert(0);
-        *top = (*top).max(run);
+        let highest = self.closed.entry(task.to_owned()).or_insert(0);
+        *highest = (*highest).max(run);
     }
 }
 
-/// A worker, which may start again under its id.
+/// A worker, which may restart under the same id.
 pub struct Worker {
-    /// The id under which it is listed.
+    /// Id under which the worker is listed.
     pub id: String,
-    /// Where it takes calls.
+    /// Address on which the worker accepts requests.
     pub address: Mutex<Option<SocketAddr>>,
-    dead: AtomicBool,
+    killed: AtomicBool,
     state: Mutex<State>,
     changed: Notify,
-    /// Told when a task has ended a life of it.
+    /// Notification that a task has ended an incarnation of the worker.
     pub crashed: Notify,
-    /// Whether it starts again under its id when a task ends it, and after which time.
-    back: Option<Duration>,
+    /// Time after which the worker restarts under its id when a task ends it; `None` if it doesn't
+    /// restart.
+    restart_delay: Option<Duration>,
     events: Events,
 }
 
@@ -152,47 +156,47 @@
     /// Fails when no port is free.
     pub async fn start(
         id: String,
-        back: Option<Duration>,
+        restart_delay: Option<Duration>,
         events: Events,
     ) -> std::io::Result<Arc<Self>> {
         let worker = Arc::new(Worker {
             id,
             address: Mutex::new(None),
-            dead: AtomicBool::new(false),
-            state: Mutex::new(State::beginning_in(Duration::ZERO)),
+            killed: AtomicBool::new(false),
+            state: Mutex::new(State::starting_in(Duration::ZERO)),
             changed: Notify::new(),
             crashed: Notify::new(),
-            back,
+            restart_delay,
             events,
         });
         let address = listen(&worker, Worker::handle).await?;
         *worker.address.lock().expect("no thread panics here") = Some(address);
-        tokio::spawn(tick(Arc::clone(&worker)));
+        tokio::spawn(check_runs(Arc::clone(&worker)));
         Ok(worker)
     }
 
-    /// Ends it for good; all that it runs ends with it.
+    /// Ends the worker for good; all its runs are lost.
     pub fn kill(&self) {
-        self.dead.store(true, Relaxed);
+        self.killed.store(true, Relaxed);
         self.changed.notify_waiters();
         self.lose_runs(&mut self.state());
     }
 
-    /// Ends this life without notice, and begins another under the same id after a time.
-    pub fn restart(&self, away: Duration) {
+    /// Ends this incarnation abruptly and starts another one under the same id after `delay`.
+    pub fn restart(&self, delay: Duration) {
         let mut state = self.state();
         self.lose_runs(&mut state);
-        *state = State::beginning_in(away);
+        *state = State::starting_in(delay);
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// When its life began, in ms since 1970.
-    pub fn born(&self) -> u64 {
-        self.state().born
+    /// Returns when the current incarnation started, in milliseconds since 1970.
+    pub fn started_at_ms(&self) -> u64 {
+        self.state().started_at_ms
     }
 
-    /// All that it runs ends with it, without an end that is listed.
+    /// Removes all runs without listing them as ended, and records them as lost.
     fn lose_runs(&self, state: &mut State) {
         for (task, run) in std::mem::take(&mut state.runs) {
             self.events
@@ -200,14 +204,15 @@
         }
     }
 
-    /// Its life that takes calls now; none while there is none.
-    fn life(&self) -> Option<u64> {
+    /// Returns the start time of the incarnation that accepts requests now, or `None` if there is
+    /// none.
+    fn incarnation(&self) -> Option<u64> {
         let state = self.state();
-        let lives = !self.dead.load(Relaxed) && state.began <= Instant::now();
-        lives.then_some(state.born)
+        let alive = !self.killed.load(Relaxed) && state.starts_at <= Instant::now();
+        alive.then_some(state.started_at_ms)
     }
 
-    /// How many tasks it runs.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
         self.state().runs.len()
     }
@@ -217,27 +222,27 @@
     }
 
     async fn handle(self: Arc<Self>, request: HttpRequest) -> HandlerResponse {
-        let life = self.life()?;
+        let incarnation = self.incarnation()?;
         if request
             .headers
             .get("expect-instance")
-            .is_some_and(|life| *life != self.id)
+            .is_some_and(|expected| *expected != self.id)
         {
             return Some(build_response(421, "application/json", "{}"));
         }
         let body: Body = serde_json::from_slice(&request.body).unwrap_or_default();
-        let answer = match request.path.as_str() {
+        let response = match request.path.as_str() {
             "/run-start" => self.start_run(&body),
             "/run-stop" => self.stop_run(&body),
             "/hold" => self.hold(&body).await,
             _ => build_response(400, "application/json", "{}"),
         };
-        // What waits for an answer when a life ends gets none.
-        (self.life() == Some(life)).then_some(answer)
+        // Requests that were waiting when an incarnation ended get no response.
+        (self.incarnation() == Some(incarnation)).then_some(response)
     }
 
-    fn reply(state: &State, status: u16, reason: &str) -> Response<Full<Bytes>> {
-        let mut body = json!({ "clock-ms": state.clock() });
+    fn build_reply(state: &State, status: u16, reason: &str) -> Response<Full<Bytes>> {
+        let mut body = json!({ "clock-ms": state.clock_ms() });
         if !reason.is_empty() {
             body["reason"] = reason.into();
         }
@@ -246,44 +251,44 @@
 
     fn start_run(&self, body: &Body) -> Response<Full<Bytes>> {
         let mut state = self.state();
-        if !state.admit(body.fencing_token) {
-            return Self::reply(&state, 409, "fence");
+        if !state.observe_fence(body.fencing_token) {
+            return Self::build_reply(&state, 409, "fence");
         }
         let deadline = body.deadline_ms.unwrap_or(0);
-        if deadline < state.clock() {
-            return Self::reply(&state, 409, "late");
+        if deadline < state.clock_ms() {
+            return Self::build_reply(&state, 409, "late");
         }
         state.deadline = state.deadline.max(deadline);
         if state.has_run(&body.task, body.run) {
-            return Self::reply(&state, 200, "");
+            return Self::build_reply(&state, 200, "");
         }
         if state.has_closed(&body.task, body.run) || state.runs.contains_key(&body.task) {
-            return Self::reply(&state, 409, "old");
+            return Self::build_reply(&state, 409, "old");
         }
-        if state.runs.len() >= ROOM {
-            return Self::reply(&state, 409, "room");
+        if state.runs.len() >= CAPACITY {
+            return Self::build_reply(&state, 409, "room");
         }
         let fatal = body.spec == ENDS_WORKER;
-        let took = match body.spec.parse() {
+        let run_time = match body.spec.parse() {
             Ok(ms) => Duration::from_millis(ms),
-            Err(_) if fatal => ENDS_AFTER,
-            Err(_) => RUN,
+            Err(_) if fatal => CRASH_DELAY,
+            Err(_) => DEFAULT_RUN_TIME,
         };
         let run = Run {
             number: body.run,
-            ends: Instant::now() + took,
+            ends_at: Instant::now() + run_time,
             fatal,
         };
         state.runs.insert(body.task.clone(), run);
         self.events
             .record(&self.id, &body.task, body.run, RunEvent::Started);
-        Self::reply(&state, 200, "")
+        Self::build_reply(&state, 200, "")
     }
 
     fn stop_run(&self, body: &Body) -> Response<Full<Bytes>> {
         let mut state = self.state();
-        if !state.admit(body.fencing_token) {
-            return Self::reply(&state, 409, "fence");
+        if !state.observe_fence(body.fencing_token) {
+            return Self::build_reply(&state, 409, "fence");
         }
         state.close(&body.task, body.run);
         if state
@@ -293,38 +298,40 @@
         {
             self.end(&mut state, &body.task, "stopped");
         }
-        Self::reply(&state, 200, "")
+        Self::build_reply(&state, 200, "")
     }
 
     async fn hold(&self, body: &Body) -> Response<Full<Bytes>> {
         {
             let mut state = self.state();
-            if !state.admit(body.fencing_token) {
-                return Self::reply(&state, 409, "fence");
+            if !state.observe_fence(body.fencing_token) {
+                return Self::build_reply(&state, 409, "fence");
             }
             state.deadline = state.deadline.max(body.deadline_ms.unwrap_or(0));
-            self.forget(&mut state, body.last_seen);
+            self.acknowledge(&mut state, body.last_seen);
         }
-        let wait = Duration::from_millis(body.wait_ms).min(MOST_WAIT);
+        let wait = Duration::from_millis(body.wait_ms).min(MAX_WAIT);
         self.wait_for_ends(time::Instant::now() + wait).await;
         self.report()
     }
 
-    /// Waits until a run has ended that is not acknowledged, or the time is over.
+    /// Waits until there is an ended run that is not acknowledged, the incarnation has ended, or
+    /// the time is up.
     async fn wait_for_ends(&self, until: time::Instant) {
-        let life = self.life();
+        let incarnation = self.incarnation();
         loop {
             let changed = self.changed.notified();
-            let over = self.life() != life;
-            if over || !self.state().ended.is_empty() || time::Instant::now() >= until {
+            let restarted = self.incarnation() != incarnation;
+            if restarted || !self.state().ended.is_empty() || time::Instant::now() >= until {
                 return;
             }
-            // The end of the wait is an answer without ends.
+            // When the wait times out, the response lists no ended runs.
             let _ = time::timeout_at(until, changed).await;
         }
     }
 
-    /// What runs, and what has ended and is not acknowledged.
+    /// Returns a response that lists the running tasks and the ended runs that are not
+    /// acknowledged.
     fn report(&self) -> Response<Full<Bytes>> {
         let state = self.state();
         let running: Vec<Value> = state
@@ -335,83 +342,89 @@
         let ended: Vec<Value> = state
             .ended
             .iter()
-            .map(|end| json!([end.number, end.task, end.run, end.how, ""]))
+            .map(|end| json!([end.number, end.task, end.run, end.outcome, ""]))
             .collect();
         let body = json!({
-            "clock-ms": state.clock(), "born": state.born, "running": running, "ended-at": ended,
+            "clock-ms": state.clock_ms(), "born": state.started_at_ms,
+            "running": running, "ended-at": ended,
         });
         build_response(200, "application/json", body.to_string())
     }
 
-    /// Forgets the ends up to a number, which the caller has made durable.
-    fn forget(&self, state: &mut State, noted: u64) {
+    /// Removes the ended runs up to a number, which the owner has acknowledged as durable.
+    fn acknowledge(&self, state: &mut State, last_seen: u64) {
         for end in state
             .ended
             .iter()
-            .filter(|end| end.number <= noted && end.how == "done")
+            .filter(|end| end.number <= last_seen && end.outcome == "done")
         {
             self.events
                 .record(&self.id, &end.task, end.run, RunEvent::Acknowledged);
         }
-        state.ended.retain(|end| end.number > noted);
+        state.ended.retain(|end| end.number > last_seen);
     }
 
-    fn end(&self, state: &mut State, task: &str, how: &'static str) {
+    fn end(&self, state: &mut State, task: &str, outcome: &'static str) {
         let Some(run) = state.runs.remove(task) else {
             return;
         };
         state.last_end += 1;
-        let kind = match how {
+        let kind = match outcome {
             "done" => RunEvent::Done,
             _ => RunEvent::Ended,
         };
         self.events.record(&self.id, task, run.number, kind);
         state.close(task, run.number);
-        let end = End {
+        let end = EndedRun {
             number: state.last_end,
             task: task.to_owned(),
             run: run.number,
-            how,
+            outcome,
         };
         state.ended.push(end);
         self.changed.notify_waiters();
     }
 }
 
-/// A time of day in ms since 1970.
-fn wall_ms(at: SystemTime) -> u64 {
+/// Returns a time of day in milliseconds since 1970.
+fn unix_ms(at: SystemTime) -> u64 {
     let since = at.duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-/// A figure that changes as long as the run goes on.
+/// Returns a number that keeps changing while the run makes progress.
 fn progress(run: &Run) -> u128 {
-    let left = run.ends.saturating_duration_since(Instant::now());
+    let left = run.ends_at.saturating_duration_since(Instant::now());
     100_u128.saturating_sub(left.as_millis() / 10)
 }
 
-/// Ends runs whose time is over, and all of them when the lease is.
-async fn tick(worker: Arc<Worker>) {
-    while !worker.dead.load(Relaxed) {
-        time::sleep(TICK).await;
+/// Ends runs whose time is up, and all runs when the lease has expired. A task that ends its worker
+/// restarts or kills the worker.
+async fn check_runs(worker: Arc<Worker>) {
+    while !worker.killed.load(Relaxed) {
+        time::sleep(CHECK_INTERVAL).await;
         let now = Instant::now();
         let mut state = worker.state();
-        let lapsed = state.clock();
-        if state.runs.values().any(|run| run.fatal && run.ends <= now) {
+        let clock_ms = state.clock_ms();
+        if state
+            .runs
+            .values()
+            .any(|run| run.fatal && run.ends_at <= now)
+        {
             drop(state);
-            match worker.back {
-                Some(away) => worker.restart(away),
+            match worker.restart_delay {
+                Some(delay) => worker.restart(delay),
                 None => worker.kill(),
             }
             worker.crashed.notify_one();
             continue;
         }
-        let over = state.deadline < lapsed;
+        let lapsed = state.deadline < clock_ms;
         let due: Vec<(String, bool)> = state
             .runs
             .iter()
-            .filter(|(_, run)| over || run.ends <= now)
-            .map(|(task, run)| (task.clone(), run.ends <= now))
+            .filter(|(_, run)| lapsed || run.ends_at <= now)
+            .map(|(task, run)| (task.clone(), run.ends_at <= now))
             .collect();
         for (task, done) in due {
             worker.end(&mut state, &task, if done { "done" } else { "lapsed" });
