--- a/crates/soak/benches/owner.rs
+++ b/crates/soak/benches/owner.rs
@@ -1,8 +1,9 @@
-//! What an owner's processor does for a start: a real entry against stand-ins of the users' log, VMs and
-//! workers, with jobs that come at a steady rate.
+//! Measures the processor time that an owner needs per start: a real entry against stand-ins of the
+//! users' log, VMs and workers, with jobs submitted at a steady rate.
 //!
-//! Shows the processor time of the entry, per start and as a part of a core, and its memory at its peak.
-//! `OWNER_VMS`, `OWNER_JOBS` (a second) and `OWNER_SECONDS` change the load, `OWNER_PROGRAM` the program.
+//! Prints the processor time of the entry, per start and as a fraction of a core, and its peak
+//! memory. The environment variables `OWNER_VMS`, `OWNER_JOBS` (per second) and `OWNER_SECONDS`
+//! change the load, and `OWNER_PROGRAM` the program.
 
 #![expect(clippy::unwrap_used, reason = "a bench stops when its site is broken")]
 
@@ -26,34 +27,35 @@
     time,
 };
 
-/// The pools, each with a queue of its own, as on the users' large site.
+/// The pools, each with its own queue, as on the users' large site.
 const POOLS: [&str; 4] = ["desk", "proof", "covers", "press"];
 
-/// The pool of VMs that are off.
+/// The pool of VMs that are switched off.
 const RESERVE: &str = "spare";
 
-/// The tasks of a job, each on one core.
+/// The number of tasks of a job, each on one core.
 const TASKS: u32 = 8;
 
-/// How long a task runs, in ms.
+/// The run time of a task in milliseconds.
 const RUN_MS: u64 = 1_000;
 
-/// Connections over which jobs are handed in; each waits for its answers.
+/// The number of connections over which jobs are submitted. Each waits for the response to a job
+/// before it submits the next one.
 const CALLERS: usize = 64;
 
-/// Clock ticks of `/proc/PID/stat` in a second, as Linux has them on all machines.
-const TICKS: f64 = 100.0;
+/// The clock ticks per second in `/proc/PID/stat`, which Linux fixes at this value on all machines.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// How long the entry gets to find all workers.
-const START: Duration = Duration::from_secs(6);
+/// The time in which the entry finds all workers.
+const STARTUP_TIME: Duration = Duration::from_secs(6);
 
-/// A figure of the environment, or what holds without it.
-fn figure<T: FromStr>(name: &str, without: T) -> T {
+/// Returns the value of an environment variable, or a default if it is missing or malformed.
+fn env_or<T: FromStr>(name: &str, default: T) -> T {
     let text = env::var(name).ok();
-    text.and_then(|text| text.parse().ok()).unwrap_or(without)
+    text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// The configuration: a queue for each pool.
+/// Returns the configuration, which has one queue for each pool.
 fn config() -> String {
     let route = |pool: &&str| {
         json!({
@@ -69,16 +71,16 @@
     json!({ "version": 1, "routes": routes, "services": services, "limits": {} }).to_string()
 }
 
-/// The seconds of processor time that a process has used.
-fn used(pid: u32) -> f64 {
+/// Returns the processor time that a process has used, in seconds.
+fn processor_seconds(pid: u32) -> f64 {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
     let ticks = |number: usize| fields[number].parse::<f64>().unwrap();
-    (ticks(11) + ticks(12)) / TICKS
+    (ticks(11) + ticks(12)) / TICKS_PER_SECOND
 }
 
-/// The memory of a process at its peak, in MB.
-fn peak(pid: u32) -> u64 {
+/// Returns the peak memory of a process, in MB.
+fn peak_memory_mb(pid: u32) -> u64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
     let line = status
         .lines()
@@ -88,8 +90,8 @@
     kb / 1_024
 }
 
-/// Hands in jobs over one connection, one each `gap`, until `until`.
-async fn hand_in(to: SocketAddr, caller: usize, gap: Duration, until: Instant) -> usize {
+/// Submits a job every `gap` over one connection until `until`, and returns the number of jobs.
+async fn submit_jobs(to: SocketAddr, caller: usize, gap: Duration, until: Instant) -> usize {
     let mut stream = TcpStream::connect(to).await.unwrap();
     stream.set_nodelay(true).unwrap();
     time::sleep(gap.mul_f64(caller as f64 / CALLERS as f64)).await;
@@ -97,7 +99,7 @@
     let body = json!({ "spec": RUN_MS.to_string(), "steps": [step] }).to_string();
     let mut jobs = 0;
     let mut next = time::Instant::now();
-    let mut answer = vec![0; 4_096];
+    let mut response = vec![0; 4_096];
     while Instant::now() < until {
         let pool = POOLS[(caller + jobs) % POOLS.len()];
         let id = (caller as u64) << 32 | jobs as u64;
@@ -107,9 +109,9 @@
             body.len()
         );
         stream.write_all((head + &body).as_bytes()).await.unwrap();
-        let read = stream.read(&mut answer).await.unwrap();
+        let read = stream.read(&mut response).await.unwrap();
         assert!(
-            answer[..read].starts_with(b"HTTP/1.1 200"),
+            response[..read].starts_with(b"HTTP/1.1 200"),
             "a job was refused"
         );
         jobs += 1;
@@ -121,9 +123,9 @@
 
 #[tokio::main]
 async fn main() {
-    let vms: usize = figure("OWNER_VMS", 1_100);
-    let rate: f64 = figure("OWNER_JOBS", 160.0);
-    let span = Duration::from_secs(figure("OWNER_SECONDS", 10));
+    let vms: usize = env_or("OWNER_VMS", 1_100);
+    let rate: f64 = env_or("OWNER_JOBS", 160.0);
+    let span = Duration::from_secs(env_or("OWNER_SECONDS", 10));
     let folder = env::temp_dir().join("havenladder-bench-owner");
     let program = env::var("OWNER_PROGRAM").unwrap_or_else(|_| {
         concat!(
@@ -154,29 +156,29 @@
         vms,
         logs: folder,
     };
-    let entry = Entry::start(&plan, 0, &Ports::pick(plan.seed), store, list).unwrap();
-    time::sleep(START).await;
+    let entry = Entry::start(&plan, 0, &Ports::for_seed(plan.seed), store, list).unwrap();
+    time::sleep(STARTUP_TIME).await;
     println!("entry {} with {vms} workers", entry.id());
-    let idle = used(entry.id());
+    let idle = processor_seconds(entry.id());
     time::sleep(Duration::from_secs(2)).await;
-    let before = used(entry.id());
+    let before = processor_seconds(entry.id());
     println!("without jobs: {:.3} of a core", (before - idle) / 2.0);
     let until = Instant::now() + span;
     let gap = Duration::from_secs_f64(CALLERS as f64 / rate);
     let mut callers = JoinSet::new();
     for caller in 0..CALLERS {
-        callers.spawn(hand_in(entry.address, caller, gap, until));
+        callers.spawn(submit_jobs(entry.address, caller, gap, until));
     }
     let jobs: usize = callers.join_all().await.into_iter().sum();
-    let took = used(entry.id()) - before;
+    let spent = processor_seconds(entry.id()) - before;
     let all = events.all();
     let starts = all.iter().filter(|event| event.kind == RunEvent::Started);
     let starts = starts.count();
     println!(
         "{jobs} jobs, {starts} starts in {:.0} s: {:.3} of a core, {:.0} us a start, {} MB",
         span.as_secs_f64(),
-        took / span.as_secs_f64(),
-        took * 1e6 / starts as f64,
-        peak(entry.id()),
+        spent / span.as_secs_f64(),
+        spent * 1e6 / starts as f64,
+        peak_memory_mb(entry.id()),
     );
 }
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,8 +1,8 @@
-//! Callers: hand in jobs, ask for them, cancel some, over connections that they use until these end; and
-//! what they were told.
+//! Callers that submit jobs, poll them and cancel some of them over persistent connections, and a
+//! record of the responses.
 
 use crate::{
-    faults::{HARMFUL_FROM, WORKSPACES_FROM},
+    faults::{HARMFUL_FROM_SEED, WORKSPACES_FROM_SEED},
     site::{self, HOST, PREFIX, Site, WORKSPACES},
 };
 use bytes::Bytes;
@@ -23,47 +23,48 @@
 };
 use tokio::{net::TcpStream, time};
 
-/// How many callers there are.
+/// The number of callers.
 const CALLERS: u64 = 3;
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(3_000);
+/// The time for which a caller waits for a response.
+const CALL_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// One in how many jobs has a task that ends its workers. Each takes two to four workers away for 2.4 s: with 20 jobs a
-/// second, three of 8 workers.
-const FATAL: u32 = 40;
+/// The ratio of jobs with a task that ends its workers: one in this many. Each such job takes two
+/// to four workers down for 2.4 s; at 20 jobs per second, that is three of 8 workers.
+const FATAL_RATIO: u32 = 40;
 
-/// The same with the seeds below [`CROWDED_BELOW`]: more than 8 workers can bear, so that jobs may not be over in time.
-const FATAL_CROWDED: u32 = 15;
+/// The same ratio for seeds below [`CROWDED_BELOW_SEED`]. It is more than 8 workers can bear, so
+/// that jobs may not end in time.
+const FATAL_RATIO_CROWDED: u32 = 15;
 
-/// See [`FATAL_CROWDED`].
-const CROWDED_BELOW: u64 = 8_000;
+/// The seed below which [`FATAL_RATIO_CROWDED`] applies.
+const CROWDED_BELOW_SEED: u64 = 8_000;
 
-/// How often a job is handed in until its caller gives it up.
-const TRIES: usize = 5;
+/// The number of attempts after which a caller stops submitting a job.
+const MAX_SUBMIT_ATTEMPTS: usize = 5;
 
-/// One job, as its caller knows it.
+/// A job as its caller knows it.
 #[derive(Clone, Debug, Default)]
 pub struct Job {
-    /// When an entry said that it is kept.
+    /// Time at which an entry accepted the job.
     pub accepted: Option<Instant>,
-    /// Whether every answer so far said that it was not taken.
+    /// Whether every response so far said that the job was not accepted.
     pub refused: bool,
-    /// When a cancel was first sent.
-    pub cancelling: Option<Instant>,
-    /// When an entry said that it is cancelled.
+    /// Time at which a cancellation was first sent.
+    pub cancel_sent: Option<Instant>,
+    /// Time at which an entry reported the job as cancelled.
     pub cancelled: Option<Instant>,
-    /// When an entry showed it as done.
+    /// Time at which an entry reported the job as done.
     pub succeeded: Option<Instant>,
-    /// Whether an entry showed it as failed.
+    /// Whether an entry reported the job as failed.
     pub failed: bool,
-    /// Whether it has a task that ends each worker that starts it.
+    /// Whether the job has a task that ends each worker that starts it.
     pub fatal: bool,
-    /// When an entry denied that it exists, after it was accepted.
+    /// Time at which an entry denied that the job exists although it had been accepted.
     pub denied: Option<Instant>,
-    /// Its workspace, where there are such.
+    /// Workspace of the job, in soaks with workspaces.
     pub workspace: Option<&'static str>,
-    /// Whether a call with a wrong key, or one of another workspace, was let in.
+    /// Whether a call with an unknown key or a key of another workspace was admitted.
     pub leaked: bool,
 }
 
@@ -72,47 +73,47 @@
 pub struct Ledger(Arc<Mutex<BTreeMap<u64, Job>>>);
 
 impl Ledger {
-    /// All jobs.
+    /// Returns a copy of all jobs.
     pub fn all(&self) -> BTreeMap<u64, Job> {
         self.0.lock().expect("no thread panics here").clone()
     }
 
-    /// How many jobs are so.
-    pub fn count(&self, is: impl Fn(&Job) -> bool) -> usize {
-        self.all().values().filter(|job| is(job)).count()
+    /// Returns the number of jobs that fulfil a condition.
+    pub fn count(&self, matches: impl Fn(&Job) -> bool) -> usize {
+        self.all().values().filter(|job| matches(job)).count()
     }
 
-    /// Whether an accepted job may still go on.
+    /// Returns whether an accepted job has not ended yet.
     pub fn is_open(&self) -> bool {
         self.count(Job::is_open) > 0
     }
 
-    /// The key of a job's workspace.
+    /// Returns the key of a job's workspace, if it has one.
     fn key(&self, id: u64) -> Option<String> {
         let jobs = self.0.lock().expect("no thread panics here");
         let workspace = jobs.get(&id)?.workspace?;
         Some(site::key(workspace, 0))
     }
 
-    fn change(&self, id: u64, change: impl FnOnce(&mut Job)) {
+    fn update(&self, id: u64, update: impl FnOnce(&mut Job)) {
         let mut jobs = self.0.lock().expect("no thread panics here");
-        change(jobs.entry(id).or_default());
+        update(jobs.entry(id).or_default());
     }
 }
 
 impl Job {
-    /// Whether it is accepted and not known to be over.
+    /// Returns whether the job was accepted and is not known to have ended.
     pub fn is_open(&self) -> bool {
         let over = self.succeeded.is_some() || self.failed || self.cancelled.is_some();
         self.accepted.is_some() && !over
     }
 }
 
-/// Callers that are at work.
+/// A handle to the running callers.
 pub struct Callers(Arc<AtomicBool>);
 
 impl Callers {
-    /// They hand in nothing more.
+    /// Makes the callers stop once they have finished with their current job.
     pub fn stop(&self) {
         self.0.store(true, Relaxed);
     }
@@ -126,42 +127,46 @@
         let caller = Caller {
             rng: StdRng::seed_from_u64(seed * CALLERS + number),
             fatal: match seed {
-                ..HARMFUL_FROM => None,
-                HARMFUL_FROM..CROWDED_BELOW => Some(FATAL_CROWDED),
-                CROWDED_BELOW.. => Some(FATAL),
+                ..HARMFUL_FROM_SEED => None,
+                HARMFUL_FROM_SEED..CROWDED_BELOW_SEED => Some(FATAL_RATIO_CROWDED),
+                CROWDED_BELOW_SEED.. => Some(FATAL_RATIO),
             },
-            lines: entries.iter().map(|at| Line::new(*at)).collect(),
+            connections: entries.iter().map(|at| Connection::new(*at)).collect(),
             ledger: ledger.clone(),
-            keyed: seed >= WORKSPACES_FROM,
+            has_workspaces: seed >= WORKSPACES_FROM_SEED,
         };
-        tokio::spawn(call(caller, Arc::clone(&stop)));
+        tokio::spawn(run_caller(caller, Arc::clone(&stop)));
     }
     Callers(stop)
 }
 
-/// Asks once for each job that may still go on, in each round at another entry.
-pub async fn ask_open(site: &Site, ledger: &Ledger, round: usize) {
-    let mut lines: Vec<Line> = site.entries.iter().map(|e| Line::new(e.address)).collect();
+/// Polls each open job once, using another entry for it in each round.
+pub async fn poll_open_jobs(site: &Site, ledger: &Ledger, round: usize) {
+    let mut connections: Vec<Connection> = site
+        .entries
+        .iter()
+        .map(|e| Connection::new(e.address))
+        .collect();
     for (number, (id, job)) in ledger.all().into_iter().enumerate() {
         if job.is_open() {
-            let line = (number + round) % lines.len();
-            ask(&mut lines[line], ledger, id).await;
+            let index = (number + round) % connections.len();
+            poll_job(&mut connections[index], ledger, id).await;
         }
     }
 }
 
 struct Caller {
     rng: StdRng,
-    /// One in how many of its jobs has a task that ends its workers; none has without.
+    /// Ratio of jobs with a task that ends its workers: one in this many; `None` for none.
     fatal: Option<u32>,
-    lines: Vec<Line>,
+    connections: Vec<Connection>,
     ledger: Ledger,
-    /// Whether callers belong to workspaces.
-    keyed: bool,
+    /// Whether the callers belong to workspaces.
+    has_workspaces: bool,
 }
 
-/// Hands in jobs and asks for them until told to stop.
-async fn call(mut caller: Caller, stop: Arc<AtomicBool>) {
+/// Submits and polls jobs until told to stop.
+async fn run_caller(mut caller: Caller, stop: Arc<AtomicBool>) {
     let mut known = Vec::new();
     while !stop.load(Relaxed) {
         let id = caller.rng.random();
@@ -169,21 +174,26 @@
         if let Some(share) = caller.fatal
             && caller.rng.random_ratio(1, share)
         {
-            caller.ledger.change(id, |job| job.fatal = true);
-            caller.hand_in(id, &fatal_job()).await;
+            caller.ledger.update(id, |job| job.fatal = true);
+            caller.submit(id, &fatal_job()).await;
         } else {
-            let body = caller.plain_job();
-            caller.hand_in(id, &body).await;
+            let body = caller.two_step_job();
+            caller.submit(id, &body).await;
         }
         known.push(id);
-        let asked = known[caller.rng.random_range(0..known.len())];
-        let line = caller.pick();
-        ask(&mut caller.lines[line], &caller.ledger.clone(), asked).await;
+        let polled = known[caller.rng.random_range(0..known.len())];
+        let index = caller.pick_connection();
+        poll_job(
+            &mut caller.connections[index],
+            &caller.ledger.clone(),
+            polled,
+        )
+        .await;
         if caller.rng.random_bool(0.15) {
             caller.cancel(id).await;
         }
-        if caller.keyed && caller.rng.random_bool(0.1) {
-            caller.pry(asked).await;
+        if caller.has_workspaces && caller.rng.random_bool(0.1) {
+            caller.try_wrong_keys(polled).await;
         }
         let pause = caller.rng.random_range(20..120);
         time::sleep(Duration::from_millis(pause)).await;
@@ -191,63 +201,66 @@
 }
 
 impl Caller {
-    /// Chooses the workspace of a job.
+    /// Picks a random workspace for a job, in soaks with workspaces.
     fn choose_workspace(&mut self, id: u64) {
-        if self.keyed {
+        if self.has_workspaces {
             let workspace = WORKSPACES[self.rng.random_range(0..WORKSPACES.len())];
             self.ledger
-                .change(id, |job| job.workspace = Some(workspace));
+                .update(id, |job| job.workspace = Some(workspace));
         }
     }
 
-    /// Asks for a job with a key that there never was, and with one of another workspace.
-    async fn pry(&mut self, id: u64) {
+    /// Polls a job with an unknown key and with keys of other workspaces, and records whether one
+    /// was admitted.
+    async fn try_wrong_keys(&mut self, id: u64) {
         let own = self.ledger.all().get(&id).and_then(|job| job.workspace);
         let others = WORKSPACES.iter().filter(|name| Some(**name) != own);
         let mut wrong: Vec<String> = others.map(|name| site::key(name, 0)).collect();
         wrong.push("secret-of-nobody".to_owned());
         for key in wrong {
-            let line = self.pick();
-            let answer = self.lines[line].call(Method::GET, id, "", Some(key)).await;
-            if answer.is_some_and(|(status, _)| status == 200) {
-                self.ledger.change(id, |job| job.leaked = true);
+            let index = self.pick_connection();
+            let response = self.connections[index]
+                .send(Method::GET, id, "", Some(key))
+                .await;
+            if response.is_some_and(|(status, _)| status == 200) {
+                self.ledger.update(id, |job| job.leaked = true);
             }
         }
     }
 
-    fn pick(&mut self) -> usize {
-        self.rng.random_range(0..self.lines.len())
+    fn pick_connection(&mut self) -> usize {
+        self.rng.random_range(0..self.connections.len())
     }
 
-    /// A job of two steps, of 1 to 3 tasks each.
-    fn plain_job(&mut self) -> String {
+    /// Returns a job of two steps with 1 to 3 tasks each.
+    fn two_step_job(&mut self) -> String {
         let (first, mut second) = (
             step(self.rng.random_range(1..4)),
             step(self.rng.random_range(1..4)),
         );
         second["after"] = json!([0]);
-        let took = self.rng.random_range(20..600).to_string();
-        json!({ "spec": took, "steps": [first, second] }).to_string()
+        let run_time = self.rng.random_range(20..600).to_string();
+        json!({ "spec": run_time, "steps": [first, second] }).to_string()
     }
 
-    /// Hands in a job until it is accepted or refused for good.
-    async fn hand_in(&mut self, id: u64, body: &str) {
+    /// Submits a job until it is accepted, or until [`MAX_SUBMIT_ATTEMPTS`] attempts have failed.
+    async fn submit(&mut self, id: u64, body: &str) {
         let key = self.ledger.key(id);
         let mut refused = true;
-        for _ in 0..TRIES {
-            let line = self.pick();
-            let answer = self.lines[line]
-                .call(Method::POST, id, body, key.clone())
+        for _ in 0..MAX_SUBMIT_ATTEMPTS {
+            let index = self.pick_connection();
+            let response = self.connections[index]
+                .send(Method::POST, id, body, key.clone())
                 .await;
             let now = Instant::now();
-            match answer.map(|(status, _)| status) {
+            match response.map(|(status, _)| status) {
                 Some(200..=299) => {
-                    return self.ledger.change(id, |job| job.accepted = Some(now));
+                    return self.ledger.update(id, |job| job.accepted = Some(now));
                 }
                 Some(429 | 503) => {}
                 Some(_) | None => refused = false,
             }
-            self.ledger.change(id, |job| job.refused = refused);
+            self.ledger.update(id, |job| job.refused = refused);
             time::sleep(Duration::from_millis(300)).await;
         }
     }
@@ -255,37 +268,40 @@
     async fn cancel(&mut self, id: u64) {
         let now = Instant::now();
         self.ledger
-            .change(id, |job| job.cancelling = job.cancelling.or(Some(now)));
+            .update(id, |job| job.cancel_sent = job.cancel_sent.or(Some(now)));
         let key = self.ledger.key(id);
-        let line = self.pick();
-        let answer = self.lines[line].call(Method::DELETE, id, "", key).await;
-        let told = Instant::now();
-        if let Some((200..=299, _)) = answer {
-            self.ledger.change(id, |job| job.cancelled = Some(told));
+        let index = self.pick_connection();
+        let response = self.connections[index]
+            .send(Method::DELETE, id, "", key)
+            .await;
+        let answered_at = Instant::now();
+        if let Some((200..=299, _)) = response {
+            self.ledger
+                .update(id, |job| job.cancelled = Some(answered_at));
         }
     }
 }
 
-/// A step of so many tasks.
+/// Returns a step of `count` tasks.
 fn step(count: u32) -> Value {
     json!({ "count": count, "cpu": 1_000, "mem-mb": 100, "estimated-ms": 200 })
 }
 
-/// A job of one task that ends each worker that starts it.
+/// Returns a job of one task that ends each worker that starts it.
 fn fatal_job() -> String {
     json!({ "spec": ENDS_WORKER, "steps": [step(1)] }).to_string()
 }
 
-/// Asks for a job's state and notes what was told.
-async fn ask(line: &mut Line, ledger: &Ledger, id: u64) {
-    let asked = Instant::now();
-    let Some((status, body)) = line.call(Method::GET, id, "", ledger.key(id)).await else {
+/// Polls the state of a job and records the response.
+async fn poll_job(connection: &mut Connection, ledger: &Ledger, id: u64) {
+    let sent_at = Instant::now();
+    let Some((status, body)) = connection.send(Method::GET, id, "", ledger.key(id)).await else {
         return;
     };
     let state = serde_json::from_slice::<Value>(&body).unwrap_or_default();
     let now = Instant::now();
-    ledger.change(id, |job| match (status, state["state"].as_str()) {
-        (410, _) if job.accepted.is_some_and(|at| at < asked) => job.denied = Some(now),
+    ledger.update(id, |job| match (status, state["state"].as_str()) {
+        (410, _) if job.accepted.is_some_and(|at| at < sent_at) => job.denied = Some(now),
         (200, Some("succeeded")) => job.succeeded = job.succeeded.or(Some(now)),
         (200, Some("failed")) => job.failed = true,
         (200, Some("cancelled")) => job.cancelled = job.cancelled.or(Some(now)),
@@ -293,22 +309,22 @@
     });
 }
 
-/// A connection to an entry, used until it ends.
-struct Line {
+/// A connection to an entry that is opened on the first call and used until it closes.
+struct Connection {
     address: SocketAddr,
     sender: Option<http1::SendRequest<Full<Bytes>>>,
 }
 
-impl Line {
+impl Connection {
     fn new(address: SocketAddr) -> Self {
-        Line {
+        Connection {
             address,
             sender: None,
         }
     }
 
-    /// Makes a call; none if it has no answer in time.
-    async fn call(
+    /// Sends a request; returns `None` if there is no response in time.
+    async fn send(
         &mut self,
         method: Method,
         id: u64,
@@ -316,11 +332,11 @@
         key: Option<String>,
     ) -> Option<(u16, Bytes)> {
         let exchange = self.exchange(method, id, body, key);
-        let answer = time::timeout(PATIENCE, exchange).await.ok().flatten();
-        if answer.is_none() {
+        let response = time::timeout(CALL_TIMEOUT, exchange).await.ok().flatten();
+        if response.is_none() {
             self.sender = None;
         }
-        answer
+        response
     }
 
     async fn exchange(
@@ -333,7 +349,7 @@
         if self.sender.as_ref().is_none_or(|sender| sender.is_closed()) {
             let stream = TcpStream::connect(self.address).await.ok()?;
             let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-            // Its end shows in the next call.
+            // The next call notices that the connection has closed.
             tokio::spawn(async move { drop(connection.await) });
             self.sender = Some(sender);
         }
@@ -347,7 +363,7 @@
             .method(method)
             .uri(format!("{PREFIX}{id:016x}"))
             .header("host", HOST)
-            .header(users::DEADLINE_HEADER, PATIENCE.as_millis() as u64)
+            .header(users::DEADLINE_HEADER, CALL_TIMEOUT.as_millis() as u64)
             .body(Full::from(body.to_owned()))
             .ok()?;
         let response = sender.send_request(request).await.ok()?;
--- a/crates/soak/src/entries.rs
+++ b/crates/soak/src/entries.rs
@@ -1,4 +1,4 @@
-//! Entries as processes of their own, each on its own loopback address.
+//! Entries as separate processes, each on its own loopback address.
 
 use crate::Plan;
 use rustix::process::{Pid, Signal, kill_process};
@@ -12,43 +12,46 @@
     time::Duration,
 };
 
-/// The first of the ports of a run; each seed has its own ten above it.
+/// The first port of the first set; each set has ten ports.
 const FIRST_PORT: u16 = 21_000;
 
-/// How many sets of ports there are.
-const SETS: u64 = 1_000;
+/// The number of sets of ports.
+const PORT_SETS: u64 = 1_000;
 
-/// By how many sets seeds that are [`SETS`] apart lie from each other: runs side by side must not share ports.
-const STRIDE: u64 = 7;
+/// The distance, in sets, between the ports of seeds that are [`PORT_SETS`] apart: such seeds may
+/// run side by side and must not share ports.
+const SET_STRIDE: u64 = 7;
 
-/// The data centres in which the entries are in turn: two, so that one can tell the other of an outage.
+/// The data centres to which entries are assigned in rotation: two, so that one can report an
+/// outage of the other.
 const HALLS: [&str; 2] = ["a", "b"];
 
-/// How many entries all others know from the start: two are left when one of them is killed.
-const SEEDS: usize = 3;
+/// The number of entries that all others know from the start: two are left when one of them is
+/// killed.
+const SEED_ENTRIES: usize = 3;
 
-/// The ports of a run, the same on all entries.
+/// The ports of a run, which are the same on all entries.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports(u16);
 
 impl Ports {
-    /// The ports for a seed.
-    pub fn pick(seed: u64) -> Self {
-        let set = (seed + seed / SETS * STRIDE) % SETS;
+    /// Returns the ports for a seed.
+    pub fn for_seed(seed: u64) -> Self {
+        let set = (seed + seed / PORT_SETS * SET_STRIDE) % PORT_SETS;
         Ports(FIRST_PORT + set as u16 * 10)
     }
 }
 
-/// An entry.
+/// An entry that runs as a process.
 pub struct Entry {
-    /// Where callers reach it.
+    /// Address on which callers reach the entry.
     pub address: SocketAddr,
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
     child: Child,
-    /// For how long its machine has been suspended so far.
-    suspended: Duration,
+    /// Total time for which the entry's machine has been suspended.
+    total_suspension: Duration,
 }
 
 impl Entry {
@@ -78,38 +81,39 @@
             settings: path,
             log,
             child,
-            suspended: Duration::ZERO,
+            total_suspension: Duration::ZERO,
         })
     }
 
-    /// The process's id.
+    /// Returns the id of the process.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process if it is running.
     pub fn signal(&mut self, signal: Signal) {
         if self.is_running()
             && let Some(pid) = Pid::from_raw(self.child.id() as i32)
         {
-            // It may have ended since it was looked at.
+            // The process may have ended since the check.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Puts the clock of the process forward, as a suspension of its machine does; its timers, which stand still
-    /// meanwhile, do not take note of it. No time passes for others: nothing may run that they have a lease for.
+    /// Puts the clock of the process forward, as a suspension of its machine does. Its timers stand
+    /// still during a suspension and don't notice it. No time passes for other processes, so
+    /// nothing may run for which they hold a lease.
     ///
     /// # Errors
     ///
-    /// Fails when the file that tells it cannot be written.
+    /// Fails when the clock file cannot be written.
     pub fn suspend(&mut self, span: Duration) -> io::Result<()> {
-        self.suspended += span;
-        let text = self.suspended.as_millis().to_string();
+        self.total_suspension += span;
+        let text = self.total_suspension.as_millis().to_string();
         fs::write(clock_file(&self.settings), text)
     }
 
-    /// Has the process run, started anew if it has ended.
+    /// Resumes the process if it is paused, and restarts it if it has ended.
     ///
     /// # Errors
     ///
@@ -122,7 +126,7 @@
         Ok(())
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process is running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
@@ -130,18 +134,18 @@
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The loopback address of an entry.
+/// Returns the loopback address of an entry.
 fn ip(number: usize) -> String {
     format!("127.0.0.{}", 11 + number)
 }
 
-/// The file that tells an entry by how much its clock has been put forward.
+/// Returns the path of the file from which an entry reads by how much its clock is put forward.
 fn clock_file(settings: &Path) -> PathBuf {
     settings.with_extension("clock")
 }
@@ -170,7 +174,7 @@
         ip: ip(number),
         hall: HALLS[number % HALLS.len()].to_owned(),
         port: ports.0,
-        seeds: (0..plan.entries.min(SEEDS)).map(ip).collect(),
+        seeds: (0..plan.entries.min(SEED_ENTRIES)).map(ip).collect(),
         log,
         cloud,
     }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,5 +1,5 @@
-//! What goes wrong in a soak: series of faults that overlap, by signals, by the proxies in front of the
-//! log, by VMs that end, and by what operators change.
+//! The faults of a soak: overlapping faults injected by signals, by proxies on the links to the log
+//! and to workers, by crashes of workers, and by changes that operators make.
 
 use crate::site::{CORES, Site};
 use rand::{Rng, rngs::StdRng};
@@ -12,150 +12,155 @@
 };
 use tokio::time;
 
-/// The least and the longest time between two faults, in ms.
-const PAUSE: (u64, u64) = (150, 1_500);
+/// The minimum and maximum time between two faults, in milliseconds.
+const FAULT_INTERVAL_MS: (u64, u64) = (150, 1_500);
 
-/// The least and the longest time for which a fault lasts, in ms: some end before a lease of 1.5 s does,
-/// some after the 6 s for which an owner goes on without the log.
-const LASTS: (u64, u64) = (100, 8_000);
+/// The minimum and maximum duration of a fault, in milliseconds. Some faults end before a lease of
+/// 1.5 s does, others after the 6 s for which an owner continues without the log.
+const FAULT_DURATION_MS: (u64, u64) = (100, 8_000);
 
-/// Time between two looks at faults that are to begin or end: short against [`PAUSE`].
-const LOOK: Duration = Duration::from_millis(20);
+/// The interval at which faults are begun and ended: short compared with [`FAULT_INTERVAL_MS`].
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How much longer a slow call to the log takes: as long as a slow answer of the users' log, and longer than
-/// the 150 ms after which an owner goes on without.
-const SLOW: Duration = Duration::from_millis(240);
+/// The delay of a slow link to the log: as long as a slow response of the users' log, and longer
+/// than the 150 ms after which an owner continues without the log.
+const SLOW_LOG_DELAY: Duration = Duration::from_millis(240);
 
-/// How many of the log's answers are lost in a row: a call that is tried again loses its answer as well.
-const LOST: u64 = 5;
+/// The number of successive responses of the log that are lost: enough that a retried call loses
+/// its response as well.
+const LOST_RESPONSES: u64 = 5;
 
-/// A kind of fault.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     /// An entry is killed.
     Kill,
     /// An entry is told to stop.
-    Stop,
-    /// An entry stands still.
+    Terminate,
+    /// An entry's process is paused.
     Pause,
     /// All entries are killed.
     KillAll,
-    /// An entry's way to the log is cut: connections break.
-    Cut,
-    /// An entry's calls to the log are held back, and come late.
-    MuteRequests,
-    /// The log's answers to an entry are held back.
-    MuteAnswers,
-    /// An entry's calls to the log take long.
-    Slow,
-    /// The log's next answers to an entry are lost.
-    Lose,
-    /// Nobody reaches the log.
+    /// An entry's link to the log is cut, and its connections break.
+    CutLog,
+    /// An entry's requests to the log are held back and arrive late.
+    StallRequests,
+    /// The log's responses to an entry are held back.
+    StallResponses,
+    /// An entry's link to the log is slow.
+    SlowLog,
+    /// The log's next responses to an entry are lost.
+    LoseResponses,
+    /// The log is unreachable for all entries.
     Outage,
-    /// Nobody reaches a VM's worker, which runs on.
-    Dark,
-    /// Calls to a VM's worker are held back, and carried out late.
-    Late,
-    /// A VM's worker ends without notice.
-    Crash,
+    /// A VM's worker is unreachable but keeps running.
+    CutWorker,
+    /// Requests to a VM's worker are held back and carried out late.
+    StallWorker,
+    /// A VM's worker ends abruptly.
+    CrashWorker,
     /// The configuration changes.
     Configure,
-    /// A wave of upkeep is asked for.
+    /// A wave of maintenance is requested.
     Wave,
-    /// A part of the log's answers to appends is lost, and the connections stay open.
-    Swallow,
-    /// An entry's open connections to the log fall silent, and new ones work.
-    Hush,
-    /// Open connections to a VM's worker fall silent, and new ones work.
-    HushWorker,
-    /// An entry's machine is suspended. Its process stands still while time passes for all others, which is all that can
-    /// be brought about from outside: a clock that is put forward alone would have leases run out before the workers'
-    /// time has come.
+    /// A fraction of the log's responses to appends is lost, while the connections stay open.
+    LoseAppendResponses,
+    /// An entry's open connections to the log give no more responses; new connections work.
+    SilenceLog,
+    /// Open connections to a VM's worker give no more responses; new connections work.
+    SilenceWorker,
+    /// An entry's machine is suspended. From outside, this can only be simulated by pausing the
+    /// process while time passes for all others. Putting its clock forward alone would make leases
+    /// expire before the time has passed for the workers.
     Suspend,
-    /// A VM's worker ends without notice and starts again under its id.
-    Restart,
-    /// All workers do.
-    RestartAll,
-    /// Each workspace loses a key and gets another.
-    Keys,
-    /// The bounds of workspaces are lowered far below what they use, until the fault ends.
-    Bounds,
+    /// A VM's worker ends abruptly and restarts under the same id.
+    RestartWorker,
+    /// All workers end abruptly and restart under the same ids.
+    RestartAllWorkers,
+    /// One key of each workspace is replaced.
+    RotateKeys,
+    /// The bounds of the workspaces are lowered far below their usage until the fault ends.
+    LowerBounds,
 }
 
-/// Kinds that earlier seeds draw from stand first.
+/// All kinds of faults. Kinds that earlier seeds draw from come first, so that each seed keeps its
+/// faults.
 const KINDS: [Kind; 23] = [
     Kind::Kill,
-    Kind::Stop,
+    Kind::Terminate,
     Kind::Pause,
     Kind::KillAll,
-    Kind::Cut,
-    Kind::MuteRequests,
-    Kind::MuteAnswers,
-    Kind::Slow,
-    Kind::Lose,
+    Kind::CutLog,
+    Kind::StallRequests,
+    Kind::StallResponses,
+    Kind::SlowLog,
+    Kind::LoseResponses,
     Kind::Outage,
-    Kind::Dark,
-    Kind::Late,
-    Kind::Crash,
+    Kind::CutWorker,
+    Kind::StallWorker,
+    Kind::CrashWorker,
     Kind::Configure,
     Kind::Wave,
-    Kind::Swallow,
-    Kind::Hush,
-    Kind::HushWorker,
+    Kind::LoseAppendResponses,
+    Kind::SilenceLog,
+    Kind::SilenceWorker,
     Kind::Suspend,
-    Kind::Restart,
-    Kind::RestartAll,
-    Kind::Keys,
-    Kind::Bounds,
+    Kind::RestartWorker,
+    Kind::RestartAllWorkers,
+    Kind::RotateKeys,
+    Kind::LowerBounds,
 ];
 
-/// How many of [`KINDS`] the seeds below [`SILENT_FROM`] draw from, so that they go on to mean the same faults.
-const LOUD: usize = 15;
+/// The number of [`KINDS`] that seeds below [`SILENT_FROM_SEED`] draw from.
+const KINDS_BEFORE_SILENT: usize = 15;
 
-/// From which seed on connections fall silent as well.
-const SILENT_FROM: u64 = 6_000;
+/// The first seed with connections that give no more responses.
+const SILENT_FROM_SEED: u64 = 6_000;
 
-/// How many of them those from there up to [`HARMFUL_FROM`] draw from.
-const SILENT: usize = 18;
+/// The number of [`KINDS`] that seeds from [`SILENT_FROM_SEED`] to below [`HARMFUL_FROM_SEED`] draw
+/// from.
+const KINDS_BEFORE_HARMFUL: usize = 18;
 
-/// From which seed on machines are suspended as well, and some jobs have a task that ends its workers.
-pub const HARMFUL_FROM: u64 = 7_000;
+/// The first seed with suspended machines, and with jobs that have a task that ends its workers.
+pub const HARMFUL_FROM_SEED: u64 = 7_000;
 
-/// How many of them those from there up to [`RESTARTS_FROM`] draw from.
-const HARMFUL: usize = 19;
+/// The number of [`KINDS`] that seeds from [`HARMFUL_FROM_SEED`] to below [`RESTARTS_FROM_SEED`]
+/// draw from.
+const KINDS_BEFORE_RESTARTS: usize = 19;
 
-/// From which seed on workers start again under their ids as well, also those that a task ends.
-pub const RESTARTS_FROM: u64 = 9_000;
+/// The first seed with workers that restart under the same id, also after a task has ended them.
+pub const RESTARTS_FROM_SEED: u64 = 9_000;
 
-/// How many of them those from there up to [`WORKSPACES_FROM`] draw from.
-const RESTARTS: usize = 21;
+/// The number of [`KINDS`] that seeds from [`RESTARTS_FROM_SEED`] to below [`WORKSPACES_FROM_SEED`]
+/// draw from.
+const KINDS_BEFORE_WORKSPACES: usize = 21;
 
-/// From which seed on callers belong to workspaces, whose keys and bounds change.
-pub const WORKSPACES_FROM: u64 = 10_000;
+/// The first seed with callers that belong to workspaces, whose keys and bounds change.
+pub const WORKSPACES_FROM_SEED: u64 = 10_000;
 
-/// How many cores a workspace may have running while its bound is lowered.
-const LOWERED: u64 = 2;
+/// The number of cores that a workspace may use while its bound is lowered.
+const LOWERED_CORES: u64 = 2;
 
-/// The longest time for which a worker is away that starts again: users saw 0.25 to 3 s.
-const LONGEST_AWAY: Duration = Duration::from_millis(3_000);
+/// The maximum time for which a restarting worker is down: users saw 0.25 to 3 s.
+const MAX_RESTART_DELAY: Duration = Duration::from_millis(3_000);
 
-/// The part of the answers to appends that is lost.
-const SWALLOWED: f64 = 0.35;
+/// The fraction of the responses to appends that is lost.
+const LOST_APPEND_SHARE: f64 = 0.35;
 
-/// A fault that is to end.
-struct Open {
-    ends: Instant,
+/// A fault in effect.
+struct ActiveFault {
+    ends_at: Instant,
     kind: Kind,
     entry: usize,
-    /// The faults of the way to the worker that the chosen VM has.
+    /// Faults of the link to the worker that the drawn VM had when the fault began.
     worker: Arc<Faults>,
 }
 
-/// Injects faults for a time, and returns what was done when.
+/// Injects faults for a time and returns a description of each with its start time.
 ///
 /// # Errors
 ///
-/// Fails when a process cannot be started again.
+/// Fails when a process cannot be restarted.
 pub async fn inject(
     site: &mut Site,
     seed: u64,
@@ -163,115 +168,119 @@
     span: Duration,
 ) -> io::Result<Vec<String>> {
     let kinds = match seed {
-        ..SILENT_FROM => &KINDS[..LOUD],
-        SILENT_FROM..HARMFUL_FROM => &KINDS[..SILENT],
-        HARMFUL_FROM..RESTARTS_FROM => &KINDS[..HARMFUL],
-        RESTARTS_FROM..WORKSPACES_FROM => &KINDS[..RESTARTS],
-        WORKSPACES_FROM.. => &KINDS[..],
+        ..SILENT_FROM_SEED => &KINDS[..KINDS_BEFORE_SILENT],
+        SILENT_FROM_SEED..HARMFUL_FROM_SEED => &KINDS[..KINDS_BEFORE_HARMFUL],
+        HARMFUL_FROM_SEED..RESTARTS_FROM_SEED => &KINDS[..KINDS_BEFORE_RESTARTS],
+        RESTARTS_FROM_SEED..WORKSPACES_FROM_SEED => &KINDS[..KINDS_BEFORE_WORKSPACES],
+        WORKSPACES_FROM_SEED.. => &KINDS[..],
     };
-    let began = Instant::now();
-    let mut open: Vec<Open> = Vec::new();
-    let mut told = Vec::new();
-    let mut next = began;
-    while began.elapsed() < span {
-        time::sleep(LOOK).await;
-        for fault in open.extract_if(.., |fault| fault.ends <= Instant::now()) {
-            end(site, &fault)?;
+    let started_at = Instant::now();
+    let mut active: Vec<ActiveFault> = Vec::new();
+    let mut injected = Vec::new();
+    let mut next = started_at;
+    while started_at.elapsed() < span {
+        time::sleep(POLL_INTERVAL).await;
+        for fault in active.extract_if(.., |fault| fault.ends_at <= Instant::now()) {
+            end_fault(site, &fault)?;
         }
         if Instant::now() < next {
             continue;
         }
-        next = Instant::now() + Duration::from_millis(rng.random_range(PAUSE.0..PAUSE.1));
-        let (fault, vm, lasts) = pick(site, kinds, rng);
-        told.push(format!(
-            "{:.2} s: {:?} entry-{} {vm} for {lasts:?}",
-            began.elapsed().as_secs_f64(),
+        next = Instant::now()
+            + Duration::from_millis(rng.random_range(FAULT_INTERVAL_MS.0..FAULT_INTERVAL_MS.1));
+        let (fault, vm, duration) = draw_fault(site, kinds, rng);
+        injected.push(format!(
+            "{:.2} s: {:?} entry-{} {vm} for {duration:?}",
+            started_at.elapsed().as_secs_f64(),
             fault.kind,
             fault.entry,
         ));
-        begin(site, &fault, &vm, seed);
-        open.push(fault);
+        begin_fault(site, &fault, &vm, seed);
+        active.push(fault);
     }
-    Ok(told)
+    Ok(injected)
 }
 
-/// Draws a fault: what, at which entry and VM, and for how long.
-fn pick(site: &Site, kinds: &[Kind], rng: &mut StdRng) -> (Open, String, Duration) {
+/// Draws the kind, entry, VM and duration of a fault.
+fn draw_fault(site: &Site, kinds: &[Kind], rng: &mut StdRng) -> (ActiveFault, String, Duration) {
     let kind = kinds[rng.random_range(0..kinds.len())];
     let entry = rng.random_range(0..site.entries.len());
     let mut names = site.cloud.names();
     let vm = names.swap_remove(rng.random_range(0..names.len()));
-    let lasts = Duration::from_millis(rng.random_range(LASTS.0..LASTS.1));
-    let fault = Open {
-        ends: Instant::now() + lasts,
+    let duration =
+        Duration::from_millis(rng.random_range(FAULT_DURATION_MS.0..FAULT_DURATION_MS.1));
+    let fault = ActiveFault {
+        ends_at: Instant::now() + duration,
         kind,
         entry,
         worker: site.cloud.link(&vm).unwrap_or_default(),
     };
-    (fault, vm, lasts)
+    (fault, vm, duration)
 }
 
-fn begin(site: &mut Site, fault: &Open, vm: &str, seed: u64) {
+fn begin_fault(site: &mut Site, fault: &ActiveFault, vm: &str, seed: u64) {
     let entry = fault.entry;
     let link = &site.links[entry];
-    let away = fault.ends.saturating_duration_since(Instant::now());
-    let away = away.min(LONGEST_AWAY);
+    let delay = fault.ends_at.saturating_duration_since(Instant::now());
+    let delay = delay.min(MAX_RESTART_DELAY);
     match fault.kind {
-        Kind::Restart => site.cloud.restart(vm, away),
-        Kind::RestartAll => {
+        Kind::RestartWorker => site.cloud.restart(vm, delay),
+        Kind::RestartAllWorkers => {
             let names = site.cloud.names();
-            names.iter().for_each(|name| site.cloud.restart(name, away));
+            names
+                .iter()
+                .for_each(|name| site.cloud.restart(name, delay));
         }
         Kind::Kill => site.entries[entry].signal(Signal::KILL),
-        Kind::Stop => site.entries[entry].signal(Signal::TERM),
+        Kind::Terminate => site.entries[entry].signal(Signal::TERM),
         Kind::Pause | Kind::Suspend => site.entries[entry].signal(Signal::STOP),
         Kind::KillAll => site.entries.iter_mut().for_each(|e| e.signal(Signal::KILL)),
-        Kind::Cut => link.cut(true),
-        Kind::MuteRequests => link.stall(true, false),
-        Kind::MuteAnswers => link.stall(false, true),
-        Kind::Slow => link.delay(SLOW),
-        Kind::Lose => link.lose_responses(LOST),
+        Kind::CutLog => link.cut(true),
+        Kind::StallRequests => link.stall(true, false),
+        Kind::StallResponses => link.stall(false, true),
+        Kind::SlowLog => link.delay(SLOW_LOG_DELAY),
+        Kind::LoseResponses => link.lose_responses(LOST_RESPONSES),
         Kind::Outage => site.links.iter().for_each(|link| link.cut(true)),
-        Kind::Dark => fault.worker.cut(true),
-        Kind::Late => fault.worker.stall(true, false),
-        Kind::Crash => site.cloud.crash(vm),
+        Kind::CutWorker => fault.worker.cut(true),
+        Kind::StallWorker => fault.worker.stall(true, false),
+        Kind::CrashWorker => site.cloud.crash(vm),
         Kind::Configure => site.configure(),
-        Kind::Keys => site.rotate_keys(),
-        Kind::Bounds => site.set_bounds(LOWERED),
+        Kind::RotateKeys => site.rotate_keys(),
+        Kind::LowerBounds => site.set_bounds(LOWERED_CORES),
         Kind::Wave => site.request_wave(),
-        Kind::Swallow => site.log.lose_responses(SWALLOWED, seed),
-        Kind::Hush => link.silence_connections(),
-        Kind::HushWorker => fault.worker.silence_connections(),
+        Kind::LoseAppendResponses => site.log.lose_responses(LOST_APPEND_SHARE, seed),
+        Kind::SilenceLog => link.silence_connections(),
+        Kind::SilenceWorker => fault.worker.silence_connections(),
     }
 }
 
-fn end(site: &mut Site, fault: &Open) -> io::Result<()> {
+fn end_fault(site: &mut Site, fault: &ActiveFault) -> io::Result<()> {
     let link = &site.links[fault.entry];
     match fault.kind {
-        Kind::Kill | Kind::Stop | Kind::Pause | Kind::Suspend => {
+        Kind::Kill | Kind::Terminate | Kind::Pause | Kind::Suspend => {
             site.entries[fault.entry].ensure_running()?
         }
         Kind::KillAll => site
             .entries
             .iter_mut()
             .try_for_each(|e| e.ensure_running())?,
-        Kind::Cut => link.cut(false),
-        Kind::MuteRequests | Kind::MuteAnswers => link.stall(false, false),
-        Kind::Slow => link.delay(Duration::ZERO),
+        Kind::CutLog => link.cut(false),
+        Kind::StallRequests | Kind::StallResponses => link.stall(false, false),
+        Kind::SlowLog => link.delay(Duration::ZERO),
         Kind::Outage => site.links.iter().for_each(|link| link.cut(false)),
-        Kind::Dark => fault.worker.cut(false),
-        Kind::Late => fault.worker.stall(false, false),
-        Kind::Swallow => site.log.lose_responses(0.0, 0),
-        Kind::Bounds => site.set_bounds(CORES),
-        Kind::Lose
-        | Kind::Crash
+        Kind::CutWorker => fault.worker.cut(false),
+        Kind::StallWorker => fault.worker.stall(false, false),
+        Kind::LoseAppendResponses => site.log.lose_responses(0.0, 0),
+        Kind::LowerBounds => site.set_bounds(CORES),
+        Kind::LoseResponses
+        | Kind::CrashWorker
         | Kind::Configure
-        | Kind::Keys
+        | Kind::RotateKeys
         | Kind::Wave
-        | Kind::Hush
-        | Kind::HushWorker
-        | Kind::Restart
-        | Kind::RestartAll => {}
+        | Kind::SilenceLog
+        | Kind::SilenceWorker
+        | Kind::RestartWorker
+        | Kind::RestartAllWorkers => {}
     }
     Ok(())
 }
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold, whatever went wrong, as callers and workers see it.
+//! The invariants that must hold under all faults, checked from what callers and workers observed.
 
 use crate::caller::Job;
 use standin::users::events::{Event, RunEvent};
@@ -8,61 +8,62 @@
     time::{Duration, Instant},
 };
 
-/// How long after a cancel was told a start may still come: it may have been on its way.
-const CANCEL: Duration = Duration::from_millis(3_000);
+/// The time after a confirmed cancellation in which a task may still start, since its start may
+/// already have been sent.
+const CANCEL_GRACE: Duration = Duration::from_millis(3_000);
 
-/// For how long an owner that the log does not reach may go by an older bound: the 6 s for which it goes on, and what its
-/// last starts may take.
-const UNHEARD: Duration = Duration::from_millis(8_000);
+/// The time for which an owner that is isolated from the log may apply an old bound: the 6 s for
+/// which it continues, plus the time that its last starts may take.
+const MAX_BOUND_AGE: Duration = Duration::from_millis(8_000);
 
-/// How often a task may be started that ends its workers: twice after the third of them.
-const FATAL_STARTS: usize = 5;
+/// The maximum number of starts of a task that ends its workers: two more after the third start.
+const MAX_FATAL_STARTS: usize = 5;
 
-/// After how many ends of workers under one of its tasks a job may be given up.
-const GIVEN_UP_AFTER: u32 = 2;
+/// The number of workers that must have ended under one task before its job may fail.
+const MIN_LOST_WORKERS: u32 = 2;
 
-/// A promise that was broken.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// Violated invariant.
     pub invariant: Invariant,
-    /// The job, and the task if it is about one.
-    pub about: String,
+    /// Job, or task, that the violation concerns.
+    pub subject: String,
 }
 
-/// A promise.
+/// The invariants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// No two runs of a task at once, and none after an end that was acknowledged.
+    /// A task never has two runs at once, and no run starts after an acknowledged successful end.
     RunsOnce,
-    /// Nothing runs of a job that every answer refused, or that nobody handed in.
+    /// Nothing runs of a job that every response refused, or that nobody submitted.
     RefusedNeverRuns,
-    /// A step begins only after the steps before it.
+    /// A step begins only after the previous step has ended.
     StepsInOrder,
-    /// A job that was accepted is known, and is done or fails for a cause.
+    /// An accepted job stays known until it ends, and fails only for a cause.
     AcceptedIsKept,
-    /// Nothing starts of a job after its cancelling was told.
+    /// No task of a job starts after its cancellation was confirmed.
     NoStartAfterCancel,
-    /// A job is shown as done only when all its tasks are.
+    /// A job is reported as done only after all its tasks are done.
     DoneMeansAllTasks,
-    /// A task that ends its workers is not started again and again.
+    /// A task that ends its workers is started only a limited number of times.
     CrashesAreBounded,
-    /// A workspace has no more running than it may.
+    /// A workspace never uses more cores than its bound.
     WithinBound,
-    /// A wrong key, or another workspace's, opens nothing.
+    /// A call with an unknown key or a key of another workspace is not admitted.
     KeysAreEnforced,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.invariant, self.about)
+        write!(f, "{:?}: {}", self.invariant, self.subject)
     }
 }
 
-/// A bound of a workspace: from when on, whose, and how many cores.
+/// A bound of a workspace: since when, for which workspace, and the number of cores.
 type BoundChange = (Instant, String, u64);
 
-/// Checks all promises.
+/// Checks all invariants and returns the violations.
 pub fn check(
     jobs: &BTreeMap<u64, Job>,
     events: &[Event],
@@ -75,12 +76,15 @@
     for (id, job) in jobs {
         check_job(*id, job, events, &mut violations);
     }
-    let unasked = events.iter().find(|e| !jobs.contains_key(&job_of(&e.task)));
-    violations.extend(unasked.map(|event| violation(Invariant::RefusedNeverRuns, &event.task)));
+    let unsubmitted = events
+        .iter()
+        .find(|event| !jobs.contains_key(&job_of(&event.task)));
+    violations.extend(unsubmitted.map(|event| violation(Invariant::RefusedNeverRuns, &event.task)));
     violations
 }
 
-/// Each task takes a core: no start may bring its workspace over the highest bound that its owner may have known.
+/// Checks that no start brings a workspace above the highest bound that its owner may have known.
+/// Each task uses one core.
 fn check_bounds(
     jobs: &BTreeMap<u64, Job>,
     events: &[Event],
@@ -110,14 +114,14 @@
     }
 }
 
-/// The highest bound of a workspace that may be in force at a moment.
+/// Returns the highest bound of a workspace that may be in force at a time.
 fn highest_bound(bounds: &[BoundChange], workspace: &str, at: Instant) -> u64 {
     let own = bounds.iter().filter(|(_, name, _)| name == workspace);
     let before = own
         .clone()
-        .take_while(|(from, ..)| *from + UNHEARD < at)
+        .take_while(|(from, ..)| *from + MAX_BOUND_AGE < at)
         .last();
-    let recent = own.filter(|(from, ..)| *from + UNHEARD >= at && *from <= at);
+    let recent = own.filter(|(from, ..)| *from + MAX_BOUND_AGE >= at && *from <= at);
     let cores = before.into_iter().chain(recent).map(|(.., cores)| *cores);
     match cores.max() {
         Some(0) | None => u64::MAX,
@@ -125,32 +129,33 @@
     }
 }
 
-fn violation(invariant: Invariant, about: impl fmt::Display) -> Violation {
+fn violation(invariant: Invariant, subject: impl fmt::Display) -> Violation {
     Violation {
         invariant,
-        about: about.to_string(),
+        subject: subject.to_string(),
     }
 }
 
-/// The job of a task, by the task's name.
+/// Returns the id of the job in a task's name; 0 if there is none.
 fn job_of(task: &str) -> u64 {
     let name = task.split('.').next().unwrap_or_default();
     u64::from_str_radix(name, 16).unwrap_or(0)
 }
 
-/// The step of a task, by the task's name.
+/// Returns the number of the step in a task's name.
 fn step_of(task: &str) -> &str {
     task.split('.').nth(2).unwrap_or_default()
 }
 
 fn check_runs(events: &[Event], violations: &mut Vec<Violation>) {
     let mut running: HashMap<&str, (&str, u64)> = HashMap::new();
-    let mut noted: HashSet<&str> = HashSet::new();
+    let mut acknowledged: HashSet<&str> = HashSet::new();
     for event in events {
         let run = (event.worker.as_str(), event.run);
         match event.kind {
             RunEvent::Started => {
-                if running.insert(&event.task, run).is_some() || noted.contains(event.task.as_str())
+                if running.insert(&event.task, run).is_some()
+                    || acknowledged.contains(event.task.as_str())
                 {
                     violations.push(violation(Invariant::RunsOnce, &event.task));
                 }
@@ -161,18 +166,19 @@
                 }
             }
             RunEvent::Acknowledged => {
-                noted.insert(&event.task);
+                acknowledged.insert(&event.task);
             }
         }
     }
 }
 
-/// Tasks of the second step must start after the last end of the first step's tasks.
+/// Checks that tasks of the second step start only after all started tasks of the first step are
+/// done.
 fn check_order(events: &[Event], violations: &mut Vec<Violation>) {
-    let mut open: HashMap<u64, HashSet<&str>> = HashMap::new();
+    let mut unfinished: HashMap<u64, HashSet<&str>> = HashMap::new();
     for event in events {
         let first = step_of(&event.task) == "0";
-        let waiting = open.entry(job_of(&event.task)).or_default();
+        let waiting = unfinished.entry(job_of(&event.task)).or_default();
         match event.kind {
             RunEvent::Started if first => {
                 waiting.insert(&event.task);
@@ -198,52 +204,52 @@
     if job.leaked {
         violations.push(violation(Invariant::KeysAreEnforced, &name));
     }
-    check_kept(&name, job, own(), violations);
-    if job.fatal && own().filter(started).count() > FATAL_STARTS {
+    check_accepted(&name, job, own(), violations);
+    if job.fatal && own().filter(started).count() > MAX_FATAL_STARTS {
         violations.push(violation(Invariant::CrashesAreBounded, &name));
     }
-    if let Some(told) = job.cancelled {
-        let late = |event: &&Event| started(event) && event.at > told + CANCEL;
+    if let Some(cancelled_at) = job.cancelled {
+        let late = |event: &&Event| started(event) && event.at > cancelled_at + CANCEL_GRACE;
         violations.extend(
             own()
                 .find(late)
-                .map(|e| violation(Invariant::NoStartAfterCancel, &e.task)),
+                .map(|event| violation(Invariant::NoStartAfterCancel, &event.task)),
         );
     }
-    if let Some(shown) = job.succeeded {
-        check_done(&name, shown, own(), violations);
+    if let Some(reported_at) = job.succeeded {
+        check_done(&name, reported_at, own(), violations);
     }
 }
 
-/// Whether so many workers have ended under a task that the users allow its job to be given up.
-fn may_be_given_up<'e>(own: impl Iterator<Item = &'e Event>) -> bool {
+/// Returns whether enough workers have ended under one task that the users allow its job to fail.
+fn may_fail<'e>(own: impl Iterator<Item = &'e Event>) -> bool {
     let mut lost: HashMap<&str, u32> = HashMap::new();
     for event in own.filter(|event| event.kind == RunEvent::Lost) {
         *lost.entry(&event.task).or_default() += 1;
     }
-    lost.values().any(|count| *count >= GIVEN_UP_AFTER)
+    lost.values().any(|count| *count >= MIN_LOST_WORKERS)
 }
 
-/// A job that was accepted must be known until its end, which must not be a failure but for a cause.
-fn check_kept<'e>(
+/// Checks that an accepted job was known until it ended, has ended, and failed only for a cause.
+fn check_accepted<'e>(
     name: &str,
     job: &Job,
     own: impl Iterator<Item = &'e Event>,
     violations: &mut Vec<Violation>,
 ) {
-    if job.denied.is_some() && job.cancelling.is_none() {
+    if job.denied.is_some() && job.cancel_sent.is_none() {
         violations.push(violation(
             Invariant::AcceptedIsKept,
-            format!("{name} is denied"),
+            format!("{name} is reported as unknown"),
         ));
     }
     if job.is_open() {
         violations.push(violation(
             Invariant::AcceptedIsKept,
-            format!("{name} is not over"),
+            format!("{name} has not ended"),
         ));
     }
-    if job.failed && !may_be_given_up(own) {
+    if job.failed && !may_fail(own) {
         violations.push(violation(
             Invariant::AcceptedIsKept,
             format!("{name} failed without a cause"),
@@ -251,19 +257,20 @@
     }
 }
 
-/// All tasks that ever started of a job must have ended well before it was shown as done.
+/// Checks that some task started before the job was reported as done, and that every such task had
+/// completed by then.
 fn check_done<'e>(
     name: &str,
-    shown: Instant,
+    reported_at: Instant,
     own: impl Iterator<Item = &'e Event>,
     violations: &mut Vec<Violation>,
 ) {
-    let mut open: HashSet<&str> = HashSet::new();
+    let mut started: HashSet<&str> = HashSet::new();
     let mut done: HashSet<&str> = HashSet::new();
-    for event in own.filter(|event| event.at < shown) {
+    for event in own.filter(|event| event.at < reported_at) {
         match event.kind {
             RunEvent::Started => {
-                open.insert(&event.task);
+                started.insert(&event.task);
             }
             RunEvent::Done => {
                 done.insert(&event.task);
@@ -271,7 +278,7 @@
             RunEvent::Ended | RunEvent::Lost | RunEvent::Acknowledged => {}
         }
     }
-    if open.is_empty() || open.iter().any(|task| !done.contains(task)) {
+    if started.is_empty() || started.iter().any(|task| !done.contains(task)) {
         violations.push(violation(Invariant::DoneMeansAllTasks, name));
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! A randomized soak: entries run as separate processes against stand-ins of the users' log, workers and
-//! VMs; faults come from outside them, by signals and by a proxy in front of the log; and what callers and
-//! workers see is checked against the promises.
+//! A randomized soak test. Entries run as separate processes against stand-ins of the users' log,
+//! workers and VMs. Faults are injected from outside, by signals and by proxies on the links to the
+//! log and to the workers, and what callers and workers observe is checked against invariants.
 //!
-//! A seed gives the same faults and jobs at the same times; what the processes make of them differs with
-//! their timing. Only processes that the soak started are signalled, by their ids.
+//! A seed gives the same faults and jobs at the same times; how the processes react differs with
+//! their timing. Signals go only to processes that the soak started, by their ids.
 
 #![expect(
     clippy::missing_panics_doc,
@@ -27,42 +27,43 @@
 };
 use tokio::time;
 
-/// How long the entries get to find an owner before callers come.
-const START: Duration = Duration::from_millis(2_500);
+/// The time in which the entries elect an owner before callers start.
+const STARTUP_TIME: Duration = Duration::from_millis(2_500);
 
-/// How long the faults' effects may last after the last of them: a lost worker's lease and that of an
-/// owner that could not renew, 4.7 and 6 s, a takeover, and the work that waited.
-const SETTLE: Duration = Duration::from_secs(20);
+/// The time for which the effects of faults may last after the last fault: the leases of a lost
+/// worker (4.7 s) and of an owner that could not renew its own (6 s), a failover, and the work that
+/// was waiting.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a run of the soak does.
+/// The settings of one run of the soak.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program under test.
+    /// Path of the program under test.
     pub program: PathBuf,
-    /// What faults and jobs come when.
+    /// Seed that decides which faults and jobs come when.
     pub seed: u64,
-    /// For how long faults come.
+    /// Time for which faults are injected.
     pub span: Duration,
-    /// How many entries run.
+    /// Number of entries.
     pub entries: usize,
-    /// How many VMs there are.
+    /// Number of VMs.
     pub vms: usize,
-    /// Where the entries' logs go.
+    /// Directory for the entries' settings and logs.
     pub logs: PathBuf,
 }
 
-/// What a run showed.
+/// The results of one run of the soak.
 #[derive(Debug)]
 pub struct Report {
-    /// Jobs that were handed in.
+    /// Number of submitted jobs.
     pub jobs: usize,
-    /// Jobs of which an entry said that they are kept.
+    /// Number of jobs that an entry accepted.
     pub accepted: usize,
-    /// Jobs that an entry showed as done.
+    /// Number of jobs that an entry reported as done.
     pub succeeded: usize,
-    /// The faults, in order.
+    /// Injected faults in order.
     pub faults: Vec<String>,
-    /// The promises that were broken.
+    /// Violated invariants.
     pub violations: Vec<Violation>,
 }
 
@@ -70,17 +71,17 @@
 ///
 /// # Errors
 ///
-/// Fails when processes or ports are not to be had.
+/// Fails when processes can't be started or ports aren't free.
 pub async fn run(plan: &Plan) -> io::Result<Report> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let mut site = Site::start(plan).await?;
-    time::sleep(START).await;
+    time::sleep(STARTUP_TIME).await;
     let ledger = Ledger::default();
     let callers = caller::start(&site, &ledger, plan.seed);
     let faults = faults::inject(&mut site, plan.seed, &mut rng, plan.span).await?;
     callers.stop();
-    let calm = Instant::now();
-    wait_for_jobs(&mut site, &ledger, calm + SETTLE).await?;
+    let faults_ended = Instant::now();
+    wait_for_jobs(&mut site, &ledger, faults_ended + SETTLE_TIMEOUT).await?;
     let violations = invariants::check(&ledger.all(), &site.events.all(), &site.bounds);
     Ok(Report {
         jobs: ledger.all().len(),
@@ -91,17 +92,17 @@
     })
 }
 
-/// Asks for the jobs that are not over until all are, or the time is.
+/// Polls the jobs that have not ended until all have or the time is up.
 ///
 /// # Errors
 ///
-/// Fails when a process cannot be started again.
+/// Fails when a process cannot be restarted.
 async fn wait_for_jobs(site: &mut Site, ledger: &Ledger, until: Instant) -> io::Result<()> {
     let mut round = 0;
     while Instant::now() < until && ledger.is_open() {
-        // A process that was told to stop may end only now.
+        // A process that was told to stop may have ended only now.
         site.heal()?;
-        caller::ask_open(site, ledger, round).await;
+        caller::poll_open_jobs(site, ledger, round).await;
         round += 1;
         time::sleep(Duration::from_millis(200)).await;
     }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -7,25 +7,26 @@
 #[derive(Parser)]
 #[command(about = "Runs entries under random faults and checks what callers and workers see")]
 struct Args {
-    /// The program under test.
+    /// Path of the program under test.
     #[arg(long)]
     program: PathBuf,
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// How many seeds to run, one after the other.
+    /// Number of seeds to run, one after the other.
     #[arg(long, default_value_t = 50)]
     seeds: u64,
-    /// For how long faults come, in seconds.
+    /// Time for which faults are injected, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// How many entries run.
+    /// Number of entries.
     #[arg(long, default_value_t = 4)]
     entries: usize,
-    /// How many VMs there are.
+    /// Number of VMs.
     #[arg(long, default_value_t = 8)]
     vms: usize,
-    /// Where the entries' logs go, a folder for each seed; those of seeds that hold are removed.
+    /// Directory for the entries' logs, with a folder for each seed; the folders of seeds that pass
+    /// are removed.
     #[arg(long, default_value = "target/soak")]
     logs: PathBuf,
 }
@@ -35,25 +36,25 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let mut red = 0;
+    let mut failed_seeds = 0;
     for seed in args.first..args.first + args.seeds {
         let plan = plan(&args, seed);
         let report = runtime.block_on(run(&plan))?;
-        print(seed, &report);
+        print_report(seed, &report);
         if report.violations.is_empty() {
             fs::remove_dir_all(&plan.logs)?;
         } else {
-            red += 1;
+            failed_seeds += 1;
         }
     }
-    Ok(if red == 0 {
+    Ok(if failed_seeds == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     })
 }
 
-/// What the run with a seed does.
+/// Returns the settings of the run with a seed.
 fn plan(args: &Args, seed: u64) -> Plan {
     Plan {
         program: args.program.clone(),
@@ -65,8 +66,8 @@
     }
 }
 
-/// Prints what a run showed, and its faults if it broke a promise.
-fn print(seed: u64, report: &Report) {
+/// Prints a summary of a run, and its faults if an invariant was violated.
+fn print_report(seed: u64, report: &Report) {
     println!(
         "seed {seed}: {} jobs, {} accepted, {} succeeded, {} faults, {} invariants violated",
         report.jobs,
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -1,9 +1,9 @@
-//! What runs in a soak: stand-ins, proxies in front of the log, and entries.
+//! The site of a soak: stand-ins, proxies in front of the log, and entries.
 
 use crate::{
     Plan,
     entries::{Entry, Ports},
-    faults::{RESTARTS_FROM, WORKSPACES_FROM},
+    faults::{RESTARTS_FROM_SEED, WORKSPACES_FROM_SEED},
 };
 use standin::{
     proxy::{Faults, Proxy},
@@ -24,31 +24,33 @@
 /// The pool whose workers run the jobs.
 const POOL: &str = "renders";
 
-/// The pool of VMs that are off.
+/// The pool of VMs that are switched off.
 const RESERVE: &str = "spare";
 
-/// The host and the path under which jobs are handed in.
+/// The host to which jobs are submitted.
 pub const HOST: &str = "soak.example";
-/// See [`HOST`].
+/// The path prefix under which jobs are submitted.
 pub const PREFIX: &str = "/render/";
 
-/// The workspaces of soaks that have such.
+/// The workspaces of soaks with workspaces.
 pub const WORKSPACES: [&str; 2] = ["year-9", "year-13"];
 
-/// How many cores each may have running as a rule: together a little less than 8 VMs have.
+/// The number of cores that each workspace may use unless its bound is lowered: together slightly
+/// less than 8 VMs have.
 pub const CORES: u64 = 14;
 
-/// The key of a workspace by its number: 0 is the one that its callers use.
+/// Returns a key of a workspace by its number. Callers use the key with the number 0.
 pub fn key(workspace: &str, number: u64) -> String {
     format!("secret-{workspace}-{number}")
 }
 
-/// How much higher each version of the configuration is than the one before: versions need not follow on
-/// each other.
+/// The difference between the versions of successive configurations; versions need not be
+/// consecutive.
 const VERSION_STEP: u64 = 3;
 
-/// A workspace at the start of a soak: two keys, of which callers use the first.
-fn first_workspace(name: &str) -> Workspace {
+/// Returns a workspace as it is at the start of a soak: with two keys, of which callers use the
+/// first.
+fn initial_workspace(name: &str) -> Workspace {
     Workspace {
         name: name.to_owned(),
         keys: vec![key(name, 0), key(name, 1)],
@@ -56,45 +58,45 @@
     }
 }
 
-/// All that runs.
+/// The stand-ins and entries of a soak.
 pub struct Site {
-    /// The entries.
+    /// Entries by their numbers.
     pub entries: Vec<Entry>,
-    /// The faults of each entry's way to the log.
+    /// Faults of each entry's link to the log.
     pub links: Vec<Arc<Faults>>,
-    /// The VMs.
+    /// VMs of the site.
     pub cloud: Cloud,
-    /// The log.
+    /// Log of the site.
     pub log: Log,
-    /// What the workers ran.
+    /// Events of all runs on the workers.
     pub events: Events,
-    /// The workspaces of the newest configuration; none where calls need no keys.
+    /// Workspaces of the newest configuration; `None` if calls need no keys.
     pub workspaces: Option<Vec<Workspace>>,
-    /// The bounds that were in force: from when on, of which workspace, in cores.
+    /// All bounds that were configured: since when, for which workspace, and the number of cores.
     pub bounds: Vec<(Instant, String, u64)>,
-    /// The version of the newest configuration.
+    /// Version of the newest configuration.
     version: u64,
-    /// How many waves were asked for.
+    /// Number of waves requested so far.
     waves: u64,
 }
 
 impl Site {
-    /// Starts everything.
+    /// Starts the stand-ins and the entries.
     ///
     /// # Errors
     ///
-    /// Fails when processes or ports are not to be had.
+    /// Fails when processes can't be started or ports aren't free.
     pub async fn start(plan: &Plan) -> io::Result<Self> {
         let (log, events) = (Log::default(), Events::default());
         let cloud = Cloud::new(log.clone(), events.clone());
-        if plan.seed >= RESTARTS_FROM {
+        if plan.seed >= RESTARTS_FROM_SEED {
             cloud.keep_ids();
         }
         for number in 0..plan.vms {
             cloud.add(&format!("vm-{number}"), POOL).await?;
         }
-        let log_at = listen(&log, |log, call| async move { log.handle(call).await }).await?;
-        let cloud_at = listen(
+        let log_address = listen(&log, |log, call| async move { log.handle(call).await }).await?;
+        let cloud_address = listen(
             &cloud,
             |cloud, call| async move { cloud.handle(call).await },
         )
@@ -110,21 +112,22 @@
             version: 0,
             waves: 0,
         };
-        if plan.seed >= WORKSPACES_FROM {
-            site.workspaces = Some(WORKSPACES.map(first_workspace).into());
+        if plan.seed >= WORKSPACES_FROM_SEED {
+            site.workspaces = Some(WORKSPACES.map(initial_workspace).into());
         }
         site.configure();
-        let ports = Ports::pick(plan.seed);
+        let ports = Ports::for_seed(plan.seed);
         for number in 0..plan.entries {
-            let proxy = Proxy::start(log_at).await?;
+            let proxy = Proxy::start(log_address).await?;
             site.links.push(Arc::clone(&proxy.faults));
-            let entry = Entry::start(plan, number, &ports, proxy.addr, cloud_at)?;
+            let entry = Entry::start(plan, number, &ports, proxy.addr, cloud_address)?;
             site.entries.push(entry);
         }
         Ok(site)
     }
 
-    /// Writes another version of the configuration; only its version and time-out differ.
+    /// Writes a new version of the configuration with the current workspaces. If these are
+    /// unchanged, only the version and the timeout differ.
     pub fn configure(&mut self) {
         self.version += VERSION_STEP;
         let now = Instant::now();
@@ -141,7 +144,7 @@
         operator::write_config(&self.log, self.version, &config);
     }
 
-    /// Takes a key away from each workspace and gives it another, where there are such.
+    /// Replaces the second key of each workspace, if there are workspaces.
     pub fn rotate_keys(&mut self) {
         let next = self.version;
         for workspace in self.workspaces.iter_mut().flatten() {
@@ -151,20 +154,20 @@
         self.configure();
     }
 
-    /// Sets how many cores each workspace may have running.
+    /// Sets the number of cores that each workspace may use.
     pub fn set_bounds(&mut self, cores: u64) {
         let workspaces = self.workspaces.iter_mut().flatten();
         workspaces.for_each(|workspace| workspace.cores = cores);
         self.configure();
     }
 
-    /// Asks for the upkeep of all VMs, one at a time.
+    /// Requests the maintenance of all VMs, one at a time.
     pub fn request_wave(&mut self) {
         self.waves += 1;
         operator::write_wave(&self.log, self.waves, &self.cloud.names());
     }
 
-    /// Ends all faults: every process runs, every link is whole.
+    /// Ends all faults: resumes or restarts every process and restores every link.
     ///
     /// # Errors
     ///
--- a/crates/soak/tests/invariants.rs
+++ b/crates/soak/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The checks of the promises find what they are for.
+//! Tests that the checks of the invariants find violations and nothing else.
 
 use havenladder_soak::{
     caller::Job,
@@ -11,10 +11,11 @@
 };
 use yare::parameterized;
 
-/// The job of all events here.
+/// The job that all events belong to.
 const ID: u64 = 7;
 
-/// Events at 1 s each from the first: worker, step and index of the task, run, what happened.
+/// Returns events one second apart, the first at `from`. Each row has the worker, the step and
+/// index of the task, the run, and the kind of event.
 fn events(from: Instant, rows: &[(&str, &str, u64, RunEvent)]) -> Vec<Event> {
     let event = |(second, (worker, task, run, kind)): (u64, &(&str, &str, u64, RunEvent))| Event {
         at: from + Duration::from_secs(second),
@@ -26,8 +27,8 @@
     (0..).zip(rows).map(event).collect()
 }
 
-/// A job that was accepted before all events and shown as done long after them.
-fn done(from: Instant) -> Job {
+/// Returns a job that was accepted before all events and reported as done long after them.
+fn done_job(from: Instant) -> Job {
     Job {
         accepted: Some(from),
         succeeded: Some(from + Duration::from_secs(60)),
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_job_that_runs_as_it_should_breaks_nothing() {
+fn a_regular_job_violates_no_invariant() {
     let from = Instant::now();
     let rows = [
         ("w1", "0.0", 1, Started),
@@ -93,7 +94,7 @@
         ("w1", "1.0", 1, Started),
         ("w1", "1.0", 1, Done),
     ];
-    assert_eq!(violated(done(from), &events(from, &rows)), []);
+    assert_eq!(violated(done_job(from), &events(from, &rows)), []);
 }
 
 #[parameterized(
@@ -101,16 +102,16 @@
     after_an_acknowledged_end = { &[("w1", "0.0", 1, Started), ("w1", "0.0", 1, Done),
         ("w1", "0.0", 1, Acknowledged), ("w2", "0.0", 2, Started)] },
 )]
-fn a_task_that_runs_twice_is_found(rows: &[(&str, &str, u64, RunEvent)]) {
+fn a_task_that_runs_twice_is_reported(rows: &[(&str, &str, u64, RunEvent)]) {
     let from = Instant::now();
     assert_eq!(
-        violated(done(from), &events(from, rows)),
+        violated(done_job(from), &events(from, rows)),
         [Invariant::RunsOnce]
     );
 }
 
 #[test]
-fn a_step_that_begins_too_early_is_found() {
+fn a_step_that_begins_too_early_is_reported() {
     let from = Instant::now();
     let rows = [
         ("w1", "0.0", 1, Started),
@@ -119,13 +120,13 @@
         ("w1", "1.0", 1, Done),
     ];
     assert_eq!(
-        violated(done(from), &events(from, &rows)),
+        violated(done_job(from), &events(from, &rows)),
         [Invariant::StepsInOrder]
     );
 }
 
 #[test]
-fn a_job_that_was_refused_and_runs_is_found() {
+fn a_run_of_a_refused_job_is_reported() {
     let from = Instant::now();
     let job = Job {
         refused: true,
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn a_job_that_nobody_handed_in_is_found() {
+fn a_run_of_an_unsubmitted_job_is_reported() {
     let from = Instant::now();
     let found = check(
         &BTreeMap::new(),
@@ -150,20 +151,20 @@
 }
 
 #[parameterized(
-    not_over = { Job { accepted: Some(Instant::now()), ..Job::default() } },
+    not_ended = { Job { accepted: Some(Instant::now()), ..Job::default() } },
     failed = { Job { accepted: Some(Instant::now()), failed: true, ..Job::default() } },
     denied = { Job { denied: Some(Instant::now()), ..Job::default() } },
 )]
-fn a_job_that_was_not_kept_is_found(job: Job) {
+fn an_accepted_job_that_is_lost_or_fails_is_reported(job: Job) {
     assert_eq!(violated(job, &[]), [Invariant::AcceptedIsKept]);
 }
 
 #[test]
-fn a_start_long_after_a_cancel_is_found() {
+fn a_start_long_after_a_cancellation_is_reported() {
     let from = Instant::now();
     let job = Job {
         accepted: Some(from),
-        cancelling: Some(from),
+        cancel_sent: Some(from),
         cancelled: Some(from),
         ..Job::default()
     };
@@ -184,10 +185,10 @@
     nothing_ran = { &[] },
     one_still_runs = { &[("w1", "0.0", 1, Started), ("w1", "0.0", 1, Done), ("w1", "0.1", 1, Started)] },
 )]
-fn a_job_that_is_shown_as_done_too_early_is_found(rows: &[(&str, &str, u64, RunEvent)]) {
+fn a_job_that_is_done_too_early_is_reported(rows: &[(&str, &str, u64, RunEvent)]) {
     let from = Instant::now();
     assert_eq!(
-        violated(done(from), &events(from, rows)),
+        violated(done_job(from), &events(from, rows)),
         [Invariant::DoneMeansAllTasks]
     );
 }
--- a/crates/standin/src/users/cloud.rs
+++ b/crates/standin/src/users/cloud.rs
@@ -129,7 +129,7 @@
         self.orders.lock().expect("no thread panics here").clone()
     }
 
-    /// Crashes a VM's worker abruptly; a new incarnation boots after [`DOWNTIME`].
+    /// Crashes a VM's worker abruptly; a new incarnation starts after the usual downtime.
     pub fn crash(&self, name: &str) {
         self.take_down(name, "down");
     }
