--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -19,7 +19,7 @@
 /// The maximum number of starts of a task that ends its workers: two more after the third start.
 const MAX_FATAL_STARTS: usize = 5;
 
-/// The number of workers that must have ended under one task before its job may fail.
+/// The number of times that workers must have ended under one task before its job may fail.
 const MIN_LOST_WORKERS: u32 = 2;
 
 /// A violation of an invariant.
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -62,7 +62,7 @@
         self.truncated_responses.store(n, Relaxed);
     }
 
-    /// Switches the sending of every request to a second connection as well.
+    /// Sends every request over a second connection as well, or stops doing so.
     pub fn duplicate(&self, duplicate: bool) {
         self.duplicate.store(duplicate, Relaxed);
     }
