--- a/crates/havenladder/benches/load.rs
+++ b/crates/havenladder/benches/load.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/site/mod.rs"]
 mod site;
 
-use havenladder_standin::load::{Kind, Tally, Way, offer};
+use havenladder_standin::load::{Destination, RequestKind, Tally, offer};
 use site::{Site, plan};
 use std::time::Duration;
 
@@ -22,9 +22,9 @@
 
 /// Returns three classes of requests that share the same workers. Within a class, run times vary by
 /// a factor of ten, and no request declares its run time.
-fn kinds(load_factor: f64, slots: f64) -> Vec<Kind> {
+fn kinds(load_factor: f64, slots: f64) -> Vec<RequestKind> {
     let kind = |service: &str, low: f64, share: f64, patience: u64| {
-        let mut kind = Kind {
+        let mut kind = RequestKind {
             service: format!("place/pool/{service}"),
             pool: "place/pool".into(),
             rate: 0.0,
@@ -55,12 +55,12 @@
     );
     for load_factor in [0.5, 1.0, 2.0, 4.0] {
         let kinds = kinds(load_factor, slots as f64);
-        let baseline = Way::Baseline {
+        let baseline = Destination::Baseline {
             workers: workers.clone(),
             slots,
         };
         for (name, way) in [
-            ("entries", Way::Entries(entries.clone())),
+            ("entries", Destination::Entries(entries.clone())),
             ("baseline", baseline),
         ] {
             let tallies = runtime.block_on(offer(way, &kinds, RUN_TIME, 7));
@@ -69,7 +69,7 @@
     }
 }
 
-fn report(load_factor: f64, name: &str, kinds: &[Kind], tallies: &[Tally]) {
+fn report(load_factor: f64, name: &str, kinds: &[RequestKind], tallies: &[Tally]) {
     let mut work = 0.0;
     for (kind, tally) in kinds.iter().zip(tallies) {
         let class = kind.service.rsplit('/').next().unwrap_or_default();
@@ -86,7 +86,7 @@
             ms(&tally.good_us),
             ms(&tally.refused_us),
             1.0 - tally.refused_us.count_between(0, MAX_IMMEDIATE_US) as f64
-                / tally.refused.max(1) as f64,
+                / tally.refused.max(1) as f64
         );
         work += tally.good as f64 * kind.mean_run();
     }
--- a/crates/havenladder/tests/drained_worker.rs
+++ b/crates/havenladder/tests/drained_worker.rs
@@ -40,7 +40,7 @@
     let events = site.events.all();
     let starts = events
         .iter()
-        .filter(|event| event.what == RunEvent::Started && event.at > since);
+        .filter(|event| event.kind == RunEvent::Started && event.at > since);
     starts
         .filter(|event| site.cloud.vm_of(&event.worker).as_deref() == Some(vm))
         .count()
@@ -55,8 +55,8 @@
         let began = Instant::now();
         work(&site, 1, Duration::from_secs(2)).await;
         assert!(begun(&site, "vm-0", began) > 0, "it is in use");
-        site.links[owner(name, seed, 3)].hush();
-        site.cloud.announce_end("vm-0");
+        site.links[owner(name, seed, 3)].silence_connections();
+        site.cloud.announce_draining("vm-0");
         work(&site, 100, DRAINED).await;
         let drained = Instant::now();
         work(&site, 200, Duration::from_secs(3)).await;
--- a/crates/soak/tests/promises.rs
+++ b/crates/soak/tests/invariants.rs
@@ -1,8 +1,8 @@
-//! The checks of the promises find what they are for.
+//! Tests that the checks of the invariants find violations and nothing else.
 
 use havenladder_soak::{
     caller::Job,
-    promises::{Promise, check},
+    invariants::{Invariant, check},
 };
 use standin::users::events::{Event, RunEvent};
 use std::{
@@ -11,23 +11,24 @@
 };
 use yare::parameterized;
 
-/// The job of all events here.
+/// The job that all events belong to.
 const ID: u64 = 7;
 
-/// Events at 1 s each from the first: worker, step and index of the task, run, what happened.
+/// Returns events one second apart, the first at `from`. Each row has the worker, the step and
+/// index of the task, the run, and the kind of event.
 fn events(from: Instant, rows: &[(&str, &str, u64, RunEvent)]) -> Vec<Event> {
-    let event = |(second, (worker, task, run, what)): (u64, &(&str, &str, u64, RunEvent))| Event {
+    let event = |(second, (worker, task, run, kind)): (u64, &(&str, &str, u64, RunEvent))| Event {
         at: from + Duration::from_secs(second),
         worker: (*worker).to_owned(),
         task: format!("{ID:016x}.0.{task}"),
         run: *run,
-        what: *what,
+        kind: *kind,
     };
     (0..).zip(rows).map(event).collect()
 }
 
-/// A job that was accepted before all events and shown as done long after them.
-fn done(from: Instant) -> Job {
+/// Returns a job that was accepted before all events and reported as done long after them.
+fn done_job(from: Instant) -> Job {
     Job {
         accepted: Some(from),
         succeeded: Some(from + Duration::from_secs(60)),
@@ -35,19 +36,22 @@
     }
 }
 
-fn promises(job: Job, events: &[Event]) -> Vec<Promise> {
+fn violated(job: Job, events: &[Event]) -> Vec<Invariant> {
     let jobs = BTreeMap::from([(ID, job)]);
     let found = check(&jobs, events, &[]);
-    found.into_iter().map(|breach| breach.promise).collect()
+    found
+        .into_iter()
+        .map(|violation| violation.invariant)
+        .collect()
 }
 
-use RunEvent::{Done, Ended, Lost, Noted, Started};
+use RunEvent::{Acknowledged, Done, Ended, Lost, Started};
 
 #[parameterized(
     five_starts = { 5, &[] },
-    six_starts = { 6, &[Promise::HarmEnds] },
+    six_starts = { 6, &[Invariant::CrashesAreBounded] },
 )]
-fn a_task_that_ends_its_workers_may_be_started_five_times(starts: u64, found: &[Promise]) {
+fn a_task_that_ends_its_workers_may_be_started_five_times(starts: u64, found: &[Invariant]) {
     let from = Instant::now();
     let rows: Vec<_> = (1..=starts)
         .flat_map(|run| [("w", "0.0", run, Started), ("w", "0.0", run, Lost)])
@@ -58,14 +62,14 @@
         fatal: true,
         ..Job::default()
     };
-    assert_eq!(promises(job, &events(from, &rows)), found);
+    assert_eq!(violated(job, &events(from, &rows)), found);
 }
 
 #[parameterized(
-    after_one_end_of_a_worker = { 1, &[Promise::Kept] },
+    after_one_end_of_a_worker = { 1, &[Invariant::AcceptedIsKept] },
     after_two = { 2, &[] },
 )]
-fn a_job_may_fail_once_two_workers_have_ended_under_a_task(ends: u64, found: &[Promise]) {
+fn a_job_may_fail_once_two_workers_have_ended_under_a_task(ends: u64, found: &[Invariant]) {
     let from = Instant::now();
     let rows: Vec<_> = (1..=ends)
         .flat_map(|run| [("w", "0.0", run, Started), ("w", "0.0", run, Lost)])
@@ -75,39 +79,39 @@
         failed: true,
         ..Job::default()
     };
-    assert_eq!(promises(job, &events(from, &rows)), found);
+    assert_eq!(violated(job, &events(from, &rows)), found);
 }
 
 #[test]
-fn a_job_that_runs_as_it_should_breaks_nothing() {
+fn a_regular_job_violates_no_invariant() {
     let from = Instant::now();
     let rows = [
         ("w1", "0.0", 1, Started),
         ("w1", "0.0", 1, Ended),
         ("w2", "0.0", 2, Started),
         ("w2", "0.0", 2, Done),
-        ("w2", "0.0", 2, Noted),
+        ("w2", "0.0", 2, Acknowledged),
         ("w1", "1.0", 1, Started),
         ("w1", "1.0", 1, Done),
     ];
-    assert_eq!(promises(done(from), &events(from, &rows)), []);
+    assert_eq!(violated(done_job(from), &events(from, &rows)), []);
 }
 
 #[parameterized(
     two_at_once = { &[("w1", "0.0", 1, Started), ("w2", "0.0", 2, Started), ("w1", "0.0", 1, Done)] },
     after_an_acknowledged_end = { &[("w1", "0.0", 1, Started), ("w1", "0.0", 1, Done),
-        ("w1", "0.0", 1, Noted), ("w2", "0.0", 2, Started)] },
+        ("w1", "0.0", 1, Acknowledged), ("w2", "0.0", 2, Started)] },
 )]
-fn a_task_that_runs_twice_is_found(rows: &[(&str, &str, u64, RunEvent)]) {
+fn a_task_that_runs_twice_is_reported(rows: &[(&str, &str, u64, RunEvent)]) {
     let from = Instant::now();
     assert_eq!(
-        promises(done(from), &events(from, rows)),
-        [Promise::RunsOnce]
+        violated(done_job(from), &events(from, rows)),
+        [Invariant::RunsOnce]
     );
 }
 
 #[test]
-fn a_step_that_begins_too_early_is_found() {
+fn a_step_that_begins_too_early_is_reported() {
     let from = Instant::now();
     let rows = [
         ("w1", "0.0", 1, Started),
@@ -116,13 +120,13 @@
         ("w1", "1.0", 1, Done),
     ];
     assert_eq!(
-        promises(done(from), &events(from, &rows)),
-        [Promise::InOrder]
+        violated(done_job(from), &events(from, &rows)),
+        [Invariant::StepsInOrder]
     );
 }
 
 #[test]
-fn a_job_that_was_refused_and_runs_is_found() {
+fn a_run_of_a_refused_job_is_reported() {
     let from = Instant::now();
     let job = Job {
         refused: true,
@@ -130,37 +134,37 @@
     };
     let rows = [("w1", "0.0", 1, Started)];
     assert_eq!(
-        promises(job, &events(from, &rows)),
-        [Promise::RefusedIsTrue]
+        violated(job, &events(from, &rows)),
+        [Invariant::RefusedNeverRuns]
     );
 }
 
 #[test]
-fn a_job_that_nobody_handed_in_is_found() {
+fn a_run_of_an_unsubmitted_job_is_reported() {
     let from = Instant::now();
     let found = check(
         &BTreeMap::new(),
         &events(from, &[("w1", "0.0", 1, Started)]),
         &[],
     );
-    assert_eq!(found[0].promise, Promise::RefusedIsTrue);
+    assert_eq!(found[0].invariant, Invariant::RefusedNeverRuns);
 }
 
 #[parameterized(
-    not_over = { Job { accepted: Some(Instant::now()), ..Job::default() } },
+    not_ended = { Job { accepted: Some(Instant::now()), ..Job::default() } },
     failed = { Job { accepted: Some(Instant::now()), failed: true, ..Job::default() } },
     denied = { Job { denied: Some(Instant::now()), ..Job::default() } },
 )]
-fn a_job_that_was_not_kept_is_found(job: Job) {
-    assert_eq!(promises(job, &[]), [Promise::Kept]);
+fn an_accepted_job_that_is_lost_or_fails_is_reported(job: Job) {
+    assert_eq!(violated(job, &[]), [Invariant::AcceptedIsKept]);
 }
 
 #[test]
-fn a_start_long_after_a_cancel_is_found() {
+fn a_start_long_after_a_cancellation_is_reported() {
     let from = Instant::now();
     let job = Job {
         accepted: Some(from),
-        cancelling: Some(from),
+        cancel_sent: Some(from),
         cancelled: Some(from),
         ..Job::default()
     };
@@ -171,17 +175,20 @@
         ("w1", "0.1", 1, Ended),
         ("w1", "0.2", 1, Started),
     ];
-    assert_eq!(promises(job, &events(from, &rows)), [Promise::CancelHolds]);
+    assert_eq!(
+        violated(job, &events(from, &rows)),
+        [Invariant::NoStartAfterCancel]
+    );
 }
 
 #[parameterized(
     nothing_ran = { &[] },
     one_still_runs = { &[("w1", "0.0", 1, Started), ("w1", "0.0", 1, Done), ("w1", "0.1", 1, Started)] },
 )]
-fn a_job_that_is_shown_as_done_too_early_is_found(rows: &[(&str, &str, u64, RunEvent)]) {
+fn a_job_that_is_done_too_early_is_reported(rows: &[(&str, &str, u64, RunEvent)]) {
     let from = Instant::now();
     assert_eq!(
-        promises(done(from), &events(from, rows)),
-        [Promise::DoneIsTrue]
+        violated(done_job(from), &events(from, rows)),
+        [Invariant::DoneMeansAllTasks]
     );
 }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -22,26 +22,27 @@
     time::{sleep, sleep_until},
 };
 
-/// The longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Upper limit of the histograms, in microseconds; longer times are recorded as this one.
+const MAX_TIME_US: u64 = 600_000_000;
 
-/// One kind of request.
+/// A kind of request that is offered at a steady average rate.
 #[derive(Clone, Debug)]
-pub struct Kind {
-    /// Path of its service.
+pub struct RequestKind {
+    /// Path of the service.
     pub service: String,
-    /// Its pool.
+    /// Pool of the service.
     pub pool: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Shortest and longest run, in milliseconds; drawn evenly on a logarithmic scale.
+    /// Shortest and longest run time, in milliseconds. Run times are drawn from a log-uniform
+    /// distribution between them.
     pub run_ms: (f64, f64),
-    /// Time that each request has.
+    /// Time from sending a request to its deadline.
     pub patience: Duration,
 }
 
-impl Kind {
-    /// The mean run, in seconds.
+impl RequestKind {
+    /// Returns the mean run time in seconds.
     pub fn mean_run(&self) -> f64 {
         let (low, high) = self.run_ms;
         if high <= low {
@@ -57,18 +58,18 @@
     }
 }
 
-/// What became of one kind of request.
+/// The results of one kind of request.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// Requests that were offered.
+    /// Number of requests that were sent.
     pub offered: u64,
-    /// Requests done once, whole and in time.
+    /// Number of requests that were done once, completely and in time.
     pub good: u64,
-    /// Requests that were told they were not run.
+    /// Number of requests that were reported as not run.
     pub refused: u64,
-    /// All others: late, broken or unknown.
+    /// Number of all other requests: late, broken or with an unknown outcome.
     pub lost: u64,
-    /// Time to a good answer, in microseconds.
+    /// Time to a good response, in microseconds.
     pub good_us: Histogram<u64>,
     /// Time to a refusal, in microseconds.
     pub refused_us: Histogram<u64>,
@@ -76,7 +77,7 @@
 
 impl Default for Tally {
     fn default() -> Self {
-        let histogram = || Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds in order");
+        let histogram = || Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("bounds in order");
         Self {
             offered: 0,
             good: 0,
@@ -88,75 +89,81 @@
     }
 }
 
-enum Fate {
+enum Outcome {
     Good,
     Refused,
     Lost,
 }
 
 impl Tally {
-    fn count(&mut self, fate: &Fate, took: Duration) {
+    fn record(&mut self, outcome: &Outcome, took: Duration) {
         let micros = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-        match fate {
-            Fate::Good => {
+        match outcome {
+            Outcome::Good => {
                 self.good += 1;
                 self.good_us.saturating_record(micros);
             }
-            Fate::Refused => {
+            Outcome::Refused => {
                 self.refused += 1;
                 self.refused_us.saturating_record(micros);
             }
-            Fate::Lost => self.lost += 1,
+            Outcome::Lost => self.lost += 1,
         }
     }
 }
 
-/// Where requests are sent.
+/// The processes that requests are sent to.
 #[derive(Clone, Debug)]
-pub enum Way {
-    /// To entries, one after the other.
+pub enum Destination {
+    /// Entries, one of which is picked at random for each request.
     Entries(Vec<SocketAddr>),
-    /// To a random worker, first in, first out, with as many at once as there are slots.
+    /// Workers directly: requests queue first in, first out, for as many slots as there are, and
+    /// each goes to a random worker.
     Baseline {
-        /// The workers.
+        /// Addresses of the workers.
         workers: Vec<SocketAddr>,
-        /// Slots of all of them.
+        /// Total number of slots of all workers.
         slots: usize,
     },
 }
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// Offers requests of each kind for `time` and returns a tally for each.
-pub async fn offer(way: Way, kinds: &[Kind], time: Duration, seed: u64) -> Vec<Tally> {
+/// Offers requests of each kind for `time` and returns a tally for each kind.
+pub async fn offer(
+    destination: Destination,
+    kinds: &[RequestKind],
+    time: Duration,
+    seed: u64,
+) -> Vec<Tally> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let http: Http = Client::builder(TokioExecutor::new()).build(connector);
     let tallies: Arc<Vec<Mutex<Tally>>> =
         Arc::new(kinds.iter().map(|_| Mutex::default()).collect());
-    let line = Arc::new(Line::new(&way));
+    let queue = Arc::new(FifoQueue::new(&destination));
     let mut requests = JoinSet::new();
     let mut rng = SmallRng::seed_from_u64(seed);
-    let began = Instant::now();
+    let started_at = Instant::now();
     for (at, kind) in schedule(kinds, time, &mut rng) {
-        sleep_until((began + at).into()).await;
-        let (http, way, line) = (http.clone(), way.clone(), Arc::clone(&line));
-        let (tallies, ask) = (Arc::clone(&tallies), kinds[kind].clone());
-        let (run, pick) = (ask.draw_run(&mut rng), rng.random::<u64>());
+        sleep_until((started_at + at).into()).await;
+        let (http, destination, queue) = (http.clone(), destination.clone(), Arc::clone(&queue));
+        let (tallies, chosen) = (Arc::clone(&tallies), kinds[kind].clone());
+        let (run, random) = (chosen.draw_run(&mut rng), rng.random::<u64>());
         requests.spawn(async move {
-            let began = Instant::now();
-            let fate = match way {
-                Way::Entries(entries) => {
-                    let entry = entries[pick as usize % entries.len()];
-                    through_entry(&http, entry, &ask, run).await
+            let started_at = Instant::now();
+            let outcome = match destination {
+                Destination::Entries(entries) => {
+                    let entry = entries[random as usize % entries.len()];
+                    send_to_entry(&http, entry, &chosen, run).await
                 }
-                Way::Baseline { workers, .. } => {
-                    line.through(&http, &workers, &ask, run, pick).await
+                Destination::Baseline { workers, .. } => {
+                    queue.send(&http, &workers, &chosen, run, random).await
                 }
             };
             let mut tally = tallies[kind].lock().expect("no holder panics");
             tally.offered += 1;
-            tally.count(&fate, began.elapsed());
+            tally.record(&outcome, started_at.elapsed());
         });
     }
     requests.join_all().await;
@@ -166,8 +173,9 @@
         .collect()
 }
 
-/// Arrivals of all kinds in order, each kind a Poisson process.
-fn schedule(kinds: &[Kind], time: Duration, rng: &mut SmallRng) -> Vec<(Duration, usize)> {
+/// Returns the arrival times of all kinds in order; the arrivals of each kind are a Poisson
+/// process.
+fn schedule(kinds: &[RequestKind], time: Duration, rng: &mut SmallRng) -> Vec<(Duration, usize)> {
     let mut arrivals = Vec::new();
     for (index, kind) in kinds.iter().enumerate() {
         let mut at = 0.0;
@@ -183,68 +191,78 @@
     arrivals
 }
 
-async fn through_entry(http: &Http, entry: SocketAddr, kind: &Kind, run: u64) -> Fate {
+async fn send_to_entry(http: &Http, entry: SocketAddr, kind: &RequestKind, run: u64) -> Outcome {
     let deadline = now_ms() + kind.patience.as_millis() as u64;
     let request = Request::post(format!("http://{entry}/v1/{}", kind.service))
         .header("havenladder-deadline", deadline.to_string())
         .body(Full::from(format!("run={run}")))
         .expect("a well-formed request");
-    let Ok(answer) = http.request(request).await else {
-        return Fate::Lost;
+    let Ok(response) = http.request(request).await else {
+        return Outcome::Lost;
     };
-    let outcome = answer.headers().get("havenladder-outcome").cloned();
-    if answer.into_body().collect().await.is_err() {
-        return Fate::Lost;
+    let outcome = response.headers().get("havenladder-outcome").cloned();
+    if response.into_body().collect().await.is_err() {
+        return Outcome::Lost;
     }
     match outcome.as_ref().map(|outcome| outcome.as_bytes()) {
-        Some(b"done") if now_ms() <= deadline => Fate::Good,
-        Some(b"not-run") => Fate::Refused,
-        _ => Fate::Lost,
+        Some(b"done") if now_ms() <= deadline => Outcome::Good,
+        Some(b"not-run") => Outcome::Refused,
+        _ => Outcome::Lost,
     }
 }
 
-/// The baseline's queue: whoever came first goes next, to a random worker.
-struct Line {
-    turn: Semaphore,
+/// The queue of the baseline: the request that has waited longest gets the next free slot.
+struct FifoQueue {
+    permits: Semaphore,
 }
 
-impl Line {
-    fn new(way: &Way) -> Self {
-        let slots = match way {
-            Way::Entries(_) => 1,
-            Way::Baseline { slots, .. } => *slots,
+impl FifoQueue {
+    fn new(destination: &Destination) -> Self {
+        let slots = match destination {
+            Destination::Entries(_) => 1,
+            Destination::Baseline { slots, .. } => *slots,
         };
         Self {
-            turn: Semaphore::new(slots),
+            permits: Semaphore::new(slots),
         }
     }
 
-    async fn through(
+    async fn send(
         &self,
         http: &Http,
         workers: &[SocketAddr],
-        kind: &Kind,
+        kind: &RequestKind,
         run: u64,
-        pick: u64,
-    ) -> Fate {
+        random: u64,
+    ) -> Outcome {
         let deadline = Instant::now() + kind.patience;
-        // The semaphore of this runtime is fair: first in, first out.
-        let _turn = self.turn.acquire().await.expect("it is never closed");
-        let mut rng = SmallRng::seed_from_u64(pick);
+        // Tokio's semaphore is fair: it grants permits first in, first out.
+        let _permit = self
+            .permits
+            .acquire()
+            .await
+            .expect("the semaphore is never closed");
+        let mut rng = SmallRng::seed_from_u64(random);
         loop {
             let worker = workers[rng.random_range(0..workers.len())];
-            match straight(http, worker, kind, run).await {
-                Some(true) if Instant::now() <= deadline => return Fate::Good,
-                Some(true) => return Fate::Lost,
+            match send_to_worker(http, worker, kind, run).await {
+                Some(true) if Instant::now() <= deadline => return Outcome::Good,
+                Some(true) => return Outcome::Lost,
                 Some(false) => sleep(Duration::from_millis(1)).await,
-                None => return Fate::Lost,
+                None => return Outcome::Lost,
             }
         }
     }
 }
 
-/// Sends a task straight to a worker: done, refused, or broken.
-pub async fn straight(http: &Http, worker: SocketAddr, kind: &Kind, run: u64) -> Option<bool> {
+/// Sends a task directly to a worker. Returns true if it was done, false if the worker refused it,
+/// and `None` if the exchange failed.
+pub async fn send_to_worker(
+    http: &Http,
+    worker: SocketAddr,
+    kind: &RequestKind,
+    run: u64,
+) -> Option<bool> {
     let attempt = ulid::Ulid::new();
     let lease = now_ms() + 600_000;
     let request = Request::post(format!("http://{worker}{TASKS}{attempt}"))
@@ -253,10 +271,10 @@
         .header(HEADER_LEASE, lease.to_string())
         .body(Full::from(format!("run={run}")))
         .expect("a well-formed request");
-    let answer = http.request(request).await.ok()?;
-    let refused = answer.headers().contains_key(HEADER_REFUSED);
-    let status = answer.status();
-    answer.into_body().collect().await.ok()?;
+    let response = http.request(request).await.ok()?;
+    let refused = response.headers().contains_key(HEADER_REFUSED);
+    let status = response.status();
+    response.into_body().collect().await.ok()?;
     if refused {
         return Some(false);
     }
