--- a/crates/havenladder/tests/crashing_tasks.rs
+++ b/crates/havenladder/tests/crashing_tasks.rs
@@ -12,7 +12,7 @@
 
 mod entries;
 
-use entries::{block_on, hand_in};
+use entries::{block_on, submit};
 use havenladder_soak::site::Site;
 use havenladder_standin::users::{events::RunEvent, worker::ENDS_WORKER};
 use rustix::process::Signal;
@@ -91,9 +91,9 @@
     let mut site = entries::start("crashing-tasks", seed, 6).await;
     time::sleep(BEGIN).await;
     for id in 1..=JOBS / 2 {
-        hand_in(&site, id, &body("1000", 4)).await;
+        submit(&site, id, &body("1000", 4)).await;
     }
-    hand_in(&site, FATAL, &body(ENDS_WORKER, 1)).await;
+    submit(&site, FATAL, &body(ENDS_WORKER, 1)).await;
     if let Some(count) = kill {
         let until = Instant::now() + OVER;
         while starts(&site, FATAL) < count && Instant::now() < until {
@@ -106,7 +106,7 @@
         site.heal().expect("processes can be started");
     }
     for id in JOBS / 2 + 1..=JOBS {
-        hand_in(&site, id, &body("1000", 4)).await;
+        submit(&site, id, &body("1000", 4)).await;
     }
     end(&site).await;
 }
--- a/crates/havenladder/tests/drained_worker.rs
+++ b/crates/havenladder/tests/drained_worker.rs
@@ -5,7 +5,7 @@
 
 mod entries;
 
-use entries::{block_on, hand_in, owner};
+use entries::{block_on, owner, submit};
 use havenladder_soak::site::Site;
 use havenladder_standin::users::events::RunEvent;
 use std::time::{Duration, Instant};
@@ -30,7 +30,7 @@
         if began.elapsed() >= span {
             return;
         }
-        hand_in(site, id, BODY).await;
+        submit(site, id, BODY).await;
         time::sleep(Duration::from_millis(350)).await;
     }
 }
--- a/crates/havenladder/tests/emptied_data_centre.rs
+++ b/crates/havenladder/tests/emptied_data_centre.rs
@@ -5,7 +5,7 @@
 
 mod entries;
 
-use entries::{block_on, hand_in, owner};
+use entries::{block_on, owner, submit};
 use havenladder_soak::site::Site;
 use havenladder_standin::users::{cloud::hall_of, events::RunEvent, operator::write_evacuation};
 use rustix::process::Signal;
@@ -43,7 +43,7 @@
 /// Hands in jobs for a while.
 async fn work(site: &Site, first: u64) {
     for id in first..first + 6 {
-        hand_in(site, id, BODY).await;
+        submit(site, id, BODY).await;
         time::sleep(INTERVAL).await;
     }
 }
--- a/crates/havenladder/tests/entries/mod.rs
+++ b/crates/havenladder/tests/entries/mod.rs
@@ -27,7 +27,7 @@
     clippy::allow_attributes,
     reason = "not every test reads them"
 )]
-pub fn logs(name: &str, seed: u64) -> PathBuf {
+pub fn log_dir(name: &str, seed: u64) -> PathBuf {
     PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{seed}"))
 }
 
@@ -44,14 +44,14 @@
 
 /// The same with so many entries, in two data centres in turn.
 pub async fn start_with(name: &str, seed: u64, vms: usize, entries: usize) -> Site {
-    let _ = fs::remove_dir_all(logs(name, seed));
+    let _ = fs::remove_dir_all(log_dir(name, seed));
     let plan = Plan {
         program: PathBuf::from(env!("CARGO_BIN_EXE_havenladder")),
         seed,
         span: Duration::ZERO,
         entries,
         vms,
-        logs: logs(name, seed),
+        logs: log_dir(name, seed),
     };
     Site::start(&plan).await.unwrap()
 }
@@ -63,7 +63,7 @@
     reason = "not every test reads them"
 )]
 pub fn count_lines(name: &str, seed: u64, text: &str) -> usize {
-    let files = fs::read_dir(logs(name, seed))
+    let files = fs::read_dir(log_dir(name, seed))
         .into_iter()
         .flatten()
         .flatten();
@@ -80,7 +80,7 @@
 )]
 pub fn owner(name: &str, seed: u64, entries: usize) -> usize {
     let owns = |number: &usize| {
-        let log = fs::read_to_string(logs(name, seed).join(format!("entry-{number}.log")));
+        let log = fs::read_to_string(log_dir(name, seed).join(format!("entry-{number}.log")));
         log.is_ok_and(|log| log.contains("\"owns the cell\""))
     };
     (0..entries).find(owns).expect("an entry owns the cell")
@@ -109,7 +109,7 @@
     clippy::allow_attributes,
     reason = "not every test asks an entry itself"
 )]
-pub async fn ask(address: SocketAddr, request: &str) -> String {
+pub async fn send_request(address: SocketAddr, request: &str) -> String {
     let answer = time::timeout(LIMIT, exchange(address, request)).await;
     answer.map(Result::unwrap_or_default).unwrap_or_default()
 }
@@ -130,11 +130,11 @@
     clippy::allow_attributes,
     reason = "not every test hands jobs in"
 )]
-pub async fn hand_in(site: &Site, id: u64, body: &str) {
+pub async fn submit(site: &Site, id: u64, body: &str) {
     let until = Instant::now() + LIMIT;
     while Instant::now() < until {
         for entry in &site.entries {
-            let head = ask(entry.address, &request("POST", id, body)).await;
+            let head = send_request(entry.address, &request("POST", id, body)).await;
             if head.starts_with("HTTP/1.1 200") {
                 return;
             }
--- a/crates/havenladder/tests/feed.rs
+++ b/crates/havenladder/tests/feed.rs
@@ -5,7 +5,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, owner, request};
+use entries::{block_on, owner, request, send_request};
 use fleet::READERS_PER_HALL;
 use havenladder_soak::site::{Site, WORKSPACES, key};
 use rustix::process::Signal;
@@ -43,7 +43,7 @@
     let call = request("GET", 1, "").replacen("host:", &format!("{shown}host:"), 1);
     let began = Instant::now();
     loop {
-        let head = ask(site.entries[entry].address, &call).await;
+        let head = send_request(site.entries[entry].address, &call).await;
         if head.starts_with("HTTP/1.1 401") {
             return;
         }
--- a/crates/havenladder/tests/foreign_entries.rs
+++ b/crates/havenladder/tests/foreign_entries.rs
@@ -7,7 +7,7 @@
 mod entries;
 
 use bytes::Bytes;
-use entries::{ask, block_on, count_lines, request};
+use entries::{block_on, count_lines, request, send_request};
 use havenladder_soak::site::Site;
 use havenladder_standin::users::events::RunEvent;
 use std::{collections::BTreeSet, time::Duration};
@@ -30,7 +30,7 @@
 /// Hands jobs in, and returns the workers that have run them.
 async fn run_jobs(site: &Site, ids: std::ops::Range<u64>) -> BTreeSet<String> {
     for id in ids.clone() {
-        let head = ask(site.entries[0].address, &request("POST", id, BODY)).await;
+        let head = send_request(site.entries[0].address, &request("POST", id, BODY)).await;
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     }
     time::sleep(SOON).await;
--- a/crates/havenladder/tests/given_back.rs
+++ b/crates/havenladder/tests/given_back.rs
@@ -3,7 +3,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, request};
+use entries::{block_on, request, send_request};
 use havenladder_soak::site::Site;
 use std::{net::SocketAddr, time::Duration};
 use tokio::{task, time};
@@ -33,7 +33,7 @@
 }
 
 async fn hand_in(callers: SocketAddr, id: u64) -> String {
-    ask(callers, &request("POST", id, BODY)).await
+    send_request(callers, &request("POST", id, BODY)).await
 }
 
 async fn refuse_truly() {
--- a/crates/havenladder/tests/keys.rs
+++ b/crates/havenladder/tests/keys.rs
@@ -5,7 +5,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, logs, owner};
+use entries::{block_on, log_dir, owner, send_request};
 use havenladder_soak::site::{CORES, HOST, PREFIX, Site, WORKSPACES, key};
 use havenladder_standin::users::events::RunEvent;
 use rustix::process::Signal;
@@ -46,7 +46,7 @@
 
 /// The status of an entry's answer; 0 without one.
 async fn status(site: &Site, entry: usize, call: &str) -> u16 {
-    let head = ask(site.entries[entry].address, call).await;
+    let head = send_request(site.entries[entry].address, call).await;
     head.get(9..12)
         .and_then(|text| text.parse().ok())
         .unwrap_or(0)
@@ -101,7 +101,7 @@
             let again = call("POST", 1, Some(&other), BODY);
             assert_eq!(status(&site, entry, &again).await, 503);
             let barred = call("POST", 0xbad, Some("Token nobodys"), BODY);
-            let head = ask(site.entries[entry].address, &barred).await;
+            let head = send_request(site.entries[entry].address, &barred).await;
             assert!(
                 head.to_lowercase().contains("www-authenticate: token"),
                 "{head}"
@@ -152,7 +152,7 @@
             .map(|at| {
                 tokio::spawn({
                     let (at, old) = (*at, old.clone());
-                    async move { ask(at, &old).await }
+                    async move { send_request(at, &old).await }
                 })
             })
             .collect();
@@ -249,7 +249,7 @@
         }
         time::sleep(Duration::from_secs(1)).await;
         drop(site);
-        for file in fs::read_dir(logs(name, seed)).expect("its logs") {
+        for file in fs::read_dir(log_dir(name, seed)).expect("its logs") {
             let path = file.expect("a file").path();
             let text = fs::read_to_string(&path).unwrap_or_default();
             assert!(!text.contains("secret-"), "{}", path.display());
--- a/crates/havenladder/tests/lost_answers.rs
+++ b/crates/havenladder/tests/lost_answers.rs
@@ -15,7 +15,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, count_lines, request};
+use entries::{block_on, count_lines, request, send_request};
 use havenladder_soak::site::Site;
 use std::{collections::BTreeMap, time::Duration};
 use tokio::{task, time};
@@ -44,7 +44,7 @@
     for id in 1..=jobs {
         let callers = site.entries[id as usize % site.entries.len()].address;
         asks.push(task::spawn(async move {
-            ask(callers, &request("POST", id, BODY)).await
+            send_request(callers, &request("POST", id, BODY)).await
         }));
         time::sleep(GAP).await;
     }
--- a/crates/havenladder/tests/lost_starts.rs
+++ b/crates/havenladder/tests/lost_starts.rs
@@ -14,7 +14,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, count_lines, request};
+use entries::{block_on, count_lines, request, send_request};
 use havenladder_soak::site::Site;
 use havenladder_standin::users::events::RunEvent;
 use rustix::process::Signal;
@@ -52,7 +52,7 @@
     let site = entries::start("lost-starts", 941, 2).await;
     time::sleep(Duration::from_secs(4)).await;
     // A first job leaves a kept connection for starts to each worker.
-    let answer = ask(site.entries[0].address, &request("POST", 0xc1, BODY)).await;
+    let answer = send_request(site.entries[0].address, &request("POST", 0xc1, BODY)).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     time::sleep(SETTLED).await;
     assert_eq!(count(&site, RunEvent::Done), 2);
@@ -60,7 +60,7 @@
         let link = site.cloud.link(&name).expect("a VM of the site");
         link.hush();
     }
-    let answer = ask(site.entries[0].address, &request("POST", 0xc2, BODY)).await;
+    let answer = send_request(site.entries[0].address, &request("POST", 0xc2, BODY)).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     time::sleep(SETTLED).await;
     assert_eq!(count(&site, RunEvent::Ended), 0, "{:?}", site.events.all());
--- a/crates/havenladder/tests/readiness.rs
+++ b/crates/havenladder/tests/readiness.rs
@@ -3,7 +3,7 @@
 
 mod entries;
 
-use entries::{ask, block_on};
+use entries::{block_on, send_request};
 use havenladder_soak::site::{HOST, PREFIX, Site};
 use rustix::process::Signal;
 use std::{
@@ -32,7 +32,9 @@
 async fn is_ready(callers: SocketAddr) -> bool {
     let ready = SocketAddr::new(callers.ip(), callers.port() + 1);
     let request = "GET /readiness HTTP/1.1\r\nhost: entry\r\nconnection: close\r\n\r\n";
-    ask(ready, request).await.starts_with("HTTP/1.1 200")
+    send_request(ready, request)
+        .await
+        .starts_with("HTTP/1.1 200")
 }
 
 async fn wait_ready(site: &Site) {
@@ -63,7 +65,7 @@
     let mut refusals = 0;
     for entry in cut_off {
         let began = Instant::now();
-        let answer = ask(entry, &request).await;
+        let answer = send_request(entry, &request).await;
         let closes = answer.contains("connection: close");
         refusals += usize::from(answer.starts_with("HTTP/1.1 503") && closes);
         assert!(began.elapsed() < LONG, "{answer}");
--- a/crates/havenladder/tests/replaced.rs
+++ b/crates/havenladder/tests/replaced.rs
@@ -2,7 +2,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, request};
+use entries::{block_on, request, send_request};
 use havenladder_soak::site::Site;
 use rustix::process::Signal;
 use std::time::Duration;
@@ -24,11 +24,11 @@
     site.entries[paused].signal(Signal::STOP);
     time::sleep(PAUSE).await;
     let body = r#"{"spec":"100","steps":[{"count":1,"cpu":1000,"mem-mb":100,"estimated-ms":100}]}"#;
-    let answer = ask(site.entries[other].address, &request("POST", id, body)).await;
+    let answer = send_request(site.entries[other].address, &request("POST", id, body)).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let callers = site.entries[paused].address;
     let asked: Vec<_> = (0..CALLS)
-        .map(|_| task::spawn(async move { ask(callers, &request("GET", id, "")).await }))
+        .map(|_| task::spawn(async move { send_request(callers, &request("GET", id, "")).await }))
         .collect();
     time::sleep(QUEUED).await;
     site.entries[paused].signal(Signal::CONT);
--- a/crates/havenladder/tests/restarted_workers.rs
+++ b/crates/havenladder/tests/restarted_workers.rs
@@ -13,7 +13,7 @@
 
 mod entries;
 
-use entries::{block_on, count_lines, hand_in};
+use entries::{block_on, count_lines, submit};
 use havenladder_soak::site::Site;
 use havenladder_standin::users::events::RunEvent;
 use rustix::process::Signal;
@@ -131,13 +131,13 @@
         let site = entries::start(NAME, 971, 2).await;
         time::sleep(BEGIN).await;
         for id in 1..=10 {
-            hand_in(&site, id, &body()).await;
+            submit(&site, id, &body()).await;
         }
         all_done(&site, 10).await;
         restart_all(&site);
         time::sleep(AWAY).await;
         for id in 11..=20 {
-            hand_in(&site, id, &body()).await;
+            submit(&site, id, &body()).await;
         }
         all_done(&site, 20).await;
         check(&site, 971, before);
@@ -151,7 +151,7 @@
         let site = entries::start(NAME, 972, 2).await;
         time::sleep(BEGIN).await;
         for id in 1..=40 {
-            hand_in(&site, id, &body()).await;
+            submit(&site, id, &body()).await;
             if id % 10 == 0 {
                 restart_all(&site);
             }
@@ -168,16 +168,16 @@
         let mut site = entries::start(NAME, 973, 2).await;
         time::sleep(BEGIN).await;
         for id in 1..=10 {
-            hand_in(&site, id, &body()).await;
+            submit(&site, id, &body()).await;
         }
         restart_all(&site);
         replace_owner(&mut site).await;
         for id in 11..=20 {
-            hand_in(&site, id, &body()).await;
+            submit(&site, id, &body()).await;
         }
         restart_all(&site);
         for id in 21..=30 {
-            hand_in(&site, id, &body()).await;
+            submit(&site, id, &body()).await;
         }
         all_done(&site, 30).await;
         check(&site, 973, before);
@@ -191,11 +191,11 @@
         time::sleep(BEGIN).await;
         // All room is taken: the next owner knows each worker from the records before the list names it.
         for id in 1..=4 {
-            hand_in(&site, id, &body_of(3_000)).await;
+            submit(&site, id, &body_of(3_000)).await;
         }
         time::sleep(Duration::from_millis(300)).await;
         replace_owner(&mut site).await;
-        hand_in(&site, 5, &body()).await;
+        submit(&site, 5, &body()).await;
         let until = Instant::now() + MET;
         while (done(&site).len() as u64) < 5 * TASKS {
             assert!(Instant::now() < until, "not done: {:?}", done(&site));
@@ -218,11 +218,11 @@
         let mut site = entries::start(NAME, SEED, 3).await;
         time::sleep(BEGIN).await;
         for id in 1..=10 {
-            hand_in(&site, id, &body()).await;
+            submit(&site, id, &body()).await;
         }
         site.ask_wave();
         for id in 11..=40 {
-            hand_in(&site, id, &body()).await;
+            submit(&site, id, &body()).await;
         }
         let until = Instant::now() + OVER;
         while !is_succeeded(&site) {
--- a/crates/havenladder/tests/strict_revocation.rs
+++ b/crates/havenladder/tests/strict_revocation.rs
@@ -5,7 +5,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, logs};
+use entries::{block_on, log_dir, send_request};
 use havenladder_soak::site::{HOST, PREFIX, Site, WORKSPACES, key};
 use rustix::process::Signal;
 use std::{
@@ -43,7 +43,7 @@
 
 /// The status of an entry's answer.
 async fn status(site: &Site, entry: usize, call: &str) -> String {
-    let head = ask(site.entries[entry].address, call).await;
+    let head = send_request(site.entries[entry].address, call).await;
     head.get(9..12).unwrap_or("none").to_owned()
 }
 
@@ -61,7 +61,7 @@
 async fn start(name: &str, seed: u64, bounds: &str) -> Site {
     let mut site = entries::start(name, seed, 4).await;
     for (number, entry) in site.entries.iter_mut().enumerate() {
-        let file = logs(name, seed).join(format!("entry-{number}.toml"));
+        let file = log_dir(name, seed).join(format!("entry-{number}.toml"));
         let text = fs::read_to_string(&file).unwrap();
         let text = text.replace("[bounds]\n", &format!("[bounds]\n{bounds}"));
         fs::write(&file, text).unwrap();
--- a/crates/havenladder/tests/suspended.rs
+++ b/crates/havenladder/tests/suspended.rs
@@ -8,7 +8,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, count_lines, request};
+use entries::{block_on, count_lines, request, send_request};
 use havenladder_soak::site::Site;
 use std::time::{Duration, Instant};
 use tokio::{task, time};
@@ -43,7 +43,7 @@
     // Nothing can be recorded, so that the call waits.
     site.links.iter().for_each(|link| link.mute(true, true));
     let callers = site.entries[0].address;
-    let call = task::spawn(async move { ask(callers, &request("POST", 1, BODY)).await });
+    let call = task::spawn(async move { send_request(callers, &request("POST", 1, BODY)).await });
     time::sleep(WAITED).await;
     let woke = Instant::now();
     suspend_all(&mut site, span);
@@ -61,7 +61,7 @@
     suspend_all(&mut site, span);
     time::sleep(BEGIN).await;
     assert_eq!(count_lines(name, seed, WOKE), before + site.entries.len());
-    let answer = ask(site.entries[0].address, &request("POST", 2, BODY)).await;
+    let answer = send_request(site.entries[0].address, &request("POST", 2, BODY)).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
--- a/crates/havenladder/tests/told_truly.rs
+++ b/crates/havenladder/tests/told_truly.rs
@@ -5,7 +5,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, owner};
+use entries::{block_on, owner, send_request};
 use havenladder_soak::site::{CORES, HOST, PREFIX, Site, WORKSPACES, key};
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
 
 /// The status of an entry's answer.
 async fn status(site: &Site, entry: usize, call: &str) -> String {
-    let head = ask(site.entries[entry].address, call).await;
+    let head = send_request(site.entries[entry].address, call).await;
     head.get(9..12).unwrap_or("none").to_owned()
 }
 
--- a/crates/havenladder/tests/turned_away.rs
+++ b/crates/havenladder/tests/turned_away.rs
@@ -6,7 +6,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, count_lines, owner, request};
+use entries::{block_on, count_lines, owner, request, send_request};
 use havenladder_soak::site::Site;
 use std::time::{Duration, Instant};
 use tokio::time;
@@ -32,7 +32,7 @@
 /// Hands jobs in at an entry, whatever becomes of them.
 fn hand_in(site: &Site, entry: usize, id: u64) {
     let address = site.entries[entry].address;
-    tokio::spawn(async move { ask(address, &request("POST", id, BODY)).await });
+    tokio::spawn(async move { send_request(address, &request("POST", id, BODY)).await });
 }
 
 /// Hands jobs in at entries other than the owner until the cell has changed hands, or for as long; how long that took.
@@ -55,7 +55,7 @@
 async fn start(name: &str, seed: u64) -> Site {
     let site = entries::start(name, seed, 4).await;
     time::sleep(BEGIN).await;
-    entries::hand_in(&site, 1, BODY).await;
+    entries::submit(&site, 1, BODY).await;
     site
 }
 
@@ -67,7 +67,7 @@
         site.links[owner(name, seed, 3)].cut(true);
         let took = wait_for_change(&site, name, seed, REPLACED).await;
         assert!(took.is_some(), "the cell has no new owner within 1.1 s");
-        entries::hand_in(&site, 2, BODY).await;
+        entries::submit(&site, 2, BODY).await;
     });
 }
 
@@ -79,7 +79,7 @@
         site.links[owner(name, seed, 3)].mute(true, true);
         let took = wait_for_change(&site, name, seed, REPLACED).await;
         assert!(took.is_some(), "the cell has no new owner within 1.1 s");
-        entries::hand_in(&site, 2, BODY).await;
+        entries::submit(&site, 2, BODY).await;
     });
 }
 
--- a/crates/havenladder/tests/turns.rs
+++ b/crates/havenladder/tests/turns.rs
@@ -2,7 +2,7 @@
 
 mod entries;
 
-use entries::{ask, block_on, request};
+use entries::{block_on, request, send_request};
 use havenladder_soak::site::Site;
 use havenladder_standin::users::events::RunEvent;
 use std::{collections::BTreeSet, time::Duration};
@@ -34,7 +34,7 @@
     let body = format!(
         r#"{{"spec":"100","steps":[{{"count":{TASKS},"cpu":1000,"mem-mb":100,"estimated-ms":100}}]}}"#
     );
-    let answer = ask(site.entries[0].address, &request("POST", 0xb1, &body)).await;
+    let answer = send_request(site.entries[0].address, &request("POST", 0xb1, &body)).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     time::sleep(SOON).await;
     let done = done(&site);
