--- a/crates/havenladder/benches/claims.rs
+++ b/crates/havenladder/benches/claims.rs
@@ -10,7 +10,7 @@
     client::legacy::{Client, connect::HttpConnector},
     rt::TokioExecutor,
 };
-use site::{Site, key, plan};
+use site::{Site, new_key, plan};
 use std::{
     cell::Cell,
     rc::Rc,
@@ -34,9 +34,9 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let before = site.appends();
+    let before = site.append_count();
     let done = runtime.block_on(offer(&site));
-    let appends = site.appends() - before;
+    let appends = site.append_count() - before;
     let seconds = TIME.as_secs_f64();
     println!(
         "claims: {:.0} orders/s done, {:.0} appends/s of 300",
@@ -57,7 +57,7 @@
         calls.spawn_local(async move {
             while began.elapsed() < TIME {
                 let request = Request::post(format!("http://{entry}/v1/place/pool/order"))
-                    .header("idempotency-key", key())
+                    .header("idempotency-key", new_key())
                     .body(Full::from("run=1"))
                     .expect("a well-formed request");
                 if let Ok(answer) = http.request(request).await
--- a/crates/havenladder/benches/control.rs
+++ b/crates/havenladder/benches/control.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/site/mod.rs"]
 mod site;
 
-use site::{Pace, Site, plan};
+use site::{Site, Timing, plan};
 use std::{thread, time::Duration};
 
 /// Time of each measurement.
@@ -26,23 +26,19 @@
            "services": {{ "service": {{}} }} }} }} }} }}"#
     );
     let halls = vec!["hall-1"; entries];
-    let site = Site::start_at(Pace::Default, plan(1, vms), &halls, &settings);
+    let site = Site::start_with_timing(Timing::Default, plan(1, vms), &halls, &settings);
     thread::sleep(Duration::from_secs(1));
-    let (used, platform, peers) = (
-        site.processor_time(0),
-        site.log_links[0].bytes(),
-        peers(&site),
-    );
+    let (used, platform, peers) = (site.cpu_time(0), site.log_links[0].bytes(), peers(&site));
     thread::sleep(TIME);
     let seconds = TIME.as_secs_f64();
-    let used = (site.processor_time(0) - used).as_secs_f64();
+    let used = (site.cpu_time(0) - used).as_secs_f64();
     let platform = site.log_links[0].bytes() - platform;
     println!(
         "{vms:>3}  {entries:>7}  {:>7.2} %  {:>25.0}  {:>10.0}  {:>4.1} MB",
         100.0 * used / seconds,
         platform as f64 / seconds,
         (self::peers(&site) - peers) as f64 / seconds,
-        site.memory(0) as f64 / 1e6
+        site.memory_bytes(0) as f64 / 1e6
     );
 }
 
--- a/crates/havenladder/benches/in_force.rs
+++ b/crates/havenladder/benches/in_force.rs
@@ -5,7 +5,7 @@
 mod site;
 
 use hdrhistogram::Histogram;
-use site::{Pace, Site, plan};
+use site::{Site, Timing, plan};
 use std::{fs, time::Instant};
 
 /// Changes that are published.
@@ -24,7 +24,7 @@
 
 fn main() {
     let halls = ["hall-1", "hall-1", "hall-1", "hall-2", "hall-2", "hall-2"];
-    let mut site = Site::start_at(Pace::Default, plan(2, 3), &halls, &settings(0));
+    let mut site = Site::start_with_timing(Timing::Default, plan(2, 3), &halls, &settings(0));
     let file = std::env::temp_dir().join(format!("havenladder-{}", key()));
     let mut took = Histogram::<u64>::new_with_bounds(1, 60_000, 3).expect("bounds in order");
     for change in 1..=CHANGES {
@@ -36,7 +36,7 @@
         fs::write(&file, settings(change)).expect("a folder for files");
         let path = file.to_str().expect("a path in Unicode");
         let began = Instant::now();
-        let applied = site.run(0, &["settings", "apply", "--wait", path]);
+        let applied = site.run_command(0, &["settings", "apply", "--wait", path]);
         assert!(applied.status.success(), "{applied:?}");
         took.saturating_record(began.elapsed().as_millis() as u64);
     }
@@ -52,5 +52,5 @@
 }
 
 fn key() -> String {
-    site::key()
+    site::new_key()
 }
--- a/crates/havenladder/benches/load.rs
+++ b/crates/havenladder/benches/load.rs
@@ -43,7 +43,7 @@
 fn main() {
     let site = Site::start(plan(1, 4), &["hall-1", "hall-1"], SETTINGS);
     let entries: Vec<_> = site.entries.iter().map(|entry| entry.editors).collect();
-    let workers = site.workers();
+    let workers = site.worker_addresses();
     let slots = workers.len() * 8;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/havenladder/benches/path.rs
+++ b/crates/havenladder/benches/path.rs
@@ -42,7 +42,7 @@
     println!(
         "memory at rest: {:.1} MB, {} threads",
         megabytes(&site),
-        site.threads(0)
+        site.thread_count(0)
     );
     runtime.block_on(latency(&site));
     runtime.block_on(throughput(&site));
@@ -50,7 +50,7 @@
 }
 
 fn megabytes(site: &Site) -> f64 {
-    site.memory(0) as f64 / 1e6
+    site.memory_bytes(0) as f64 / 1e6
 }
 
 fn client() -> Http {
@@ -73,7 +73,7 @@
 
 async fn latency(site: &Site) {
     let http = client();
-    let workers = site.workers();
+    let workers = site.worker_addresses();
     let kind = Kind {
         service: "place/pool/service".into(),
         pool: "place/pool".into(),
@@ -111,7 +111,7 @@
 
 async fn throughput(site: &Site) {
     let http = client();
-    let before = site.processor_time(0);
+    let before = site.cpu_time(0);
     let began = Instant::now();
     let mut calls = tokio::task::LocalSet::new();
     let total = std::rc::Rc::new(std::cell::Cell::new(0_u64));
@@ -134,7 +134,7 @@
     }
     (&mut calls).await;
     let done = total.get();
-    let used = site.processor_time(0) - before;
+    let used = site.cpu_time(0) - before;
     println!(
         "throughput: {:.0} requests/s with {CALLERS} callers; {:.0} requests a second of processor time",
         done as f64 / TIME.as_secs_f64(),
@@ -165,6 +165,6 @@
     calls.run_until(watch).await;
     println!(
         "memory with {IN_FLIGHT} requests in flight: {most:.1} MB, {} threads",
-        site.threads(0)
+        site.thread_count(0)
     );
 }
--- a/crates/havenladder/tests/at_most_once.rs
+++ b/crates/havenladder/tests/at_most_once.rs
@@ -5,7 +5,7 @@
 mod site;
 
 use rustix::process::Signal;
-use site::{Reply, Site, key, plan};
+use site::{Reply, Site, new_key, plan};
 use std::{thread, time::Duration};
 
 const ORDER: &str = "zona-norte/records/boundary-record";
@@ -34,7 +34,7 @@
 fn two_entries_with_one_key_at_one_moment_run_it_once() {
     let site = two_entries();
     for round in 0..20 {
-        let (key, body) = (key(), format!("run=10 tag=race-{round}"));
+        let (key, body) = (new_key(), format!("run=10 tag=race-{round}"));
         let replies: Vec<Reply> = thread::scope(|scope| {
             let calls: Vec<_> = (0..4)
                 .map(|call| {
@@ -57,10 +57,10 @@
 #[test]
 fn a_key_that_is_done_stays_done_at_every_entry() {
     let site = two_entries();
-    let key = key();
+    let key = new_key();
     assert_eq!(order(&site, 0, &key, "run=1 tag=done").status, 200);
     for entry in [0, 1, 1] {
-        site.wait("the outcome to be recorded", || {
+        site.wait_until("the outcome to be recorded", || {
             order(&site, entry, &key, "run=1 tag=done").outcome == "done"
         });
     }
@@ -76,7 +76,7 @@
     for round in 0..10 {
         site.log_links[0].lose_answers(2);
         let tag = format!("lost-{round}");
-        let key = key();
+        let key = new_key();
         let reply = order(&site, 0, &key, &format!("run=1 tag={tag}"));
         let again = order(&site, 1, &key, &format!("run=1 tag={tag}"));
         let runs = site.runs(&tag).len();
@@ -92,10 +92,10 @@
 #[test]
 fn an_entry_killed_between_send_and_answer_leaves_the_key_held() {
     let mut site = two_entries();
-    let key = key();
+    let key = new_key();
     thread::scope(|scope| {
         let caller = scope.spawn(|| order(&site, 0, &key, "run=1500 tag=killed"));
-        site.wait("the task to begin", || site.runs("killed").len() == 1);
+        site.wait_until("the task to begin", || site.runs("killed").len() == 1);
         site.signal(0, Signal::KILL);
         assert_eq!(caller.join().unwrap(), Reply::default());
     });
@@ -106,7 +106,7 @@
     }
     site.spawn(0);
     site.wait_ready();
-    site.wait("the restarted entry", || {
+    site.wait_until("the restarted entry", || {
         order(&site, 0, &key, "run=1500 tag=killed").status == 409
     });
     assert_eq!(site.runs("killed").len(), 1);
@@ -115,7 +115,7 @@
 #[test]
 fn an_entry_killed_between_claim_and_send_never_leads_to_two_runs() {
     let mut site = two_entries();
-    let key = key();
+    let key = new_key();
     // The claim reaches the log; the entry is stopped before it can read it back.
     site.log_links[0].delay(Duration::from_millis(300));
     thread::scope(|scope| {
@@ -136,13 +136,13 @@
 #[test]
 fn a_log_outage_refuses_orders_and_frees_their_keys() {
     let site = two_entries();
-    let key = key();
-    site.fault("log?down_ms=3500");
+    let key = new_key();
+    site.inject_fault("log?down_ms=3500");
     let refused = order(&site, 0, &key, "run=1 tag=outage");
     assert_eq!((refused.status, refused.outcome.as_str()), (503, "not-run"));
-    assert!(refused.back.is_some());
+    assert!(refused.retry_after.is_some());
     assert!(site.runs("outage").is_empty());
-    site.wait("the log to be back", || {
+    site.wait_until("the log to be back", || {
         order(&site, 0, &key, "run=1 tag=outage").status == 200
     });
     assert_eq!(site.runs("outage").len(), 1);
@@ -151,14 +151,14 @@
 #[test]
 fn a_claim_that_arrives_after_its_request_was_refused_does_not_hold_the_key() {
     let site = two_entries();
-    let key = key();
+    let key = new_key();
     // Every exchange with the log takes longer than a claim may: it is taken, and known too late.
     site.log_links[0].delay(Duration::from_millis(1_200));
     let refused = order(&site, 0, &key, "run=1 tag=late");
     assert_eq!(refused.outcome, "not-run", "{refused:?}");
     assert!(site.runs("late").is_empty());
     site.log_links[0].delay(Duration::ZERO);
-    site.wait("the key to be free", || {
+    site.wait_until("the key to be free", || {
         order(&site, 1, &key, "run=1 tag=late").status == 200
     });
     assert_eq!(site.runs("late").len(), 1);
@@ -168,7 +168,7 @@
 fn a_holder_that_was_frozen_past_the_deadline_does_not_send() {
     let site = two_entries();
     for round in 0..8 {
-        let key = key();
+        let key = new_key();
         let tag = format!("frozen-{round}");
         let deadline = havenladder_standin::ledger::now_ms() + 600;
         let deadline = deadline.to_string();
@@ -205,7 +205,7 @@
     }
     for round in 0..10 {
         let tag = format!("twice-{round}");
-        order(&site, 0, &key(), &format!("run=5 tag={tag}"));
+        order(&site, 0, &new_key(), &format!("run=5 tag={tag}"));
         assert_eq!(site.runs(&tag).len(), 1);
     }
 }
--- a/crates/havenladder/tests/bad_input.rs
+++ b/crates/havenladder/tests/bad_input.rs
@@ -124,7 +124,7 @@
 fn half_open_and_stalled_callers_hold_no_thread_and_disturb_nobody() {
     let site = site();
     let addr = site.entries[0].editors;
-    let before = site.threads(0);
+    let before = site.thread_count(0);
     let mut held: Vec<TcpStream> = Vec::new();
     for _ in 0..300 {
         let mut stream = TcpStream::connect(addr).unwrap();
@@ -149,7 +149,11 @@
         "{:?}",
         began.elapsed()
     );
-    assert_eq!(site.threads(0), before, "threads grew with connections");
+    assert_eq!(
+        site.thread_count(0),
+        before,
+        "threads grew with connections"
+    );
     // Each is closed by the limits of the listener, 2 s here.
     for mut stream in held {
         stream
@@ -232,7 +236,7 @@
         b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\ncontent-length: 4\r\n\r\nab",
     );
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    let before = site::threads_of(std::process::id());
+    let before = site::thread_count(std::process::id());
     let held: Vec<TcpStream> = (0..300)
         .map(|_| {
             let mut stream = TcpStream::connect(addr).unwrap();
@@ -240,8 +244,8 @@
             stream
         })
         .collect();
-    let limit = Instant::now() + site::LIMIT;
-    while site::threads_of(std::process::id()) < before + 200 {
+    let limit = Instant::now() + site::WAIT_TIMEOUT;
+    while site::thread_count(std::process::id()) < before + 200 {
         assert!(
             Instant::now() < limit,
             "tiny_http no longer needs a thread a caller"
--- a/crates/havenladder/tests/commands.rs
+++ b/crates/havenladder/tests/commands.rs
@@ -27,7 +27,7 @@
         "{ \"place\": { \"objektive\": 0.9, \"class\": \"x\" } }",
     );
     for args in [["settings", "check", &file], ["settings", "apply", &file]] {
-        let output = site.run(0, &args);
+        let output = site.run_command(0, &args);
         assert_eq!(output.status.code(), Some(3), "{output:?}");
         let told = text(&output.stderr);
         assert!(told.contains("bad.jsonc:1:14: place.objektive"), "{told}");
@@ -58,7 +58,7 @@
             "did you mean `place/pool/service`?",
         ),
     ] {
-        let output = site.run(0, &args);
+        let output = site.run_command(0, &args);
         assert_eq!(output.status.code(), Some(1), "{args:?} {output:?}");
         assert!(text(&output.stderr).contains(told), "{args:?} {output:?}");
     }
@@ -77,12 +77,12 @@
         ["burn", "--json", "--json"],
     ] {
         let args = &args[..if args[0] == "burn" { 2 } else { 3 }];
-        let output = site.run(0, args);
+        let output = site.run_command(0, args);
         assert!(output.status.success(), "{args:?} {output:?}");
         let value: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
         assert!(!value.is_null());
     }
-    let burn = site.ask(0, "/burn").unwrap();
+    let burn = site.query(0, "/burn").unwrap();
     assert_eq!(
         burn["services"]["place/pool/service"]["cells"][0]["good"],
         1
@@ -93,7 +93,7 @@
 fn keys_are_never_shown() {
     let site = site();
     for args in [&["print-config"][..], &["bug-report"][..]] {
-        let output = site.run(0, args);
+        let output = site.run_command(0, args);
         assert!(output.status.success(), "{output:?}");
         let shown = text(&output.stdout);
         assert!(!shown.contains(site::OPERATOR_KEY) && !shown.contains("test-peer-key"));
@@ -105,7 +105,7 @@
 fn an_entry_that_is_not_there_and_a_bad_file_of_its_own_have_codes_of_their_own() {
     let mut site = site();
     site.kill(0);
-    assert_eq!(site.run(0, &["vm", "list"]).status.code(), Some(4));
+    assert_eq!(site.run_command(0, &["vm", "list"]).status.code(), Some(4));
     let bad = "{ \"entry\": \"a\", \"hall\": \"h\", \"peers\": { \"key\": \"short\" }, \
                \"operatrs\": {}, \"editors\": { \"listen\": \"localhost:1\" } }";
     let file = site.write("process.jsonc", bad);
--- a/crates/havenladder/tests/configuration.rs
+++ b/crates/havenladder/tests/configuration.rs
@@ -46,7 +46,7 @@
         }
         site.wait_ready();
         for index in 0..3 {
-            site.wait("the replaced entry", || {
+            site.wait_until("the replaced entry", || {
                 timeout(&site, index) == u64::from(1_000 + round)
             });
         }
@@ -71,7 +71,7 @@
                 let site = &site;
                 scope.spawn(move || {
                     let file = file.to_str().unwrap().to_owned();
-                    site.run(entry as usize, &["settings", "apply", &file])
+                    site.run_command(entry as usize, &["settings", "apply", &file])
                 })
             })
             .collect();
@@ -87,7 +87,7 @@
     let told = String::from_utf8(outputs[1 - winner].stderr.clone()).unwrap();
     assert!(told.contains("was changed meanwhile at offset"), "{told}");
     for index in 0..2 {
-        site.wait("the winner's value", || {
+        site.wait_until("the winner's value", || {
             timeout(&site, index) == 2_000 + winner as u64
         });
     }
@@ -110,12 +110,12 @@
 #[test]
 fn a_restart_during_an_outage_loads_from_a_peer_and_never_serves_from_nothing() {
     let mut site = Site::start(plan(1, 4), &["hall-1", "hall-1"], &settings(1_234));
-    site.fault("log?down_ms=600000");
+    site.inject_fault("log?down_ms=600000");
     site.kill(0);
     site.spawn(0);
     site.wait_ready();
     assert_eq!(timeout(&site, 0), 1_234);
-    site.wait("a preview", || {
+    site.wait_until("a preview", || {
         site.post(0, SERVICE, "run=1", &[]).status == 200
     });
 
@@ -149,7 +149,7 @@
     site.spawn(1);
     site.wait_ready();
     for index in 0..2 {
-        site.wait("the settings", || timeout(&site, index) == 1_123);
+        site.wait_until("the settings", || timeout(&site, index) == 1_123);
     }
 }
 
@@ -162,11 +162,11 @@
     for round in 1..=10 {
         let file = std::env::temp_dir().join(format!("havenladder-gap-{}", ulid::Ulid::new()));
         fs::write(&file, settings(1_000 + round)).unwrap();
-        let applied = site.run(0, &["settings", "apply", file.to_str().unwrap()]);
+        let applied = site.run_command(0, &["settings", "apply", file.to_str().unwrap()]);
         fs::remove_file(&file).unwrap();
         assert!(applied.status.success(), "{applied:?}");
         thread::sleep(Duration::from_millis(600));
     }
     site.signal(1, rustix::process::Signal::CONT);
-    site.wait("the entry that slept", || timeout(&site, 1) == 1_010);
+    site.wait_until("the entry that slept", || timeout(&site, 1) == 1_010);
 }
--- a/crates/havenladder/tests/cut_off.rs
+++ b/crates/havenladder/tests/cut_off.rs
@@ -2,7 +2,7 @@
 
 mod site;
 
-use site::{Site, key, plan};
+use site::{Site, new_key, plan};
 use std::time::{Duration, Instant};
 
 const PREVIEW: &str = "place/works/preview";
@@ -35,14 +35,19 @@
     site.log_links[1].cut(true);
     let began = Instant::now();
     site.publish(&settings(4_321));
-    site.wait("the relay", || timeout(&site, 1) == 4_321);
+    site.wait_until("the relay", || timeout(&site, 1) == 4_321);
     assert!(
         began.elapsed() < Duration::from_secs(4),
         "{:?}",
         began.elapsed()
     );
     assert_eq!(site.post(1, PREVIEW, "run=1", &[]).status, 200);
-    let reply = site.post(1, ORDER, "run=1 tag=cut", &[("idempotency-key", &key())]);
+    let reply = site.post(
+        1,
+        ORDER,
+        "run=1 tag=cut",
+        &[("idempotency-key", &new_key())],
+    );
     assert_eq!(
         (reply.status, reply.outcome.as_str()),
         (503, "not-run"),
@@ -59,16 +64,21 @@
     for _ in 0..20 {
         assert_eq!(site.post(1, PREVIEW, "run=1", &[]).status, 200);
     }
-    let reply = site.post(1, ORDER, "run=1 tag=alone", &[("idempotency-key", &key())]);
+    let reply = site.post(
+        1,
+        ORDER,
+        "run=1 tag=alone",
+        &[("idempotency-key", &new_key())],
+    );
     assert_eq!(reply.outcome, "not-run", "{reply:?}");
     // The others go on without it, and it catches up once the links are mended.
     assert_eq!(site.post(0, PREVIEW, "run=1", &[]).status, 200);
     site.log_links[1].cut(false);
     site.cut_peers(0, 1, false);
     site.publish(&settings(4_444));
-    site.wait("the hall to catch up", || timeout(&site, 1) == 4_444);
-    site.wait("orders", || {
-        site.post(1, ORDER, "run=1", &[("idempotency-key", &key())])
+    site.wait_until("the hall to catch up", || timeout(&site, 1) == 4_444);
+    site.wait_until("orders", || {
+        site.post(1, ORDER, "run=1", &[("idempotency-key", &new_key())])
             .status
             == 200
     });
@@ -78,9 +88,9 @@
 fn a_hall_without_workers_spills_to_a_peer_and_says_so_when_cut_off() {
     let site = two_halls();
     for rack in ["hall-1-rack-1", "hall-1-rack-2"] {
-        site.fault(&format!("rack/{rack}?down_ms=600000"));
+        site.inject_fault(&format!("rack/{rack}?down_ms=600000"));
     }
-    site.wait("spilling", || {
+    site.wait_until("spilling", || {
         site.post(0, PREVIEW, "run=1", &[]).status == 200
     });
     for round in 0..10 {
@@ -89,13 +99,13 @@
             0,
             ORDER,
             &format!("run=1 tag={tag}"),
-            &[("idempotency-key", &key())],
+            &[("idempotency-key", &new_key())],
         );
         assert_eq!(reply.status, 200, "{reply:?}");
         assert_eq!(site.runs(&tag).len(), 1);
     }
     site.cut_peers(0, 1, true);
-    site.wait("the peer to be missed", || {
+    site.wait_until("the peer to be missed", || {
         let began = Instant::now();
         let reply = site.post(0, PREVIEW, "run=1", &[]);
         reply.outcome == "not-run" && began.elapsed() < Duration::from_millis(500)
--- a/crates/havenladder/tests/fleet.rs
+++ b/crates/havenladder/tests/fleet.rs
@@ -94,14 +94,14 @@
 }
 
 fn start_wave(site: &Site) -> u64 {
-    let started = site.run(0, &["wave", "start", POOL, "--json"]);
+    let started = site.run_command(0, &["wave", "start", POOL, "--json"]);
     assert!(started.status.success(), "{started:?}");
     let receipt: serde_json::Value = serde_json::from_slice(&started.stdout).unwrap();
     receipt["offset"].as_u64().unwrap()
 }
 
 fn wait_wave(site: &Site, index: usize, wave: u64) {
-    site.wait("the wave to end", || {
+    site.wait_until("the wave to end", || {
         site.state(index)["waves"][wave.to_string()]["wave"]["state"] == "done"
     });
 }
@@ -175,7 +175,7 @@
     let vms = members(&site, POOL);
     let wave = start_wave(&site);
     let begun = |site: &Site, count: usize| {
-        site.wait("reboots", || reboots(&site.ledger()).len() >= count);
+        site.wait_until("reboots", || reboots(&site.ledger()).len() >= count);
     };
     begun(&site, 1);
     site.kill(0);
@@ -200,7 +200,7 @@
     let vms = members(&site, POOL);
     let wave = start_wave(&site);
     for _ in 0..20 {
-        site.fault("lose?n=2");
+        site.inject_fault("lose?n=2");
         site.log_links[0].lose_answers(1);
         site.log_links[1].lose_answers(1);
         thread::sleep(Duration::from_millis(100));
@@ -215,8 +215,8 @@
     let site = two_halls();
     let vms = members(&site, POOL);
     let wave = start_wave(&site);
-    site.wait("a reboot", || !reboots(&site.ledger()).is_empty());
-    site.fault("log?down_ms=7000");
+    site.wait_until("a reboot", || !reboots(&site.ledger()).is_empty());
+    site.inject_fault("log?down_ms=7000");
     let (done, other) = under_load(&site, || thread::sleep(Duration::from_millis(5_000)));
     assert!(done > 100 && other == 0, "{done} done, {other} not");
     wait_wave(&site, 0, wave);
@@ -228,8 +228,8 @@
     let site = two_halls();
     let vms = members(&site, POOL);
     let wave = start_wave(&site);
-    site.wait("a reboot", || !reboots(&site.ledger()).is_empty());
-    site.fault("rack/hall-1-rack-1?down_ms=5000");
+    site.wait_until("a reboot", || !reboots(&site.ledger()).is_empty());
+    site.inject_fault("rack/hall-1-rack-1?down_ms=5000");
     thread::sleep(Duration::from_millis(KNOWN_AFTER_MS));
     let before = site.ledger().events.len();
     thread::sleep(Duration::from_millis(1_000));
@@ -269,11 +269,11 @@
 fn a_rack_that_fails_just_after_a_reboot_has_begun_stops_the_wave(after_ms: u64) {
     let site = two_halls();
     let vms = members(&site, POOL);
-    site.fault(&format!(
+    site.inject_fault(&format!(
         "rack/hall-1-rack-1?down_ms=5000&after_reboot_ms={after_ms}"
     ));
     let wave = start_wave(&site);
-    site.wait("the failure", || {
+    site.wait_until("the failure", || {
         let ledger = site.ledger();
         ledger.events.iter().any(|event| event.what == What::Fail)
     });
@@ -303,7 +303,7 @@
         let starts: Vec<_> = (0..2)
             .map(|entry| {
                 let site = &site;
-                scope.spawn(move || site.run(entry, &["wave", "start", POOL, "--wait"]))
+                scope.spawn(move || site.run_command(entry, &["wave", "start", POOL, "--wait"]))
             })
             .collect();
         starts
@@ -328,7 +328,7 @@
     let told = AtomicU32::new(0);
     let at = now_ms();
     under_load(&site, || {
-        site.fault(&format!("vm/{vm}?leaving=1"));
+        site.inject_fault(&format!("vm/{vm}?leaving=1"));
         told.store(1, Ordering::Relaxed);
         thread::sleep(Duration::from_millis(4_500));
     });
@@ -344,12 +344,12 @@
 #[test]
 fn a_drained_vm_gets_no_new_work_even_from_an_entry_that_is_cut_off() {
     let site = two_halls();
-    let vm = site.vm_of(POOL, |vm| vm["hall"] == "hall-2");
+    let vm = site.find_vm(POOL, |vm| vm["hall"] == "hall-2");
     // The hall's own entry hears of the drain from nobody.
     site.log_links[1].cut(true);
     site.cut_peers(0, 1, true);
     let url = format!("vms/{vm}");
-    site.call(&url, r#"{"call":"drain","token":1000000}"#);
+    site.call_platform(&url, r#"{"call":"drain","token":1000000}"#);
     let at = now_ms();
     let (done, other) = under_load(&site, || thread::sleep(Duration::from_millis(1_000)));
     assert!(done > 50 && other == 0, "{done} done, {other} not");
@@ -417,9 +417,9 @@
     let vms = members(&site, POOL);
     let vm = vms.first().unwrap().clone();
     under_load(&site, || {
-        let released = site.run(0, &["vm", "release", &vm]);
+        let released = site.run_command(0, &["vm", "release", &vm]);
         assert!(released.status.success(), "{released:?}");
-        site.wait("the release", || site.state(0)["vms"].get(&vm).is_none());
+        site.wait_until("the release", || site.state(0)["vms"].get(&vm).is_none());
     });
     let ledger = site.ledger();
     let cut = ledger
@@ -434,7 +434,7 @@
         .count();
     assert_eq!(released, 1);
     // The pool asks for ten, so a spare takes its place.
-    site.wait("a replacement", || members(&site, POOL).len() == 10);
+    site.wait_until("a replacement", || members(&site, POOL).len() == 10);
 }
 
 #[test]
@@ -442,18 +442,24 @@
     let site = two_halls();
     let vms: Vec<String> = members(&site, POOL).into_iter().collect();
     for vm in &vms[..2] {
-        assert!(site.run(0, &["vm", "drain", vm]).status.success());
+        assert!(site.run_command(0, &["vm", "drain", vm]).status.success());
     }
-    let refused = site.run(0, &["vm", "drain", &vms[2]]);
+    let refused = site.run_command(0, &["vm", "drain", &vms[2]]);
     assert_eq!(refused.status.code(), Some(1));
     let told = String::from_utf8(refused.stderr).unwrap();
     assert!(
         told.contains("allows 16 slots and 24 would be unavailable"),
         "{told}"
     );
-    assert!(site.run(1, &["vm", "undrain", &vms[0]]).status.success());
-    site.wait("room for another drain", || {
-        site.run(0, &["vm", "drain", &vms[2]]).status.success()
+    assert!(
+        site.run_command(1, &["vm", "undrain", &vms[0]])
+            .status
+            .success()
+    );
+    site.wait_until("room for another drain", || {
+        site.run_command(0, &["vm", "drain", &vms[2]])
+            .status
+            .success()
     });
     assert!(most_out(&site.ledger(), &vms.into_iter().collect()).0 <= BUDGET);
 }
--- a/crates/havenladder/tests/outcomes.rs
+++ b/crates/havenladder/tests/outcomes.rs
@@ -5,7 +5,7 @@
 mod site;
 
 use rustix::process::Signal;
-use site::{Site, key, plan};
+use site::{Site, new_key, plan};
 use std::{
     thread,
     time::{Duration, Instant},
@@ -58,7 +58,12 @@
     let reply = site.post(0, PREVIEW, "run=5 size=9000 tag=again", &[]);
     assert_eq!((reply.status, reply.body.len()), (200, 9_000));
     links.iter().for_each(|link| link.cut_answers_short(1));
-    let reply = site.post(0, ORDER, "run=5 tag=once", &[("idempotency-key", &key())]);
+    let reply = site.post(
+        0,
+        ORDER,
+        "run=5 tag=once",
+        &[("idempotency-key", &new_key())],
+    );
     assert_eq!(reply.outcome, "unknown");
     assert_eq!(site.runs("once").len(), 1);
 }
@@ -69,7 +74,12 @@
     let links = site.worker_links();
     // A probe may take a lost answer before the order does, so several are lost.
     links.iter().for_each(|link| link.lose_answers(1_000));
-    let reply = site.post(0, ORDER, "run=5 tag=lost", &[("idempotency-key", &key())]);
+    let reply = site.post(
+        0,
+        ORDER,
+        "run=5 tag=lost",
+        &[("idempotency-key", &new_key())],
+    );
     links.iter().for_each(|link| link.lose_answers(0));
     assert_eq!((reply.status, reply.outcome.as_str()), (502, "unknown"));
     assert_eq!(site.runs("lost").len(), 1);
@@ -111,12 +121,12 @@
     for round in 0..30 {
         if round % 10 == 5 {
             for vm in &vms {
-                site.fault(&format!("vm/{vm}?down_ms=400"));
+                site.inject_fault(&format!("vm/{vm}?down_ms=400"));
             }
         }
         let tag = format!("round-{round}");
         let deadline = ("havenladder-deadline", unix_ms(300));
-        let headers = [("idempotency-key", key()), deadline];
+        let headers = [("idempotency-key", new_key()), deadline];
         let headers: Vec<(&str, &str)> = headers.iter().map(|(n, v)| (*n, v.as_str())).collect();
         let reply = site.post(0, ORDER, &format!("run=20 tag={tag}"), &headers);
         let runs = site.runs(&tag).len();
@@ -124,7 +134,7 @@
             "not-run" => {
                 told += 1;
                 assert_eq!(runs, 0, "{reply:?}");
-                assert!(reply.back.is_some(), "{reply:?}");
+                assert!(reply.retry_after.is_some(), "{reply:?}");
             }
             "done" => assert_eq!(runs, 1),
             _ => assert!(runs <= 1),
@@ -145,7 +155,7 @@
     let headers = [("havenladder-deadline", deadline.as_str())];
     let reply = site.post(0, PREVIEW, "run=400 tag=hopeless", &headers);
     assert_eq!((reply.status, reply.outcome.as_str()), (503, "not-run"));
-    assert!(reply.back.is_some());
+    assert!(reply.retry_after.is_some());
     assert!(began.elapsed() < Duration::from_millis(100), "held back");
     assert!(site.runs("hopeless").is_empty());
 }
@@ -155,7 +165,7 @@
     let mut site = one_hall();
     let long = thread::scope(|scope| {
         let call = scope.spawn(|| site.post(0, PREVIEW, "run=3000 tag=long", &[]));
-        site.wait("the task to begin", || site.runs("long").len() == 1);
+        site.wait_until("the task to begin", || site.runs("long").len() == 1);
         site.signal(0, Signal::TERM);
         call.join().unwrap()
     });
@@ -164,12 +174,12 @@
 
     site.spawn(0);
     site.wait_ready();
-    site.wait("workers", || {
+    site.wait_until("workers", || {
         site.post(0, PREVIEW, "run=1", &[]).status == 200
     });
     thread::scope(|scope| {
         scope.spawn(|| site.post(0, PREVIEW, "run=4000 tag=cut-off", &[]));
-        site.wait("the task to begin", || site.runs("cut-off").len() == 1);
+        site.wait_until("the task to begin", || site.runs("cut-off").len() == 1);
         site.signal(0, Signal::TERM);
         thread::sleep(Duration::from_millis(50));
         site.signal(0, Signal::TERM);
@@ -187,9 +197,9 @@
         body.len()
     );
     std::io::Write::write_all(&mut caller, request.as_bytes()).unwrap();
-    site.wait("the task to begin", || site.runs("gone").len() == 1);
+    site.wait_until("the task to begin", || site.runs("gone").len() == 1);
     drop(caller);
-    site.wait("the task to be stopped", || {
+    site.wait_until("the task to be stopped", || {
         site.runs("gone")[0].end.is_some()
     });
 }
--- a/crates/havenladder/tests/site/config.rs
+++ b/crates/havenladder/tests/site/config.rs
@@ -14,14 +14,14 @@
 
 /// How fast an entry looks, waits and gives up.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Pace {
+pub enum Timing {
     /// As documented.
     Default,
     /// Faster, so that tests need not wait.
-    Quick,
+    Fast,
 }
 
-fn hasten(config: &mut Value) {
+fn shorten_intervals(config: &mut Value) {
     config["editors"]["header_ms"] = 2000.into();
     config["editors"]["body_ms"] = 2000.into();
     config["peers"]["interval_ms"] = 100.into();
@@ -35,8 +35,8 @@
 }
 
 impl Site {
-    pub(super) fn configure(&mut self, pace: Pace, index: usize, hall: &str, halls: &[&str]) {
-        let log = self.proxy(self.platform);
+    pub(super) fn configure(&mut self, timing: Timing, index: usize, hall: &str, halls: &[&str]) {
+        let log = self.start_proxy(self.platform);
         self.log_links.push(log.faults);
         let mut neighbours = Vec::new();
         for (other, other_hall) in halls
@@ -44,8 +44,8 @@
             .enumerate()
             .filter(|(other, _)| *other != index)
         {
-            let editors = self.proxy(self.entries[other].editors);
-            let peers = self.proxy(self.entries[other].peers);
+            let editors = self.start_proxy(self.entries[other].editors);
+            let peers = self.start_proxy(self.entries[other].peers);
             neighbours.push(serde_json::json!({
                 "entry": self.entries[other].name,
                 "hall": other_hall,
@@ -69,8 +69,8 @@
             "platform": { "address": log.addr.to_string() },
             "logs": { "filter": std::env::var("HAVENLADDER_TEST_LOG").unwrap_or("error".into()) },
         });
-        if pace == Pace::Quick {
-            hasten(&mut config);
+        if timing == Timing::Fast {
+            shorten_intervals(&mut config);
         }
         fs::write(&entry.config, config.to_string()).unwrap();
     }
@@ -78,7 +78,7 @@
 
 /// Addresses that nothing else on the machine uses: each site has a loopback address of its own,
 /// so that no other site's listener and no outgoing connection can be in the way.
-pub fn own_addresses(count: u16) -> Vec<SocketAddr> {
+pub fn reserve_addresses(count: u16) -> Vec<SocketAddr> {
     static SITES: AtomicU32 = AtomicU32::new(1);
     let site = (std::process::id() % (1 << 18)) * 64 + SITES.fetch_add(1, Ordering::Relaxed) % 64;
     let [_, a, b, c] = site.to_be_bytes();
--- a/crates/havenladder/tests/site/mod.rs
+++ b/crates/havenladder/tests/site/mod.rs
@@ -12,12 +12,12 @@
 mod client;
 mod config;
 
-use client::lasting_threads_of;
-pub use client::{Reply, key, threads_of};
-pub use config::Pace;
+use client::long_lived_thread_count;
+pub use client::{Reply, new_key, thread_count};
+pub use config::Timing;
 
 use client::{agent, get};
-use config::own_addresses;
+use config::reserve_addresses;
 use havenladder_standin::{
     ledger::{Ledger, Run},
     platform::{self, Plan},
@@ -38,7 +38,7 @@
 use tokio::runtime::Handle;
 
 /// Limit of every wait; generous, so that a busy machine changes no verdict.
-pub const LIMIT: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub const OPERATOR_KEY: &str = "test-operator-key-0123456789";
 
@@ -85,12 +85,12 @@
     /// Starts a site with one entry for each name in `halls`; settings are published and every
     /// VM has a pool when it returns.
     pub fn start(plan: Plan, halls: &[&str], settings: &str) -> Self {
-        Self::start_at(Pace::Quick, plan, halls, settings)
+        Self::start_with_timing(Timing::Fast, plan, halls, settings)
     }
 
-    /// Starts a site whose entries have this pace.
-    pub fn start_at(pace: Pace, plan: Plan, halls: &[&str], settings: &str) -> Self {
-        let mut site = Self::prepare(pace, plan, halls);
+    /// Starts a site whose entries have this timing.
+    pub fn start_with_timing(timing: Timing, plan: Plan, halls: &[&str], settings: &str) -> Self {
+        let mut site = Self::prepare(timing, plan, halls);
         for index in 0..halls.len() {
             site.spawn(index);
         }
@@ -101,11 +101,11 @@
     }
 
     /// Makes everything but the entries' processes.
-    fn prepare(pace: Pace, plan: Plan, halls: &[&str]) -> Self {
+    fn prepare(timing: Timing, plan: Plan, halls: &[&str]) -> Self {
         let (handle, platform) = start_platform(plan);
         let folder = std::env::temp_dir().join(format!("havenladder-{}", ulid::Ulid::new()));
         fs::create_dir_all(&folder).unwrap();
-        let ports = own_addresses(u16::try_from(halls.len() * 3).unwrap());
+        let ports = reserve_addresses(u16::try_from(halls.len() * 3).unwrap());
         let entries: Vec<Entry> = halls
             .iter()
             .enumerate()
@@ -128,13 +128,13 @@
             setup_events: 0,
         };
         for (index, hall) in halls.iter().enumerate() {
-            site.configure(pace, index, hall, halls);
+            site.configure(timing, index, hall, halls);
         }
         site
     }
 
     /// Starts a proxy in front of an address.
-    pub fn proxy(&self, target: SocketAddr) -> Proxy {
+    pub fn start_proxy(&self, target: SocketAddr) -> Proxy {
         let (sender, receiver) = std::sync::mpsc::channel();
         self.handle.spawn(async move {
             sender.send(Proxy::start(target).await.unwrap()).unwrap();
@@ -145,11 +145,11 @@
     /// Puts a proxy between the entries and one VM's worker.
     pub fn worker_link(&self, vm: &str) -> Arc<Faults> {
         let known = self.state(0)["vms"][vm]["addr"].clone();
-        let proxy = self.proxy(known.as_str().unwrap().parse().unwrap());
-        self.fault(&format!("via/{vm}/{}", proxy.addr));
+        let proxy = self.start_proxy(known.as_str().unwrap().parse().unwrap());
+        self.inject_fault(&format!("via/{vm}/{}", proxy.addr));
         let addr = proxy.addr.to_string();
         for index in 0..self.entries.len() {
-            self.wait("the worker's link", || {
+            self.wait_until("the worker's link", || {
                 self.state(index)["vms"][vm]["addr"] == addr.as_str()
             });
         }
@@ -192,7 +192,7 @@
     pub fn wait_exit(&mut self, index: usize) -> Option<i32> {
         let mut child = self.entries[index].child.take().unwrap();
         let mut code = None;
-        self.wait("the process to end", || match child.try_wait().unwrap() {
+        self.wait_until("the process to end", || match child.try_wait().unwrap() {
             Some(status) => {
                 code = status.code();
                 true
@@ -214,7 +214,7 @@
     /// Waits until every running entry takes requests.
     pub fn wait_ready(&self) {
         for entry in self.entries.iter().filter(|entry| entry.child.is_some()) {
-            self.wait("ready", || {
+            self.wait_until("ready", || {
                 get(&format!("http://{}/ready", entry.editors)).is_some_and(|(code, _)| code == 200)
             });
         }
@@ -224,10 +224,10 @@
     pub fn publish(&self, settings: &str) {
         let file = self.folder.join("settings.jsonc");
         fs::write(&file, settings).unwrap();
-        let applied = self.run(0, &["settings", "apply", "--wait", file.to_str().unwrap()]);
+        let applied = self.run_command(0, &["settings", "apply", "--wait", file.to_str().unwrap()]);
         assert!(applied.status.success(), "{applied:?}");
         for index in 0..self.entries.len() {
-            let limit = Instant::now() + LIMIT;
+            let limit = Instant::now() + WAIT_TIMEOUT;
             while !self.is_placed(index) {
                 assert!(
                     Instant::now() < limit,
@@ -267,7 +267,7 @@
     }
 
     /// Runs a command against an entry.
-    pub fn run(&self, index: usize, args: &[&str]) -> Output {
+    pub fn run_command(&self, index: usize, args: &[&str]) -> Output {
         Command::new(env!("CARGO_BIN_EXE_havenladder"))
             .args(args)
             .arg("--config")
@@ -278,11 +278,11 @@
 
     /// The agreed state as an entry knows it.
     pub fn state(&self, index: usize) -> Value {
-        self.ask(index, "/state").unwrap_or(Value::Null)
+        self.query(index, "/state").unwrap_or(Value::Null)
     }
 
     /// Asks an entry's listener for operators.
-    pub fn ask(&self, index: usize, path: &str) -> Option<Value> {
+    pub fn query(&self, index: usize, path: &str) -> Option<Value> {
         let url = format!("http://{}{path}", self.entries[index].operators);
         let mut answer = agent()
             .get(url)
@@ -306,7 +306,7 @@
     }
 
     /// Appends that the log has taken, in all streams.
-    pub fn appends(&self) -> u64 {
+    pub fn append_count(&self) -> u64 {
         self.platform_json("ledger/appends").as_u64().unwrap()
     }
 
@@ -316,19 +316,19 @@
     }
 
     /// Injects a fault into the platform.
-    pub fn fault(&self, fault: &str) {
+    pub fn inject_fault(&self, fault: &str) {
         let url = format!("http://{}/fault/{fault}", self.platform);
         agent().post(url).send_empty().unwrap();
     }
 
     /// Makes a call to the platform, past the system.
-    pub fn call(&self, path: &str, body: &str) {
+    pub fn call_platform(&self, path: &str, body: &str) {
         let url = format!("http://{}/{path}", self.platform);
         agent().post(url).send(body).unwrap();
     }
 
     /// Addresses of all workers.
-    pub fn workers(&self) -> Vec<SocketAddr> {
+    pub fn worker_addresses(&self) -> Vec<SocketAddr> {
         let listed = self.platform_json("vms");
         let addrs = listed
             .as_array()
@@ -339,7 +339,7 @@
     }
 
     /// Processor time that an entry has used.
-    pub fn processor_time(&self, index: usize) -> Duration {
+    pub fn cpu_time(&self, index: usize) -> Duration {
         /// Ticks of the system's clock in a second, as Linux has them.
         const TICKS: f64 = 100.0;
         let id = self.entries[index].child.as_ref().unwrap().id();
@@ -355,7 +355,7 @@
     }
 
     /// Memory that an entry holds, in bytes.
-    pub fn memory(&self, index: usize) -> u64 {
+    pub fn memory_bytes(&self, index: usize) -> u64 {
         let id = self.entries[index].child.as_ref().unwrap().id();
         let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap();
         let line = status
@@ -371,12 +371,12 @@
     }
 
     /// Threads of an entry's process.
-    pub fn threads(&self, index: usize) -> usize {
-        lasting_threads_of(self.entries[index].child.as_ref().unwrap().id())
+    pub fn thread_count(&self, index: usize) -> usize {
+        long_lived_thread_count(self.entries[index].child.as_ref().unwrap().id())
     }
 
     /// The id of some VM of a pool that `fits` holds for.
-    pub fn vm_of(&self, pool: &str, fits: impl Fn(&Value) -> bool) -> String {
+    pub fn find_vm(&self, pool: &str, fits: impl Fn(&Value) -> bool) -> String {
         let state = self.state(0);
         let vms = state["vms"].as_object().unwrap();
         let found = vms.iter().find(|(_, vm)| vm["pool"] == pool && fits(vm));
@@ -399,7 +399,7 @@
                 Reply {
                     status: answer.status().as_u16(),
                     outcome: header("havenladder-outcome").unwrap_or_default(),
-                    back: header("retry-after"),
+                    retry_after: header("retry-after"),
                     body: answer.body_mut().read_to_string().unwrap_or_default(),
                 }
             }
@@ -408,8 +408,8 @@
     }
 
     /// Waits until a condition holds.
-    pub fn wait(&self, what: &str, mut is_met: impl FnMut() -> bool) {
-        let limit = Instant::now() + LIMIT;
+    pub fn wait_until(&self, what: &str, mut is_met: impl FnMut() -> bool) {
+        let limit = Instant::now() + WAIT_TIMEOUT;
         while !is_met() {
             assert!(Instant::now() < limit, "waited too long for {what}");
             thread::sleep(Duration::from_millis(10));
