--- a/crates/havenladder/tests/entries/mod.rs
+++ b/crates/havenladder/tests/entries/mod.rs
@@ -1,4 +1,4 @@
-//! Entries as processes of their own against the stand-ins of the users' machines, for tests.
+//! Starts entries as separate processes against stand-ins of the users' machines, for tests.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -18,21 +18,21 @@
     time,
 };
 
-/// Limit of every wait; generous, so that a busy machine changes no verdict.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Upper bound on every wait; generous, so that a busy machine does not fail a test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Where the logs of a site lie.
+/// Returns the folder with the logs of a site.
 #[allow(
     dead_code,
     clippy::allow_attributes,
-    reason = "not every test reads them"
+    reason = "not every test reads the logs"
 )]
 pub fn log_dir(name: &str, seed: u64) -> PathBuf {
     PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{seed}"))
 }
 
-/// Starts three entries, the first and the last in one data centre, and so many VMs; the logs lie under `name`, without
-/// those of an earlier run.
+/// Starts a site with three entries, the first and the last of them in the same data centre, and the given number of
+/// VMs. The logs of an earlier run under the same name and seed are deleted.
 #[allow(
     dead_code,
     clippy::allow_attributes,
@@ -42,7 +42,7 @@
     start_with(name, seed, vms, 3).await
 }
 
-/// The same with so many entries, in two data centres in turn.
+/// Does the same for any number of entries, which are placed in two data centres alternately.
 pub async fn start_with(name: &str, seed: u64, vms: usize, entries: usize) -> Site {
     let _ = fs::remove_dir_all(log_dir(name, seed));
     let plan = Plan {
@@ -56,11 +56,11 @@
     Site::start(&plan).await.unwrap()
 }
 
-/// How often a text stands in the logs of a site's entries.
+/// Counts how often a text occurs in the logs of the entries of a site.
 #[allow(
     dead_code,
     clippy::allow_attributes,
-    reason = "not every test reads them"
+    reason = "not every test reads the logs"
 )]
 pub fn count_lines(name: &str, seed: u64, text: &str) -> usize {
     let files = fs::read_dir(log_dir(name, seed))
@@ -72,11 +72,11 @@
     texts.map(|log| log.matches(text).count()).sum()
 }
 
-/// Which entry owns the cell, by its log.
+/// Returns the index of the first entry whose log says that it became the owner of the cell.
 #[allow(
     dead_code,
     clippy::allow_attributes,
-    reason = "not every test asks for the owner"
+    reason = "not every test needs to know the owner"
 )]
 pub fn owner(name: &str, seed: u64, entries: usize) -> usize {
     let owns = |number: &usize| {
@@ -86,34 +86,35 @@
     (0..entries).find(owns).expect("an entry owns the cell")
 }
 
-/// How long a caller waits for an answer, in ms; an entry gives up after two fifths of it.
-const PATIENCE: u64 = 3_000;
+/// Time in ms for which a caller waits for a response; an entry abandons the request after two fifths of it.
+const REQUEST_TIMEOUT_MS: u64 = 3_000;
 
-/// A call about a job.
+/// Returns an HTTP request about a job.
 #[allow(
     dead_code,
     clippy::allow_attributes,
-    reason = "not every test asks an entry itself"
+    reason = "not every test sends requests itself"
 )]
 pub fn request(method: &str, id: u64, body: &str) -> String {
     format!(
-        "{method} {PREFIX}{id:016x} HTTP/1.1\r\nhost: {HOST}\r\nrequest-deadline-ms: {PATIENCE}\r\n\
+        "{method} {PREFIX}{id:016x} HTTP/1.1\r\nhost: {HOST}\r\nrequest-deadline-ms: {REQUEST_TIMEOUT_MS}\r\n\
          connection: close\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// The head of an entry's answer; empty without one.
+/// Sends a request to an entry and returns the head of the response, or an empty text if none arrived.
 #[allow(
     dead_code,
     clippy::allow_attributes,
-    reason = "not every test asks an entry itself"
+    reason = "not every test sends requests itself"
 )]
 pub async fn send_request(address: SocketAddr, request: &str) -> String {
-    let answer = time::timeout(LIMIT, exchange(address, request)).await;
-    answer.map(Result::unwrap_or_default).unwrap_or_default()
+    let response = time::timeout(WAIT_TIMEOUT, exchange(address, request)).await;
+    response.map(Result::unwrap_or_default).unwrap_or_default()
 }
 
+/// Sends a request over a new connection and reads the head of the response.
 async fn exchange(address: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(request.as_bytes()).await?;
@@ -124,14 +125,15 @@
     Ok(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// Hands a job in, to one entry after the other until one takes it.
+/// Submits a job to one entry after the other until one of them accepts it; panics if none does within
+/// `WAIT_TIMEOUT`.
 #[allow(
     dead_code,
     clippy::allow_attributes,
-    reason = "not every test hands jobs in"
+    reason = "not every test submits jobs"
 )]
 pub async fn submit(site: &Site, id: u64, body: &str) {
-    let until = Instant::now() + LIMIT;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < until {
         for entry in &site.entries {
             let head = send_request(entry.address, &request("POST", id, body)).await;
@@ -141,10 +143,10 @@
         }
         time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("job {id} is not taken in");
+    panic!("no entry accepted job {id}");
 }
 
-/// Runs a test to its end.
+/// Runs a test on a runtime of one thread until it returns.
 pub fn block_on(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/havenladder/tests/site/config.rs
+++ b/crates/havenladder/tests/site/config.rs
@@ -1,6 +1,9 @@
-//! The entries' own files, and addresses for them.
+//! Writes the configuration files of the entries and picks their addresses.
 
-#![expect(clippy::unwrap_used, reason = "a test stops when its site is broken")]
+#![expect(
+    clippy::unwrap_used,
+    reason = "a test fails when its site cannot be used"
+)]
 
 use super::{OPERATOR_KEY, Site};
 use serde_json::Value;
@@ -12,15 +15,16 @@
 
 const PEER_KEY: &str = "test-peer-key-0123456789";
 
-/// How fast an entry looks, waits and gives up.
+/// The intervals and timeouts of an entry.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Timing {
-    /// As documented.
+    /// The documented defaults.
     Default,
-    /// Faster, so that tests need not wait.
+    /// Shorter ones, so that tests need not wait for long.
     Fast,
 }
 
+/// Sets shorter intervals and timeouts in the configuration of an entry.
 fn shorten_intervals(config: &mut Value) {
     config["editors"]["header_ms"] = 2000.into();
     config["editors"]["body_ms"] = 2000.into();
@@ -35,6 +39,8 @@
 }
 
 impl Site {
+    /// Starts the proxies between one entry and its peers and the platform, and writes the configuration file of the
+    /// entry with the addresses of these proxies.
     pub(super) fn configure(&mut self, timing: Timing, index: usize, hall: &str, halls: &[&str]) {
         let log = self.start_proxy(self.platform);
         self.log_links.push(log.faults);
@@ -76,8 +82,8 @@
     }
 }
 
-/// Addresses that nothing else on the machine uses: each site has a loopback address of its own,
-/// so that no other site's listener and no outgoing connection can be in the way.
+/// Returns addresses that nothing else on the machine uses. Each site gets a loopback address of its own, so that its
+/// ports cannot collide with the listeners of another site or with outgoing connections.
 pub fn reserve_addresses(count: u16) -> Vec<SocketAddr> {
     static SITES: AtomicU32 = AtomicU32::new(1);
     let site = (std::process::id() % (1 << 18)) * 64 + SITES.fetch_add(1, Ordering::Relaxed) % 64;
--- a/crates/havenladder/tests/site/mod.rs
+++ b/crates/havenladder/tests/site/mod.rs
@@ -1,12 +1,15 @@
-//! A site for tests: real entry processes, the stand-in platform in this process, and a proxy
-//! that injects faults on every link.
+//! A site for tests: real entry processes, the stand-in platform in the process of the test, and on every link a
+//! proxy that injects faults.
 
-#![expect(clippy::unwrap_used, reason = "a test stops when its site is broken")]
+#![expect(
+    clippy::unwrap_used,
+    reason = "a test fails when its site cannot be used"
+)]
 #![allow(
     dead_code,
     unused_imports,
     clippy::allow_attributes,
-    reason = "each test file uses another part"
+    reason = "each test file uses only some of these items"
 )]
 
 mod client;
@@ -37,12 +40,13 @@
 };
 use tokio::runtime::Handle;
 
-/// Limit of every wait; generous, so that a busy machine changes no verdict.
+/// Upper bound on every wait; generous, so that a busy machine does not fail a test.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// The key with which operators authenticate to the entries of a site.
 pub const OPERATOR_KEY: &str = "test-operator-key-0123456789";
 
-/// One entry: its process and the links that lead to it.
+/// An entry with the addresses of its listeners and its process.
 pub struct Entry {
     pub name: String,
     pub editors: SocketAddr,
@@ -52,21 +56,21 @@
     child: Option<Child>,
 }
 
-/// The whole site; what it started ends with it.
+/// A running site. Dropping it kills the processes of its entries and deletes its files.
 pub struct Site {
     pub entries: Vec<Entry>,
     platform: SocketAddr,
-    /// The link from each entry to the platform.
+    /// The fault controls of the link from each entry to the platform.
     pub log_links: Vec<Arc<Faults>>,
-    /// The links from one entry to another: editors' and peers' listeners.
+    /// The fault controls of the links from one entry to another: to its listener for callers and to that for peers.
     pub peer_links: BTreeMap<(usize, usize), [Arc<Faults>; 2]>,
     handle: Handle,
     folder: PathBuf,
-    /// Events of the ledger from before the site was set up.
+    /// Number of ledger events that were recorded during setup; `ledger` leaves them out.
     setup_events: usize,
 }
 
-/// A plan with `vms` VMs in each of `halls` halls and quick reboots.
+/// Returns a plan with `halls` data centres of `vms` VMs each, and with short reboots.
 pub fn plan(halls: u32, vms: u32) -> Plan {
     Plan {
         halls: (1..=halls)
@@ -82,13 +86,13 @@
 }
 
 impl Site {
-    /// Starts a site with one entry for each name in `halls`; settings are published and every
-    /// VM has a pool when it returns.
+    /// Starts a site with one entry for each name in `halls`. Returns once the settings are published and every VM
+    /// has a pool.
     pub fn start(plan: Plan, halls: &[&str], settings: &str) -> Self {
         Self::start_with_timing(Timing::Fast, plan, halls, settings)
     }
 
-    /// Starts a site whose entries have this timing.
+    /// Does the same as `start` for entries with the given timing.
     pub fn start_with_timing(timing: Timing, plan: Plan, halls: &[&str], settings: &str) -> Self {
         let mut site = Self::prepare(timing, plan, halls);
         for index in 0..halls.len() {
@@ -100,7 +104,7 @@
         site
     }
 
-    /// Makes everything but the entries' processes.
+    /// Starts the platform and the proxies and writes the configuration files, but starts no entry.
     fn prepare(timing: Timing, plan: Plan, halls: &[&str]) -> Self {
         let (handle, platform) = start_platform(plan);
         let folder = std::env::temp_dir().join(format!("havenladder-{}", ulid::Ulid::new()));
@@ -133,7 +137,7 @@
         site
     }
 
-    /// Starts a proxy in front of an address.
+    /// Starts a proxy that forwards to the given address.
     pub fn start_proxy(&self, target: SocketAddr) -> Proxy {
         let (sender, receiver) = std::sync::mpsc::channel();
         self.handle.spawn(async move {
@@ -142,7 +146,7 @@
         receiver.recv().unwrap()
     }
 
-    /// Puts a proxy between the entries and one VM's worker.
+    /// Puts a proxy between the entries and the worker of one VM, and waits until every entry uses it.
     pub fn worker_link(&self, vm: &str) -> Arc<Faults> {
         let known = self.state(0)["vms"][vm]["addr"].clone();
         let proxy = self.start_proxy(known.as_str().unwrap().parse().unwrap());
@@ -156,14 +160,14 @@
         proxy.faults
     }
 
-    /// Puts a proxy between the entries and each VM's worker.
+    /// Puts a proxy between the entries and the worker of each VM.
     pub fn worker_links(&self) -> Vec<Arc<Faults>> {
         let state = self.state(0);
         let vms = state["vms"].as_object().unwrap().keys();
         vms.map(|vm| self.worker_link(vm)).collect()
     }
 
-    /// Starts an entry's process, with an empty memory.
+    /// Starts the process of an entry; it begins without any state.
     pub fn spawn(&mut self, index: usize) {
         let entry = &mut self.entries[index];
         let child = Command::new(env!("CARGO_BIN_EXE_havenladder"))
@@ -175,20 +179,20 @@
         entry.child = Some(child);
     }
 
-    /// Kills an entry's process without a chance to clean up.
+    /// Kills the process of an entry, which gets no chance to clean up.
     pub fn kill(&mut self, index: usize) {
         let mut child = self.entries[index].child.take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
-    /// Sends a signal to an entry's process.
+    /// Sends a signal to the process of an entry.
     pub fn signal(&self, index: usize, signal: Signal) {
         let child = self.entries[index].child.as_ref().unwrap();
         kill_process(Pid::from_child(child), signal).unwrap();
     }
 
-    /// Waits until an entry's process has ended by itself and returns its exit code.
+    /// Waits until the process of an entry exits by itself, and returns its exit code.
     pub fn wait_exit(&mut self, index: usize) -> Option<i32> {
         let mut child = self.entries[index].child.take().unwrap();
         let mut code = None;
@@ -202,7 +206,7 @@
         code
     }
 
-    /// Cuts or mends the links between two entries, both ways.
+    /// Cuts the links between two entries in both directions, or restores them.
     pub fn cut_peers(&self, one: usize, other: usize, cut: bool) {
         for pair in [(one, other), (other, one)] {
             for link in &self.peer_links[&pair] {
@@ -211,7 +215,7 @@
         }
     }
 
-    /// Waits until every running entry takes requests.
+    /// Waits until every running entry reports that it is ready.
     pub fn wait_ready(&self) {
         for entry in self.entries.iter().filter(|entry| entry.child.is_some()) {
             self.wait_until("ready", || {
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Publishes settings and waits until they are in force and every VM has been placed.
+    /// Publishes settings, and waits until they are in force and every VM has the pool that they ask for.
     pub fn publish(&self, settings: &str) {
         let file = self.folder.join("settings.jsonc");
         fs::write(&file, settings).unwrap();
@@ -240,6 +244,8 @@
         }
     }
 
+    /// Returns whether an entry knows all VMs, every pool has as many VMs as its settings ask for, and the platform
+    /// has the same pool on record for each VM.
     fn is_placed(&self, index: usize) -> bool {
         let state = self.state(index);
         let listed = self.platform_json("vms");
@@ -247,8 +253,8 @@
         let all = listed
             .as_array()
             .is_some_and(|listed| listed.len() == vms.len());
-        let asked = state["tree"]["nodes"].as_object().unwrap();
-        let sizes = asked.iter().all(|(path, node)| {
+        let nodes = state["tree"]["nodes"].as_object().unwrap();
+        let sizes = nodes.iter().all(|(path, node)| {
             let count = state["counts"][path]["vms"].as_u64().unwrap_or(0);
             node["vms"].as_u64().is_none_or(|wanted| count == wanted)
         });
@@ -259,14 +265,14 @@
         all && sizes && labelled
     }
 
-    /// Writes a file of the site's own and returns its path.
+    /// Writes a file into the folder of the site and returns its path.
     pub fn write(&self, name: &str, text: &str) -> String {
         let file = self.folder.join(name);
         fs::write(&file, text).unwrap();
         file.to_str().unwrap().to_owned()
     }
 
-    /// Runs a command against an entry.
+    /// Runs a command of the command line with the configuration of an entry.
     pub fn run_command(&self, index: usize, args: &[&str]) -> Output {
         Command::new(env!("CARGO_BIN_EXE_havenladder"))
             .args(args)
@@ -276,40 +282,41 @@
             .unwrap()
     }
 
-    /// The agreed state as an entry knows it.
+    /// Returns the state as an entry knows it, or null if the entry does not answer.
     pub fn state(&self, index: usize) -> Value {
         self.query(index, "/state").unwrap_or(Value::Null)
     }
 
-    /// Asks an entry's listener for operators.
+    /// Queries the operators' listener of an entry; returns nothing if the entry does not answer with JSON.
     pub fn query(&self, index: usize, path: &str) -> Option<Value> {
         let url = format!("http://{}{path}", self.entries[index].operators);
-        let mut answer = agent()
+        let mut response = agent()
             .get(url)
             .header("havenladder-key", OPERATOR_KEY)
             .call()
             .ok()?;
-        answer.body_mut().read_json().ok()
+        response.body_mut().read_json().ok()
     }
 
-    /// What really happened since the site was set up, by the platform's own record.
+    /// Returns the events and runs that the platform itself has recorded, without the events of the setup.
     pub fn ledger(&self) -> Ledger {
         let mut ledger: Ledger = serde_json::from_value(self.platform_json("ledger")).unwrap();
         ledger.events.drain(..self.setup_events);
         ledger
     }
 
-    /// The runs whose body bore a mark.
+    /// Returns the runs whose request body had this tag.
     pub fn runs(&self, tag: &str) -> Vec<Run> {
         let runs = self.ledger().runs.into_iter();
         runs.filter(|run| run.tag == tag).collect()
     }
 
-    /// Appends that the log has taken, in all streams.
+    /// Returns the number of appends that the log has accepted, in all streams.
     pub fn append_count(&self) -> u64 {
         self.platform_json("ledger/appends").as_u64().unwrap()
     }
 
+    /// Fetches a JSON document from the platform.
     fn platform_json(&self, path: &str) -> Value {
         let (_, text) = get(&format!("http://{}/{path}", self.platform)).unwrap();
         serde_json::from_str(&text).unwrap()
@@ -321,13 +328,13 @@
         agent().post(url).send_empty().unwrap();
     }
 
-    /// Makes a call to the platform, past the system.
+    /// Calls the platform directly, without any entry in between.
     pub fn call_platform(&self, path: &str, body: &str) {
         let url = format!("http://{}/{path}", self.platform);
         agent().post(url).send(body).unwrap();
     }
 
-    /// Addresses of all workers.
+    /// Returns the addresses of all workers.
     pub fn worker_addresses(&self) -> Vec<SocketAddr> {
         let listed = self.platform_json("vms");
         let addrs = listed
@@ -338,10 +345,10 @@
         addrs.map(|addr| addr.unwrap().parse().unwrap()).collect()
     }
 
-    /// Processor time that an entry has used.
+    /// Returns the processor time that an entry has used.
     pub fn cpu_time(&self, index: usize) -> Duration {
-        /// Ticks of the system's clock in a second, as Linux has them.
-        const TICKS: f64 = 100.0;
+        /// Clock ticks per second, as Linux reports processor time.
+        const TICKS_PER_SECOND: f64 = 100.0;
         let id = self.entries[index].child.as_ref().unwrap().id();
         let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
         let fields: Vec<&str> = stat
@@ -351,10 +358,10 @@
             .split_whitespace()
             .collect();
         let ticks: f64 = fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap();
-        Duration::from_secs_f64(ticks / TICKS)
+        Duration::from_secs_f64(ticks / TICKS_PER_SECOND)
     }
 
-    /// Memory that an entry holds, in bytes.
+    /// Returns the resident memory of an entry in bytes.
     pub fn memory_bytes(&self, index: usize) -> u64 {
         let id = self.entries[index].child.as_ref().unwrap().id();
         let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap();
@@ -370,12 +377,12 @@
             * 1024
     }
 
-    /// Threads of an entry's process.
+    /// Returns the number of threads of an entry that outlive an address lookup.
     pub fn thread_count(&self, index: usize) -> usize {
         long_lived_thread_count(self.entries[index].child.as_ref().unwrap().id())
     }
 
-    /// The id of some VM of a pool that `fits` holds for.
+    /// Returns the id of a VM of the pool for which `fits` returns true.
     pub fn find_vm(&self, pool: &str, fits: impl Fn(&Value) -> bool) -> String {
         let state = self.state(0);
         let vms = state["vms"].as_object().unwrap();
@@ -383,7 +390,7 @@
         found.unwrap().0.clone()
     }
 
-    /// Sends a request to an entry.
+    /// Sends a request of a caller to an entry.
     pub fn post(&self, index: usize, service: &str, body: &str, headers: &[(&str, &str)]) -> Reply {
         let url = format!("http://{}/v1/{service}", self.entries[index].editors);
         let mut request = agent().post(url);
@@ -391,23 +398,23 @@
             request = request.header(*name, *value);
         }
         match request.send(body) {
-            Ok(mut answer) => {
+            Ok(mut response) => {
                 let header = |name| {
-                    let value = answer.headers().get(name)?;
+                    let value = response.headers().get(name)?;
                     Some(value.to_str().ok()?.to_owned())
                 };
                 Reply {
-                    status: answer.status().as_u16(),
+                    status: response.status().as_u16(),
                     outcome: header("havenladder-outcome").unwrap_or_default(),
                     retry_after: header("retry-after"),
-                    body: answer.body_mut().read_to_string().unwrap_or_default(),
+                    body: response.body_mut().read_to_string().unwrap_or_default(),
                 }
             }
             Err(_) => Reply::default(),
         }
     }
 
-    /// Waits until a condition holds.
+    /// Waits until a condition holds; panics after `WAIT_TIMEOUT`, naming what it has waited for.
     pub fn wait_until(&self, what: &str, mut is_met: impl FnMut() -> bool) {
         let limit = Instant::now() + WAIT_TIMEOUT;
         while !is_met() {
@@ -429,7 +436,7 @@
     }
 }
 
-/// Starts the platform in a thread that ends with the test's process.
+/// Starts the platform in a thread that ends with the process of the test.
 fn start_platform(plan: Plan) -> (Handle, SocketAddr) {
     let (sender, receiver) = std::sync::mpsc::channel();
     thread::spawn(move || {
