--- a/crates/havenladder/tests/fleet.rs
+++ b/crates/havenladder/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Promises about budgets, reboots, leaving VMs and pools, with real processes under failure.
+//! Tests with real processes, under failures, that waves keep to the budget and that reboots, moves and releases of
+//! VMs cut off no run.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -18,7 +19,8 @@
 const SERVICE: &str = "aotearoa/previews/preview";
 const POOL: &str = "aotearoa/previews";
 
-/// Ten VMs of 8 slots of which two may be out at once, and two spares.
+/// Settings for a pool of ten VMs with 8 slots each, of which two VMs may be out of service at once. Two of the
+/// site's VMs remain spare.
 const SETTINGS: &str = r#"{
   "aotearoa": {
     "unavailable": "20%",
@@ -29,16 +31,18 @@
   }
 }"#;
 
-/// Slots that the budget allows to be out of service at once.
+/// Number of slots that the budget allows to be out of service at once.
 const BUDGET: u32 = 16;
 
-/// Time after which the system must know of a failure.
-const KNOWN_AFTER_MS: u64 = 3_000;
+/// Time in ms after which the entries must know of a failure.
+const DETECTION_TIMEOUT_MS: u64 = 3_000;
 
+/// Starts a site with two data centres of six VMs, and one entry in each.
 fn two_halls() -> Site {
     Site::start(plan(2, 6), &["hall-1", "hall-2"], SETTINGS)
 }
 
+/// Returns the ids of the VMs of a pool.
 fn members(site: &Site, pool: &str) -> BTreeSet<String> {
     let state = site.state(0);
     let vms = state["vms"].as_object().unwrap();
@@ -46,22 +50,23 @@
     in_pool.map(|(id, _)| id.clone()).collect()
 }
 
-/// The independent count: the most slots of these VMs that the system had out of service at once,
-/// and the most that were out when it took another one, with failures it had to know of.
-fn most_out(ledger: &Ledger, vms: &BTreeSet<String>) -> (u32, u32) {
+/// Counts, from the platform's record alone, how many slots of these VMs were out of service at once. Returns the
+/// largest number that the entries had taken out of service, and the largest number that was out when they took out
+/// another VM, including VMs that had failed more than `DETECTION_TIMEOUT_MS` before.
+fn max_slots_out(ledger: &Ledger, vms: &BTreeSet<String>) -> (u32, u32) {
     let mut by_system = BTreeSet::new();
     let mut failed: BTreeMap<String, u64> = BTreeMap::new();
-    let (mut most, mut most_known) = (0, 0);
+    let (mut max_out, mut max_known_out) = (0, 0);
     for event in ledger.events.iter().filter(|event| vms.contains(&event.vm)) {
         let vm = event.vm.clone();
         match event.what {
             What::Drain | What::Reboot | What::Release => {
                 by_system.insert(vm);
                 let known = |(other, at): (&String, &u64)| {
-                    at + KNOWN_AFTER_MS < event.at && !by_system.contains(other)
+                    at + DETECTION_TIMEOUT_MS < event.at && !by_system.contains(other)
                 };
                 let failures = failed.iter().filter(|fail| known(*fail)).count();
-                most_known = most_known.max(by_system.len() + failures);
+                max_known_out = max_known_out.max(by_system.len() + failures);
             }
             What::Undrain | What::Back | What::Assign => {
                 by_system.remove(&vm);
@@ -75,12 +80,13 @@
             }
             What::Stale => {}
         }
-        most = most.max(by_system.len());
+        max_out = max_out.max(by_system.len());
     }
     let slots = |vms: usize| u32::try_from(vms * 8).unwrap();
-    (slots(most), slots(most_known))
+    (slots(max_out), slots(max_known_out))
 }
 
+/// Counts the reboots of each VM.
 fn reboots(ledger: &Ledger) -> BTreeMap<String, u32> {
     let mut reboots = BTreeMap::new();
     for event in ledger
@@ -93,6 +99,7 @@
     reboots
 }
 
+/// Starts a wave over the pool and returns its id.
 fn start_wave(site: &Site) -> u64 {
     let started = site.run_command(0, &["wave", "start", POOL, "--json"]);
     assert!(started.status.success(), "{started:?}");
@@ -100,20 +107,22 @@
     receipt["offset"].as_u64().unwrap()
 }
 
+/// Waits until an entry reports that a wave is done.
 fn wait_wave(site: &Site, index: usize, wave: u64) {
     site.wait_until("the wave to end", || {
         site.state(index)["waves"][wave.to_string()]["wave"]["state"] == "done"
     });
 }
 
-/// Sends previews through every entry that answers while `during` runs; counts the answers.
+/// Sends previews through all entries while `during` runs. Returns the number of responses with status 200 and the
+/// number of requests that ended in any other way.
 fn under_load(site: &Site, during: impl FnOnce()) -> (u32, u32) {
     let stop = AtomicBool::new(false);
-    let (done, other) = (AtomicU32::new(0), AtomicU32::new(0));
+    let (succeeded, other) = (AtomicU32::new(0), AtomicU32::new(0));
     thread::scope(|scope| {
         for caller in 0..6 {
-            let (stop, done, other) = (&stop, &done, &other);
-            // Long ones are what a reboot without patience would cut off.
+            let (stop, succeeded, other) = (&stop, &succeeded, &other);
+            // A reboot that does not wait for running requests would cut off the long ones.
             let run = if caller % 2 == 0 { 30 } else { 400 };
             scope.spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
@@ -123,7 +132,11 @@
                         &format!("run={run}"),
                         &[],
                     );
-                    let count = if reply.status == 200 { done } else { other };
+                    let count = if reply.status == 200 {
+                        succeeded
+                    } else {
+                        other
+                    };
                     count.fetch_add(1, Ordering::Relaxed);
                 }
             });
@@ -131,17 +144,17 @@
         during();
         stop.store(true, Ordering::Relaxed);
     });
-    (done.into_inner(), other.into_inner())
+    (succeeded.into_inner(), other.into_inner())
 }
 
-/// What must hold after every wave, however it went.
-fn check(site: &Site, vms: &BTreeSet<String>) {
+/// Checks that the budget held, that no reboot cut off a run, and that no VM was rebooted twice.
+fn check_wave(site: &Site, vms: &BTreeSet<String>) {
     let ledger = site.ledger();
-    let (most, most_known) = most_out(&ledger, vms);
-    assert!(most <= BUDGET, "{most} slots out at once");
+    let (max_out, max_known_out) = max_slots_out(&ledger, vms);
+    assert!(max_out <= BUDGET, "{max_out} slots out at once");
     assert!(
-        most_known <= BUDGET,
-        "{most_known} slots out with known failures"
+        max_known_out <= BUDGET,
+        "{max_known_out} slots out with known failures"
     );
     let cut: Vec<_> = ledger
         .runs
@@ -160,42 +173,42 @@
 fn a_wave_reboots_every_vm_once_within_the_budget_and_cuts_off_nothing() {
     let site = two_halls();
     let vms = members(&site, POOL);
-    let (done, other) = under_load(&site, || {
+    let (succeeded, other) = under_load(&site, || {
         let wave = start_wave(&site);
         wait_wave(&site, 0, wave);
     });
-    check(&site, &vms);
+    check_wave(&site, &vms);
     assert_eq!(reboots(&site.ledger()).len(), vms.len());
-    assert_eq!(other, 0, "{done} were answered");
+    assert_eq!(other, 0, "{succeeded} succeeded");
 }
 
 #[test]
-fn a_wave_survives_its_entries_being_killed_and_frozen() {
+fn a_wave_completes_while_entries_are_killed_and_suspended() {
     let mut site = two_halls();
     let vms = members(&site, POOL);
     let wave = start_wave(&site);
-    let begun = |site: &Site, count: usize| {
+    let wait_reboots = |site: &Site, count: usize| {
         site.wait_until("reboots", || reboots(&site.ledger()).len() >= count);
     };
-    begun(&site, 1);
+    wait_reboots(&site, 1);
     site.kill(0);
     thread::sleep(Duration::from_millis(300));
     site.spawn(0);
-    begun(&site, 3);
-    // Frozen for longer than its lease of 3 s, in the middle of whatever it does.
+    wait_reboots(&site, 3);
+    // Suspends the entry, at any point of its work, for longer than its lease of 3 s.
     site.signal(1, Signal::STOP);
     thread::sleep(Duration::from_millis(5_500));
     site.signal(1, Signal::CONT);
-    begun(&site, 6);
+    wait_reboots(&site, 6);
     site.kill(1);
     site.spawn(1);
     wait_wave(&site, 0, wave);
-    check(&site, &vms);
+    check_wave(&site, &vms);
     assert_eq!(reboots(&site.ledger()).len(), vms.len());
 }
 
 #[test]
-fn a_wave_survives_answers_that_are_lost_after_the_effect() {
+fn a_wave_completes_when_responses_to_applied_calls_are_lost() {
     let site = two_halls();
     let vms = members(&site, POOL);
     let wave = start_wave(&site);
@@ -206,31 +219,34 @@
         thread::sleep(Duration::from_millis(100));
     }
     wait_wave(&site, 0, wave);
-    check(&site, &vms);
+    check_wave(&site, &vms);
     assert_eq!(reboots(&site.ledger()).len(), vms.len());
 }
 
 #[test]
-fn a_wave_survives_a_long_outage_of_the_platform() {
+fn a_wave_completes_after_a_long_outage_of_the_platform() {
     let site = two_halls();
     let vms = members(&site, POOL);
     let wave = start_wave(&site);
     site.wait_until("a reboot", || !reboots(&site.ledger()).is_empty());
     site.inject_fault("log?down_ms=7000");
-    let (done, other) = under_load(&site, || thread::sleep(Duration::from_millis(5_000)));
-    assert!(done > 100 && other == 0, "{done} done, {other} not");
+    let (succeeded, other) = under_load(&site, || thread::sleep(Duration::from_millis(5_000)));
+    assert!(
+        succeeded > 100 && other == 0,
+        "{succeeded} succeeded, {other} did not"
+    );
     wait_wave(&site, 0, wave);
-    check(&site, &vms);
+    check_wave(&site, &vms);
 }
 
 #[test]
-fn a_rack_lost_in_the_middle_of_a_wave_stops_it_until_there_is_room() {
+fn a_rack_lost_during_a_wave_stops_it_until_there_is_headroom() {
     let site = two_halls();
     let vms = members(&site, POOL);
     let wave = start_wave(&site);
     site.wait_until("a reboot", || !reboots(&site.ledger()).is_empty());
     site.inject_fault("rack/hall-1-rack-1?down_ms=5000");
-    thread::sleep(Duration::from_millis(KNOWN_AFTER_MS));
+    thread::sleep(Duration::from_millis(DETECTION_TIMEOUT_MS));
     let before = site.ledger().events.len();
     thread::sleep(Duration::from_millis(1_000));
     let after = site.ledger();
@@ -240,33 +256,33 @@
         .count();
     assert_eq!(drained, 0, "drained while a rack was down");
     wait_wave(&site, 0, wave);
-    check(&site, &vms);
+    check_wave(&site, &vms);
 }
 
-/// What happened to VMs, with the time in ms since the first event.
-fn tell(ledger: &Ledger) -> Vec<String> {
+/// Returns one line for each event of a VM, with its time in ms since the first event.
+fn event_lines(ledger: &Ledger) -> Vec<String> {
     let began = ledger.events.first().map_or(0, |event| event.at);
     let events = ledger.events.iter();
     let line = events.map(|event| format!("{} {} {:?}", event.at - began, event.vm, event.what));
     line.collect()
 }
 
-/// A rack fails while two of its VMs reboot, as they come back, and just after: another of its VMs may be told to drain
-/// before anybody can know that it is down. A VM that boots again is in service, so that such a drain ends with it, and
-/// one whose rack has failed does not come back from its reboot before its rack does.
+/// A rack fails while two of its VMs reboot, as they come back, or just after. Another VM of the rack may be
+/// drained before any entry can know that the rack is down. A VM that boots again is in service, which ends such a
+/// drain, and a VM whose rack has failed does not return from its reboot before the rack does.
 ///
-/// Before, the stand-in's record did not say that a boot ends a drain, and brought VMs back in a rack that was down: with
-/// the failure 290 ms after the reboot 24 slots counted as out where 16 may be, three times of three; at random moments 4
-/// times of 320 with 16 sites at once.
+/// The stand-in's record once did not say that booting ends a drain, and brought VMs back in a rack that was down.
+/// With the failure 290 ms after the reboot, 24 slots counted as out of service where 16 are allowed in three of
+/// three runs; with the failure at random times, in 4 of 320 runs with 16 sites at once.
 #[parameterized(
-    at_once = { 0 },
-    soon = { 2 },
-    a_little_later = { 4 },
-    late = { 20 },
-    as_they_come_back = { 290 },
-    when_they_are_back = { 320 },
+    immediately = { 0 },
+    after_2_ms = { 2 },
+    after_4_ms = { 4 },
+    after_20_ms = { 20 },
+    as_vms_come_back = { 290 },
+    once_vms_are_back = { 320 },
 )]
-fn a_rack_that_fails_just_after_a_reboot_has_begun_stops_the_wave(after_ms: u64) {
+fn a_rack_that_fails_around_a_reboot_stops_the_wave(after_ms: u64) {
     let site = two_halls();
     let vms = members(&site, POOL);
     site.inject_fault(&format!(
@@ -277,7 +293,7 @@
         let ledger = site.ledger();
         ledger.events.iter().any(|event| event.what == What::Fail)
     });
-    thread::sleep(Duration::from_millis(KNOWN_AFTER_MS));
+    thread::sleep(Duration::from_millis(DETECTION_TIMEOUT_MS));
     let before = site.ledger().events.len();
     thread::sleep(Duration::from_millis(1_000));
     let after = site.ledger();
@@ -287,28 +303,32 @@
     assert!(
         !drained,
         "drained while a rack was down: {:#?}",
-        tell(&after)
+        event_lines(&after)
     );
     wait_wave(&site, 0, wave);
     let ledger = site.ledger();
-    assert!(most_out(&ledger, &vms).0 <= BUDGET, "{:#?}", tell(&ledger));
-    check(&site, &vms);
+    assert!(
+        max_slots_out(&ledger, &vms).0 <= BUDGET,
+        "{:#?}",
+        event_lines(&ledger)
+    );
+    check_wave(&site, &vms);
 }
 
 #[test]
-fn two_operators_at_once_start_two_waves_and_each_vm_reboots_once() {
+fn two_operators_who_start_waves_at_once_reboot_each_vm_once() {
     let site = two_halls();
     let vms = members(&site, POOL);
     let outputs: Vec<_> = thread::scope(|scope| {
-        let starts: Vec<_> = (0..2)
+        let commands: Vec<_> = (0..2)
             .map(|entry| {
                 let site = &site;
                 scope.spawn(move || site.run_command(entry, &["wave", "start", POOL, "--wait"]))
             })
             .collect();
-        starts
+        commands
             .into_iter()
-            .map(|start| start.join().unwrap())
+            .map(|command| command.join().unwrap())
             .collect()
     });
     assert!(
@@ -316,7 +336,7 @@
         "{outputs:?}"
     );
     let ledger = site.ledger();
-    assert!(most_out(&ledger, &vms).0 <= BUDGET);
+    assert!(max_slots_out(&ledger, &vms).0 <= BUDGET);
     assert_eq!(reboots(&ledger).len(), vms.len());
 }
 
@@ -325,11 +345,11 @@
     let site = two_halls();
     let vms = members(&site, POOL);
     let vm = vms.first().unwrap().clone();
-    let told = AtomicU32::new(0);
+    let announced = AtomicU32::new(0);
     let at = now_ms();
     under_load(&site, || {
         site.inject_fault(&format!("vm/{vm}?leaving=1"));
-        told.store(1, Ordering::Relaxed);
+        announced.store(1, Ordering::Relaxed);
         thread::sleep(Duration::from_millis(4_500));
     });
     let late: Vec<_> = site
@@ -342,17 +362,20 @@
 }
 
 #[test]
-fn a_drained_vm_gets_no_new_work_even_from_an_entry_that_is_cut_off() {
+fn a_drained_vm_gets_no_new_work_from_an_isolated_entry() {
     let site = two_halls();
     let vm = site.find_vm(POOL, |vm| vm["hall"] == "hall-2");
-    // The hall's own entry hears of the drain from nobody.
+    // The entry in the data centre of the VM cannot learn of the drain from the log or from its peer.
     site.log_links[1].cut(true);
     site.cut_peers(0, 1, true);
     let url = format!("vms/{vm}");
     site.call_platform(&url, r#"{"call":"drain","token":1000000}"#);
     let at = now_ms();
-    let (done, other) = under_load(&site, || thread::sleep(Duration::from_millis(1_000)));
-    assert!(done > 50 && other == 0, "{done} done, {other} not");
+    let (succeeded, other) = under_load(&site, || thread::sleep(Duration::from_millis(1_000)));
+    assert!(
+        succeeded > 50 && other == 0,
+        "{succeeded} succeeded, {other} did not"
+    );
     let late = site
         .ledger()
         .runs
@@ -362,21 +385,22 @@
 }
 
 #[test]
-fn a_reboot_waits_for_what_an_entry_that_is_cut_off_still_sends() {
+fn a_reboot_waits_for_requests_of_an_isolated_entry() {
     let site = Site::start(plan(1, 12), &["hall-1", "hall-1"], SETTINGS);
     let vms = members(&site, POOL);
-    // This entry knows nothing of the wave; only the workers' refusals keep it off drained VMs.
+    // This entry does not know of the wave; it stops using drained VMs only because their workers refuse its
+    // requests.
     site.log_links[1].cut(true);
     site.cut_peers(0, 1, true);
     under_load(&site, || {
         let wave = start_wave(&site);
         wait_wave(&site, 0, wave);
     });
-    check(&site, &vms);
+    check_wave(&site, &vms);
 }
 
 #[test]
-fn a_vm_moves_with_no_moment_in_two_pools() {
+fn a_vm_moves_without_ever_being_in_two_pools() {
     let site = two_halls();
     let before = members(&site, POOL);
     let smaller = SETTINGS
@@ -389,10 +413,10 @@
     assert_eq!(
         moved.len(),
         2,
-        "spares go first, then as many as are lacking"
+        "the two spare VMs move first, then two VMs of the other pool"
     );
     let ledger = site.ledger();
-    assert!(most_out(&ledger, &before).0 <= BUDGET);
+    assert!(max_slots_out(&ledger, &before).0 <= BUDGET);
     for vm in &moved {
         let assigned = ledger
             .events
@@ -412,7 +436,7 @@
 }
 
 #[test]
-fn a_released_vm_is_handed_back_after_its_last_request() {
+fn a_vm_is_released_only_after_its_last_request() {
     let site = two_halls();
     let vms = members(&site, POOL);
     let vm = vms.first().unwrap().clone();
@@ -433,7 +457,7 @@
         .filter(|event| event.what == What::Release)
         .count();
     assert_eq!(released, 1);
-    // The pool asks for ten, so a spare takes its place.
+    // The pool asks for ten VMs, so a spare VM replaces the released one.
     site.wait_until("a replacement", || members(&site, POOL).len() == 10);
 }
 
@@ -446,20 +470,20 @@
     }
     let refused = site.run_command(0, &["vm", "drain", &vms[2]]);
     assert_eq!(refused.status.code(), Some(1));
-    let told = String::from_utf8(refused.stderr).unwrap();
+    let error = String::from_utf8(refused.stderr).unwrap();
     assert!(
-        told.contains("allows 16 slots and 24 would be unavailable"),
-        "{told}"
+        error.contains("allows 16 slots and 24 would be unavailable"),
+        "{error}"
     );
     assert!(
         site.run_command(1, &["vm", "undrain", &vms[0]])
             .status
             .success()
     );
-    site.wait_until("room for another drain", || {
+    site.wait_until("headroom for another drain", || {
         site.run_command(0, &["vm", "drain", &vms[2]])
             .status
             .success()
     });
-    assert!(most_out(&site.ledger(), &vms.into_iter().collect()).0 <= BUDGET);
+    assert!(max_slots_out(&site.ledger(), &vms.into_iter().collect()).0 <= BUDGET);
 }
