--- a/crates/havenladder/tests/bad_input.rs
+++ b/crates/havenladder/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Callers that are broken, slow or hostile: a clear error, nothing run, nobody else disturbed.
+//! Broken, slow or hostile callers get a clear error, run nothing, and do not affect other callers.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -17,22 +17,24 @@
 const SETTINGS: &str = r#"{ "place": { "unavailable": "50%", "pools": { "pool": { "vms": 2,
   "services": { "service": { "body_limit": 1000, "timeout_ms": 3000 } } } } } }"#;
 
+/// Starts a site with one entry and two VMs.
 fn site() -> Site {
     Site::start(plan(1, 2), &["hall-1"], SETTINGS)
 }
 
-/// Sends bytes as they are and returns what came back until the connection ended.
-fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+/// Sends the bytes unchanged and returns the response: what arrives until its body is complete or the connection
+/// ends.
+fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
         .unwrap();
     stream.write_all(bytes).unwrap();
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let mut buffer = [0; 4096];
     while let Ok(read @ 1..) = stream.read(&mut buffer) {
-        answer.extend_from_slice(&buffer[..read]);
-        let text = String::from_utf8_lossy(&answer);
+        response.extend_from_slice(&buffer[..read]);
+        let text = String::from_utf8_lossy(&response);
         let complete = text.split_once("\r\n\r\n").is_some_and(|(head, body)| {
             let head = head.to_lowercase();
             let length = head
@@ -44,20 +46,21 @@
             break;
         }
     }
-    String::from_utf8_lossy(&answer).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
+/// Returns a request for the service with the given headers and body.
 fn request(headers: &str, body: &str) -> Vec<u8> {
     format!("POST /v1/{SERVICE} HTTP/1.1\r\nhost: x\r\n{headers}\r\n\r\n{body}").into_bytes()
 }
 
 #[test]
-fn lengths_that_lie_are_refused_by_name() {
+fn wrong_content_lengths_are_refused() {
     let site = site();
     let addr = site.entries[0].editors;
     let body = "run=1 tag=lie";
     let length = body.len();
-    for (headers, status, named) in [
+    for (headers, status, names_field) in [
         ("content-length: -5".to_owned(), "400", false),
         ("content-length: x".to_owned(), "400", false),
         (
@@ -77,30 +80,30 @@
         ),
         ("content-length: 5000".to_owned(), "413", true),
     ] {
-        let answer = raw(addr, &request(&headers, body));
+        let response = send_raw(addr, &request(&headers, body));
         assert!(
-            answer.starts_with(&format!("HTTP/1.1 {status}")),
-            "{headers}: {answer}"
+            response.starts_with(&format!("HTTP/1.1 {status}")),
+            "{headers}: {response}"
         );
         assert!(
-            !named || answer.contains("\"field\":\"content-length\""),
-            "{answer}"
+            !names_field || response.contains("\"field\":\"content-length\""),
+            "{response}"
         );
     }
-    let answer = raw(addr, &request("content-length: 500", "run=1 tag=lie"));
+    let response = send_raw(addr, &request("content-length: 500", "run=1 tag=lie"));
     assert!(
-        answer.starts_with("HTTP/1.1 408"),
-        "a body that never ends: {answer}"
+        response.starts_with("HTTP/1.1 408"),
+        "a body that never ends: {response}"
     );
     assert!(site.runs("lie").is_empty());
     assert_eq!(site.post(0, SERVICE, "run=1", &[]).status, 200);
 }
 
 #[test]
-fn each_error_names_its_field_and_the_nearest_right_one() {
+fn errors_name_the_field_and_suggest_the_nearest_name() {
     let site = site();
-    let past = ("havenladder-deadline", "1000");
-    let word = ("havenladder-deadline", "soon");
+    let past_deadline = ("havenladder-deadline", "1000");
+    let malformed_deadline = ("havenladder-deadline", "soon");
     for (service, header, status, text) in [
         (
             "place/pool/servize",
@@ -109,8 +112,13 @@
             "did you mean /v1/place/pool/service?",
         ),
         ("nothing/like/it/at/all/anywhere", None, 404, "paths are"),
-        (SERVICE, Some(past), 400, "the deadline is past"),
-        (SERVICE, Some(word), 400, "milliseconds since 1970"),
+        (SERVICE, Some(past_deadline), 400, "the deadline is past"),
+        (
+            SERVICE,
+            Some(malformed_deadline),
+            400,
+            "milliseconds since 1970",
+        ),
     ] {
         let headers: Vec<_> = header.into_iter().collect();
         let reply = site.post(0, service, "run=1 tag=bad", &headers);
@@ -121,24 +129,24 @@
 }
 
 #[test]
-fn half_open_and_stalled_callers_hold_no_thread_and_disturb_nobody() {
+fn half_open_and_stalled_callers_use_no_thread_and_block_nobody() {
     let site = site();
     let addr = site.entries[0].editors;
     let before = site.thread_count(0);
-    let mut held: Vec<TcpStream> = Vec::new();
+    let mut connections: Vec<TcpStream> = Vec::new();
     for _ in 0..300 {
         let mut stream = TcpStream::connect(addr).unwrap();
         stream
             .write_all(b"POST /v1/place/pool/service HTTP/1.1\r\nhost")
             .unwrap();
-        held.push(stream);
+        connections.push(stream);
     }
     for _ in 0..300 {
         let mut stream = TcpStream::connect(addr).unwrap();
         stream
             .write_all(&request("content-length: 100", "run=1 tag=stalled"))
             .unwrap();
-        held.push(stream);
+        connections.push(stream);
     }
     let began = Instant::now();
     for _ in 0..50 {
@@ -154,8 +162,8 @@
         before,
         "threads grew with connections"
     );
-    // Each is closed by the limits of the listener, 2 s here.
-    for mut stream in held {
+    // The listener closes each connection after its timeout, which is 2 s here.
+    for mut stream in connections {
         stream
             .set_read_timeout(Some(Duration::from_secs(30)))
             .unwrap();
@@ -166,7 +174,7 @@
 }
 
 #[test]
-fn random_bytes_do_not_harm_the_listener() {
+fn the_listener_keeps_serving_after_random_bytes() {
     let site = site();
     let mut seed: u64 = 0x9e37_79b9_7f4a_7c15;
     for _ in 0..200 {
@@ -183,7 +191,7 @@
 }
 
 #[test]
-fn without_the_key_operators_and_peers_are_shown_and_may_change_nothing() {
+fn requests_without_the_key_read_and_change_nothing() {
     let site = site();
     for (addr, path) in [
         (site.entries[0].operators, "state"),
@@ -196,11 +204,14 @@
             "havenladder-key: wrong\r\n",
             "authorization: Bearer wrong\r\n",
         ] {
-            let answer = raw(
+            let response = send_raw(
                 addr,
                 format!("GET /{path} HTTP/1.1\r\nhost: x\r\n{key}\r\n").as_bytes(),
             );
-            assert!(answer.starts_with("HTTP/1.1 401"), "{path} {key}: {answer}");
+            assert!(
+                response.starts_with("HTTP/1.1 401"),
+                "{path} {key}: {response}"
+            );
         }
     }
     let order = "{\"Wave\":{\"Start\":{\"scope\":\"place\"}}}";
@@ -208,17 +219,17 @@
         "POST /orders HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
         order.len()
     );
-    let answer = raw(
+    let response = send_raw(
         site.entries[0].operators,
         format!("{head}{order}").as_bytes(),
     );
-    assert!(answer.starts_with("HTTP/1.1 401"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 401"), "{response}");
     assert!(site.state(0)["waves"].as_object().unwrap().is_empty());
 }
 
-/// Why the callers' listener is not `tiny_http`: the measurement that docs/DESIGN.md cites.
+/// Measures why the listener for callers does not use `tiny_http`; docs/DESIGN.md cites this test.
 #[test]
-fn tiny_http_takes_bad_lengths_and_holds_a_thread_for_each_half_open_caller() {
+fn tiny_http_accepts_wrong_lengths_and_needs_a_thread_per_half_open_caller() {
     let server = tiny_http::Server::http("127.0.0.1:0").unwrap();
     let addr = server.server_addr().to_ip().unwrap();
     thread::spawn(move || {
@@ -226,18 +237,18 @@
             let _ = request.respond(tiny_http::Response::from_string("taken"));
         }
     });
-    let answer = raw(
+    let response = send_raw(
         addr,
         b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: -5\r\n\r\n",
     );
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    let answer = raw(
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    let response = send_raw(
         addr,
         b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\ncontent-length: 4\r\n\r\nab",
     );
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     let before = site::thread_count(std::process::id());
-    let held: Vec<TcpStream> = (0..300)
+    let connections: Vec<TcpStream> = (0..300)
         .map(|_| {
             let mut stream = TcpStream::connect(addr).unwrap();
             stream.write_all(b"POST / HTTP/1.1\r\nhost").unwrap();
@@ -248,9 +259,9 @@
     while site::thread_count(std::process::id()) < before + 200 {
         assert!(
             Instant::now() < limit,
-            "tiny_http no longer needs a thread a caller"
+            "tiny_http no longer needs a thread for each caller"
         );
         thread::sleep(Duration::from_millis(10));
     }
-    drop(held);
+    drop(connections);
 }
--- a/crates/havenladder/tests/keys.rs
+++ b/crates/havenladder/tests/keys.rs
@@ -1,7 +1,6 @@
-//! Keys and bounds of workspaces, with entries as processes of their own.
+//! Keys and bounds of workspaces, with entries as separate processes.
 //!
-//! What users saw: calls under keys that there never were, and under keys that had been taken away, were served. The cause:
-//! no entry read a key.
+//! Guards against serving calls with unknown or revoked keys, which once happened because no entry checked keys.
 
 mod entries;
 
@@ -16,35 +15,36 @@
 };
 use tokio::time;
 
-/// Seeds from here on have workspaces.
+/// First seed for which the site has workspaces.
 const SEED: u64 = 10_900;
 
-/// Long enough for an owner to be found and its workers to be met.
-const BEGIN: Duration = Duration::from_secs(4);
+/// Time within which a cell has an owner that has contacted its workers.
+const STARTUP_TIME: Duration = Duration::from_secs(4);
 
-/// The time within which a change must be in force on every entry in touch, by the shortest bound that there is.
-const IN_FORCE: Duration = Duration::from_millis(2_000);
+/// Time within which a change of keys must be in force on every entry that is in contact with others; the shortest
+/// bound that can be configured.
+const KEY_CHANGE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A job of one short task.
+/// The body of a job with one short task.
 const BODY: &str =
     r#"{"spec":"50","steps":[{"count":1,"cpu":1000,"mem-mb":10,"estimated-ms":50}]}"#;
 
-/// A call about a job, with what it shows to be let in.
-fn call(method: &str, id: u64, shown: Option<&str>, body: &str) -> String {
-    let shown = shown.map_or(String::new(), |text| format!("authorization: {text}\r\n"));
+/// Returns an HTTP request about a job, with the given `authorization` header if there is one.
+fn call(method: &str, id: u64, authorization: Option<&str>, body: &str) -> String {
+    let header = authorization.map_or(String::new(), |text| format!("authorization: {text}\r\n"));
     format!(
-        "{method} {PREFIX}{id:016x} HTTP/1.1\r\nhost: {HOST}\r\n{shown}request-deadline-ms: 3000\r\n\
+        "{method} {PREFIX}{id:016x} HTTP/1.1\r\nhost: {HOST}\r\n{header}request-deadline-ms: 3000\r\n\
          connection: close\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// What a caller of a workspace shows.
+/// Returns the `authorization` header for a key of a workspace.
 fn token(workspace: &str, number: u64) -> String {
     format!("Token {}", key(workspace, number))
 }
 
-/// The status of an entry's answer; 0 without one.
+/// Sends a request to an entry and returns the status of the response, or 0 if none arrived.
 async fn status(site: &Site, entry: usize, call: &str) -> u16 {
     let head = send_request(site.entries[entry].address, call).await;
     head.get(9..12)
@@ -52,7 +52,7 @@
         .unwrap_or(0)
 }
 
-/// Waits until an entry answers a call so.
+/// Sends a request to an entry until the response has the wanted status, and returns how long that took.
 async fn wait_for(site: &Site, entry: usize, call: &str, wanted: u16) -> Duration {
     let began = Instant::now();
     loop {
@@ -62,15 +62,16 @@
         }
         assert!(
             began.elapsed() < Duration::from_secs(20),
-            "entry {entry} says {status}"
+            "entry {entry} responds with {status}"
         );
         time::sleep(Duration::from_millis(20)).await;
     }
 }
 
+/// Starts a site and waits until every entry accepts the first job of the first workspace.
 async fn start(name: &str, seed: u64) -> Site {
     let site = entries::start(name, seed, 6).await;
-    time::sleep(BEGIN).await;
+    time::sleep(STARTUP_TIME).await;
     let first = call("POST", 1, Some(&token(WORKSPACES[0], 0)), BODY);
     for entry in 0..site.entries.len() {
         wait_for(&site, entry, &first, 200).await;
@@ -79,12 +80,12 @@
 }
 
 #[test]
-fn only_its_workspace_may_touch_a_job() {
+fn a_job_is_accessible_only_to_its_workspace() {
     block_on(async {
         let site = start("keys", SEED).await;
         let (own, other) = (token(WORKSPACES[0], 0), token(WORKSPACES[1], 0));
         for entry in 0..site.entries.len() {
-            for (shown, expected) in [
+            for (authorization, expected) in [
                 (Some(own.as_str()), 200),
                 (Some(other.as_str()), 410),
                 (Some("Token nobodys"), 401),
@@ -92,16 +93,21 @@
                 (Some("Token"), 401),
                 (None, 401),
             ] {
-                let state = call("GET", 1, shown, "");
-                assert_eq!(status(&site, entry, &state).await, expected, "{shown:?}");
+                let state = call("GET", 1, authorization, "");
+                assert_eq!(
+                    status(&site, entry, &state).await,
+                    expected,
+                    "{authorization:?}"
+                );
             }
             let cancel = call("DELETE", 1, Some(&other), "");
             assert_eq!(status(&site, entry, &cancel).await, 410);
-            // Another workspace's id: it is not taken, and nothing tells that it is there.
-            let again = call("POST", 1, Some(&other), BODY);
-            assert_eq!(status(&site, entry, &again).await, 503);
-            let barred = call("POST", 0xbad, Some("Token nobodys"), BODY);
-            let head = send_request(site.entries[entry].address, &barred).await;
+            // The id belongs to a job of another workspace: the submission fails, and the response does not reveal
+            // that such a job exists.
+            let submission = call("POST", 1, Some(&other), BODY);
+            assert_eq!(status(&site, entry, &submission).await, 503);
+            let unauthorized = call("POST", 0xbad, Some("Token nobodys"), BODY);
+            let head = send_request(site.entries[entry].address, &unauthorized).await;
             assert!(
                 head.to_lowercase().contains("www-authenticate: token"),
                 "{head}"
@@ -117,27 +123,31 @@
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_refused_also_where_the_store_is_out_of_reach() {
+fn a_revoked_key_is_refused_by_an_entry_that_cannot_reach_the_store() {
     block_on(async {
         let (name, seed) = ("keys-cut", SEED + 1);
         let mut site = start(name, seed).await;
         let owner = owner(name, seed, site.entries.len());
-        // One entry that owns nothing does not reach the store; the owner and the seeds answer it.
+        // One entry, not the owner, cannot reach the store; the owner and the seeds still answer it.
         let cut = (owner + 1) % site.entries.len();
         site.links[cut].cut(true);
         site.change_keys();
         let old = call("GET", 1, Some(&token(WORKSPACES[0], 1)), "");
         for entry in 0..site.entries.len() {
             let took = wait_for(&site, entry, &old, 401).await;
-            assert!(took < IN_FORCE, "entry {entry} took {took:?}");
+            assert!(took < KEY_CHANGE_TIMEOUT, "entry {entry} took {took:?}");
         }
         let kept = call("GET", 1, Some(&token(WORKSPACES[0], 0)), "");
-        assert_eq!(status(&site, cut, &kept).await, 200, "the other key holds");
+        assert_eq!(
+            status(&site, cut, &kept).await,
+            200,
+            "the other key stays valid"
+        );
     });
 }
 
 #[test]
-fn an_entry_that_stood_still_makes_sure_before_it_takes_calls() {
+fn a_suspended_entry_refreshes_its_keys_before_it_serves_calls() {
     block_on(async {
         let mut site = start("keys-frozen", SEED + 2).await;
         let old = call("GET", 1, Some(&token(WORKSPACES[0], 1)), "");
@@ -160,15 +170,15 @@
         for entry in &mut site.entries {
             entry.signal(Signal::CONT);
         }
-        for answer in waiting {
-            let head = answer.await.unwrap_or_default();
+        for response in waiting {
+            let head = response.await.unwrap_or_default();
             assert!(!head.starts_with("HTTP/1.1 200"), "{head}");
         }
     });
 }
 
 #[test]
-fn a_new_key_opens_at_once() {
+fn a_new_key_is_accepted_immediately() {
     block_on(async {
         let mut site = start("keys-new", SEED + 3).await;
         for round in 0..4 {
@@ -184,10 +194,10 @@
     });
 }
 
-/// How many runs go on at once at the most, of all jobs.
-fn most_at_once(site: &Site) -> usize {
+/// Returns the largest number of runs, of all jobs, that were in progress at the same time.
+fn max_concurrent_runs(site: &Site) -> usize {
     let mut running = HashSet::new();
-    let mut most = 0;
+    let mut max = 0;
     for event in site.events.all() {
         let run = (event.worker, event.task, event.run);
         match event.what {
@@ -195,20 +205,20 @@
             RunEvent::Done | RunEvent::Ended | RunEvent::Lost => drop(running.remove(&run)),
             RunEvent::Noted => {}
         }
-        most = most.max(running.len());
+        max = max.max(running.len());
     }
-    most
+    max
 }
 
 #[test]
-fn a_bound_holds_while_the_owner_is_killed() {
+fn a_workspace_bound_holds_when_the_owner_is_killed() {
     block_on(async {
         let (name, seed) = ("keys-bound", SEED + 4);
         let mut site = start(name, seed).await;
-        let wide =
+        let many_tasks =
             r#"{"spec":"700","steps":[{"count":40,"cpu":1000,"mem-mb":10,"estimated-ms":700}]}"#;
-        let hand_in = call("POST", 2, Some(&token(WORKSPACES[0], 0)), wide);
-        wait_for(&site, 0, &hand_in, 200).await;
+        let submission = call("POST", 2, Some(&token(WORKSPACES[0], 0)), many_tasks);
+        wait_for(&site, 0, &submission, 200).await;
         time::sleep(Duration::from_millis(300)).await;
         let owner = owner(name, seed, site.entries.len());
         site.entries[owner].signal(Signal::KILL);
@@ -217,11 +227,11 @@
         time::sleep(Duration::from_secs(8)).await;
         let state = call("GET", 2, Some(&token(WORKSPACES[0], 0)), "");
         wait_for(&site, (owner + 1) % 3, &state, 200).await;
-        let most = most_at_once(&site);
-        assert!(most as u64 <= CORES, "{most} at once");
+        let max = max_concurrent_runs(&site);
+        assert!(max as u64 <= CORES, "{max} concurrent runs");
         assert!(
-            most as u64 >= CORES / 2,
-            "{most} at once: the bound was not reached"
+            max as u64 >= CORES / 2,
+            "{max} concurrent runs: the bound was not reached"
         );
         let done = site
             .events
@@ -230,21 +240,21 @@
             .filter(|e| e.what == RunEvent::Done)
             .count();
         assert!(done > 40, "{done} runs are done");
-        let never =
+        let oversized =
             r#"{"spec":"1","steps":[{"count":1,"cpu":99000,"mem-mb":10,"estimated-ms":1}]}"#;
-        let refused = call("POST", 3, Some(&token(WORKSPACES[0], 0)), never);
+        let refused = call("POST", 3, Some(&token(WORKSPACES[0], 0)), oversized);
         assert_eq!(status(&site, (owner + 1) % 3, &refused).await, 400);
     });
 }
 
 #[test]
-fn no_log_and_no_metric_tells_a_key() {
+fn logs_and_metrics_contain_no_key() {
     block_on(async {
         let (name, seed) = ("keys-logs", SEED + 5);
         let mut site = start(name, seed).await;
         site.change_keys();
-        for shown in ["Token secret-guess", "Basic secret-guess", "secret-guess"] {
-            let state = call("GET", 1, Some(shown), "");
+        for authorization in ["Token secret-guess", "Basic secret-guess", "secret-guess"] {
+            let state = call("GET", 1, Some(authorization), "");
             assert_eq!(status(&site, 1, &state).await, 401);
         }
         time::sleep(Duration::from_secs(1)).await;
