--- a/crates/havenladder/tests/at_most_once.rs
+++ b/crates/havenladder/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! The promise that a request which must not be repeated runs at most once.
+//! Tests that a request which must not be repeated runs at most once.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -22,16 +22,18 @@
   }
 }"#;
 
+/// Starts a site with two entries in one data centre.
 fn two_entries() -> Site {
     Site::start(plan(1, 4), &["hall-1", "hall-1"], SETTINGS)
 }
 
+/// Sends a request that must not be repeated to an entry, with this idempotency key.
 fn order(site: &Site, entry: usize, key: &str, body: &str) -> Reply {
     site.post(entry, ORDER, body, &[("idempotency-key", key)])
 }
 
 #[test]
-fn two_entries_with_one_key_at_one_moment_run_it_once() {
+fn concurrent_requests_with_one_key_at_two_entries_run_once() {
     let site = two_entries();
     for round in 0..20 {
         let (key, body) = (new_key(), format!("run=10 tag=race-{round}"));
@@ -55,7 +57,7 @@
 }
 
 #[test]
-fn a_key_that_is_done_stays_done_at_every_entry() {
+fn a_key_whose_request_is_done_is_done_at_every_entry() {
     let site = two_entries();
     let key = new_key();
     assert_eq!(order(&site, 0, &key, "run=1 tag=done").status, 200);
@@ -71,26 +73,26 @@
 }
 
 #[test]
-fn an_append_whose_answer_is_lost_claims_once() {
+fn an_append_whose_response_is_lost_claims_the_key_once() {
     let site = two_entries();
     for round in 0..10 {
         site.log_links[0].lose_answers(2);
         let tag = format!("lost-{round}");
         let key = new_key();
         let reply = order(&site, 0, &key, &format!("run=1 tag={tag}"));
-        let again = order(&site, 1, &key, &format!("run=1 tag={tag}"));
+        let retry = order(&site, 1, &key, &format!("run=1 tag={tag}"));
         let runs = site.runs(&tag).len();
-        assert!(runs <= 1, "{reply:?} {again:?}");
-        let done = [&reply, &again]
+        assert!(runs <= 1, "{reply:?} {retry:?}");
+        let done = [&reply, &retry]
             .iter()
             .filter(|reply| reply.status == 200)
             .count();
-        assert_eq!(done, runs, "{reply:?} {again:?}");
+        assert_eq!(done, runs, "{reply:?} {retry:?}");
     }
 }
 
 #[test]
-fn an_entry_killed_between_send_and_answer_leaves_the_key_held() {
+fn a_key_stays_held_when_its_entry_is_killed_before_the_response() {
     let mut site = two_entries();
     let key = new_key();
     thread::scope(|scope| {
@@ -113,10 +115,10 @@
 }
 
 #[test]
-fn an_entry_killed_between_claim_and_send_never_leads_to_two_runs() {
+fn a_request_runs_at_most_once_when_its_entry_is_killed_after_the_claim() {
     let mut site = two_entries();
     let key = new_key();
-    // The claim reaches the log; the entry is stopped before it can read it back.
+    // The claim reaches the log, but the entry is killed before it can read the claim back.
     site.log_links[0].delay(Duration::from_millis(300));
     thread::scope(|scope| {
         let caller = scope.spawn(|| order(&site, 0, &key, "run=1 tag=between"));
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn a_log_outage_refuses_orders_and_frees_their_keys() {
+fn requests_during_a_log_outage_are_refused_and_their_keys_freed() {
     let site = two_entries();
     let key = new_key();
     site.inject_fault("log?down_ms=3500");
@@ -149,10 +151,11 @@
 }
 
 #[test]
-fn a_claim_that_arrives_after_its_request_was_refused_does_not_hold_the_key() {
+fn a_claim_that_takes_effect_after_the_refusal_does_not_hold_the_key() {
     let site = two_entries();
     let key = new_key();
-    // Every exchange with the log takes longer than a claim may: it is taken, and known too late.
+    // Every call to the log takes longer than a claim may take: the log accepts the claim, but the entry learns that
+    // too late.
     site.log_links[0].delay(Duration::from_millis(1_200));
     let refused = order(&site, 0, &key, "run=1 tag=late");
     assert_eq!(refused.outcome, "not-run", "{refused:?}");
@@ -165,7 +168,7 @@
 }
 
 #[test]
-fn a_holder_that_was_frozen_past_the_deadline_does_not_send() {
+fn an_entry_suspended_past_the_deadline_does_not_send_the_request() {
     let site = two_entries();
     for round in 0..8 {
         let key = new_key();
@@ -211,24 +214,24 @@
 }
 
 #[test]
-fn keys_that_are_missing_malformed_or_old_are_named_and_nothing_runs() {
+fn missing_malformed_and_old_keys_are_refused_by_name() {
     let site = two_entries();
     let old = ulid::Ulid::from_parts(1, 7).to_string();
-    for (given, told) in [
+    for (key, error) in [
         (None, "is missing"),
         (Some("not-a-ulid"), "must be a ULID"),
         (Some(old.as_str()), "too long ago"),
         (Some("7ZZZZZZZZZZZZZZZZZZZZZZZZZ"), "ahead"),
     ] {
-        let headers: Vec<(&str, &str)> = given
+        let headers: Vec<(&str, &str)> = key
             .map(|key| ("idempotency-key", key))
             .into_iter()
             .collect();
         let reply = site.post(0, ORDER, "run=1 tag=bad-key", &headers);
         assert_eq!((reply.status, reply.outcome.as_str()), (400, "not-run"));
         assert!(reply.body.contains("idempotency-key"), "{reply:?}");
-        let issued_told = told == "too long ago" && reply.body.contains("issued more than");
-        assert!(reply.body.contains(told) || issued_told, "{reply:?}");
+        let is_too_old = error == "too long ago" && reply.body.contains("issued more than");
+        assert!(reply.body.contains(error) || is_too_old, "{reply:?}");
     }
     assert!(site.runs("bad-key").is_empty());
 }
--- a/crates/havenladder/tests/outcomes.rs
+++ b/crates/havenladder/tests/outcomes.rs
@@ -1,4 +1,5 @@
-//! Promises about answers: whole, one's own, and a "not run" that is true.
+//! Tests that a caller gets the complete response to its own request, and that "not-run" is reported only if nothing
+//! ran.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -14,7 +15,7 @@
 const PREVIEW: &str = "aotearoa/previews/preview";
 const ORDER: &str = "aotearoa/orders/print-order";
 
-/// One pool that may repeat requests and one that must not.
+/// Settings with one pool whose requests may be repeated and one whose requests must not be.
 const SETTINGS: &str = r#"{
   "aotearoa": {
     "unavailable": "50%",
@@ -28,12 +29,13 @@
   }
 }"#;
 
+/// Starts a site with one data centre of four VMs and one entry.
 fn one_hall() -> Site {
     Site::start(plan(1, 4), &["hall-1"], SETTINGS)
 }
 
 #[test]
-fn an_answer_comes_back_whole() {
+fn an_answer_arrives_complete() {
     let site = one_hall();
     let reply = site.post(0, PREVIEW, "run=5 size=200000 tag=whole", &[]);
     assert_eq!((reply.status, reply.outcome.as_str()), (200, "done"));
@@ -42,16 +44,16 @@
 }
 
 #[test]
-fn an_answer_that_is_cut_short_is_never_passed_on() {
+fn an_answer_that_is_cut_short_is_never_forwarded() {
     let site = one_hall();
     let reply = site.post(0, PREVIEW, "run=5 short tag=cut", &[]);
     assert_eq!((reply.status, reply.outcome.as_str()), (502, "unknown"));
-    // The failure is repeated on another worker before it is given up.
+    // The request is retried on another worker before it fails.
     assert!(site.runs("cut").len() > 1);
 }
 
 #[test]
-fn a_cut_in_the_middle_of_an_answer_is_repeated_only_where_allowed() {
+fn a_cut_during_an_answer_is_retried_only_where_repeats_are_allowed() {
     let site = one_hall();
     let links = site.worker_links();
     links.iter().for_each(|link| link.cut_answers_short(1));
@@ -69,10 +71,10 @@
 }
 
 #[test]
-fn an_answer_lost_before_its_first_byte_is_unknown_and_runs_an_order_once() {
+fn an_answer_lost_before_its_first_byte_leaves_the_outcome_unknown() {
     let site = one_hall();
     let links = site.worker_links();
-    // A probe may take a lost answer before the order does, so several are lost.
+    // Probes may use up some of the lost responses before the order is sent, so many are lost.
     links.iter().for_each(|link| link.lose_answers(1_000));
     let reply = site.post(
         0,
@@ -86,7 +88,7 @@
 }
 
 #[test]
-fn callers_get_their_own_answers_when_these_come_out_of_order() {
+fn callers_get_their_own_answers_when_they_arrive_out_of_order() {
     let site = one_hall();
     let replies: Vec<(String, site::Reply)> = thread::scope(|scope| {
         let calls: Vec<_> = (0..60)
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn not_run_is_true_when_workers_refuse_or_die() {
+fn not_run_is_reported_only_when_nothing_ran() {
     let mut site = one_hall();
     let vms: Vec<String> = site.state(0)["vms"]
         .as_object()
@@ -117,7 +119,7 @@
         .keys()
         .cloned()
         .collect();
-    let mut told = 0;
+    let mut not_run = 0;
     for round in 0..30 {
         if round % 10 == 5 {
             for vm in &vms {
@@ -132,7 +134,7 @@
         let runs = site.runs(&tag).len();
         match reply.outcome.as_str() {
             "not-run" => {
-                told += 1;
+                not_run += 1;
                 assert_eq!(runs, 0, "{reply:?}");
                 assert!(reply.retry_after.is_some(), "{reply:?}");
             }
@@ -140,12 +142,12 @@
             _ => assert!(runs <= 1),
         }
     }
-    assert!(told > 0, "no request met a dead worker");
+    assert!(not_run > 0, "no request reached a worker that was down");
     site.kill(0);
 }
 
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
+fn a_request_that_is_too_late_is_refused_at_once_with_a_retry_time() {
     let site = one_hall();
     for _ in 0..3 {
         assert_eq!(site.post(0, PREVIEW, "run=400 tag=learn", &[]).status, 200);
@@ -153,15 +155,18 @@
     let began = Instant::now();
     let deadline = unix_ms(100);
     let headers = [("havenladder-deadline", deadline.as_str())];
-    let reply = site.post(0, PREVIEW, "run=400 tag=hopeless", &headers);
+    let reply = site.post(0, PREVIEW, "run=400 tag=too-late", &headers);
     assert_eq!((reply.status, reply.outcome.as_str()), (503, "not-run"));
     assert!(reply.retry_after.is_some());
-    assert!(began.elapsed() < Duration::from_millis(100), "held back");
-    assert!(site.runs("hopeless").is_empty());
+    assert!(
+        began.elapsed() < Duration::from_millis(100),
+        "the refusal was delayed"
+    );
+    assert!(site.runs("too-late").is_empty());
 }
 
 #[test]
-fn a_planned_stop_cuts_off_nothing_and_a_second_signal_stops_at_once() {
+fn a_planned_stop_completes_requests_and_a_second_signal_ends_them() {
     let mut site = one_hall();
     let long = thread::scope(|scope| {
         let call = scope.spawn(|| site.post(0, PREVIEW, "run=3000 tag=long", &[]));
@@ -188,7 +193,7 @@
 }
 
 #[test]
-fn a_caller_that_hangs_up_frees_the_worker() {
+fn a_task_is_stopped_when_its_caller_disconnects() {
     let site = one_hall();
     let mut caller = std::net::TcpStream::connect(site.entries[0].editors).unwrap();
     let body = "run=30000 tag=gone";
@@ -204,7 +209,7 @@
     });
 }
 
-/// A time that far ahead, in milliseconds since 1970.
-fn unix_ms(ahead: u64) -> String {
-    (havenladder_standin::ledger::now_ms() + ahead).to_string()
+/// Returns the time this many milliseconds from now, in milliseconds since 1970.
+fn unix_ms(from_now: u64) -> String {
+    (havenladder_standin::ledger::now_ms() + from_now).to_string()
 }
