--- a/crates/havenladder/tests/isolated_owner.rs
+++ b/crates/havenladder/tests/isolated_owner.rs
@@ -100,7 +100,7 @@
         site.links.iter().for_each(|link| link.stall(true, true));
         let took = wait_for_failover(&site, name, seed, Duration::from_secs(3)).await;
         assert_eq!(took, None);
-        assert_eq!(count_lines(name, seed, "gives the cell up"), 0);
+        assert_eq!(count_lines(name, seed, "releases the cell on behalf of its owner"), 0);
     });
 }
 
