--- a/crates/havenladder/src/entry/questions.rs
+++ b/crates/havenladder/src/entry/questions.rs
@@ -3,7 +3,7 @@
 use super::{orders, owner::Owner, resend::unless_overdue};
 use adapter::{
     http::Connection,
-    workers::{Hold, Told, WorkerError},
+    workers::{Hold, WorkerError, WorkerResponse},
 };
 use clock::Instant;
 use jobs::{Report, WorkerInfo};
@@ -39,7 +39,7 @@
     /// When the question was sent.
     pub asked: Instant,
     /// What the worker said.
-    pub told: Told<Report>,
+    pub told: WorkerResponse<Report>,
 }
 
 /// Asks a worker a question. One whose answer is overdue is asked once more, without waiting for an end there and
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -10,7 +10,7 @@
 };
 use adapter::{
     http::{CallError, Connection},
-    workers::{Start, Told, WorkerError},
+    workers::{Start, WorkerError, WorkerResponse},
 };
 use clock::Instant;
 use jobs::{Loss, Refusal, RunId, TaskId, WorkerId, WorkerInfo};
@@ -131,7 +131,7 @@
     info: &WorkerInfo,
     order: &Start<'_>,
     turn: Option<OwnedSemaphorePermit>,
-) -> Result<Told<()>, WorkerError> {
+) -> Result<WorkerResponse<()>, WorkerError> {
     let workers = &owner.node.workers;
     let mut first = pin!(workers.start(info, order, Connection::Kept));
     if let Some(outcome) = unless_overdue(first.as_mut(), REPEATED).await {
@@ -158,7 +158,7 @@
 }
 
 /// What came of a start.
-type Outcome = Result<Told<()>, WorkerError>;
+type Outcome = Result<WorkerResponse<()>, WorkerError>;
 
 /// What came of a start that was sent twice: a worker has a run once, however often it is told to start it, so that
 /// one answer may settle what became of the other call.
@@ -231,7 +231,7 @@
     task: TaskId,
     run: RunId,
     fence: FencingToken,
-    outcome: Result<Told<()>, WorkerError>,
+    outcome: Result<WorkerResponse<()>, WorkerError>,
 ) {
     let now = Instant::now();
     let raised = owner.has_raised_token(worker, fence);
