--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -135,7 +135,10 @@
 fn take_answer(owner: &Rc<Owner>, id: &WorkerId, answer: &Answer) -> Watch {
     let now = Instant::now();
     let Answer { asked, told } = answer;
-    let hearing = owner.cell.borrow_mut().hear(id, told.born, *asked, now);
+    let hearing = owner
+        .cell
+        .borrow_mut()
+        .hear(id, told.started_at, *asked, now);
     match hearing {
         Hearing::Same { began } => {
             if began {
