--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -198,7 +198,7 @@
     let is_settled = |outcome: &Outcome| match outcome {
         Err(WorkerError::Refused(why)) => *why != Refusal::Old,
         Err(WorkerError::Call(error)) => error.is_unsent(),
-        Ok(_) | Err(WorkerError::Replaced | WorkerError::Odd(_)) => false,
+        Ok(_) | Err(WorkerError::Replaced | WorkerError::UnexpectedStatus(_)) => false,
     };
     if is_settled(&early) && is_settled(&late) {
         return early;
@@ -220,7 +220,7 @@
         Err(WorkerError::Refused(_)) => "refused",
         Err(WorkerError::Replaced) => "replaced",
         Err(WorkerError::Call(error)) if error.is_unsent() => "not-sent",
-        Err(WorkerError::Call(_) | WorkerError::Odd(_)) => "unknown",
+        Err(WorkerError::Call(_) | WorkerError::UnexpectedStatus(_)) => "unknown",
     }
 }
 
@@ -254,7 +254,7 @@
             cell.mute_worker(worker, now);
             cell.refused(worker, task, run, Refusal::Unwell, now);
         }
-        Err(WorkerError::Call(CallError::Unanswered) | WorkerError::Odd(_)) => {
+        Err(WorkerError::Call(CallError::Unanswered) | WorkerError::UnexpectedStatus(_)) => {
             cell.unsure(worker, task, run);
         }
     }
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -215,7 +215,7 @@
         WorkerError::Call(CallError::Refused) => {
             owner.cell.borrow_mut().note_refusal(id, Instant::now());
         }
-        WorkerError::Refused(_) | WorkerError::Call(_) | WorkerError::Odd(_) => {}
+        WorkerError::Refused(_) | WorkerError::Call(_) | WorkerError::UnexpectedStatus(_) => {}
     }
     if last == Answers::Given {
         info!(worker = %id, %error, "worker does not answer");
