--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -10,7 +10,7 @@
 };
 use adapter::{
     http::{CallError, Connection},
-    workers::{Start, WorkerError, WorkerResponse},
+    workers::{StartRequest, WorkerError, WorkerResponse},
 };
 use clock::Instant;
 use jobs::{Loss, Refusal, RunId, TaskId, WorkerId, WorkerInfo};
@@ -61,7 +61,7 @@
         return owner.wake();
     };
     let fence = owner.fencing_token(worker);
-    let order = Start {
+    let order = StartRequest {
         task: task.to_string(),
         run,
         spec: &spec,
@@ -129,7 +129,7 @@
 async fn send_start(
     owner: &Rc<Owner>,
     info: &WorkerInfo,
-    order: &Start<'_>,
+    order: &StartRequest<'_>,
     turn: Option<OwnedSemaphorePermit>,
 ) -> Result<WorkerResponse<()>, WorkerError> {
     let workers = &owner.node.workers;
