--- a/crates/havenladder/src/entry/questions.rs
+++ b/crates/havenladder/src/entry/questions.rs
@@ -3,7 +3,7 @@
 use super::{orders, owner::Owner, resend::unless_overdue};
 use adapter::{
     http::Connection,
-    workers::{Hold, WorkerError, WorkerResponse},
+    workers::{HoldRequest, WorkerError, WorkerResponse},
 };
 use clock::Instant;
 use jobs::{Report, WorkerInfo};
@@ -51,7 +51,7 @@
 pub async fn ask_worker(
     owner: &Owner,
     info: &WorkerInfo,
-    hold: Hold,
+    hold: HoldRequest,
 ) -> Result<Answer, WorkerError> {
     let workers = &owner.node.workers;
     let asked = Instant::now();
@@ -74,8 +74,8 @@
 }
 
 /// The next question to a worker.
-pub fn question(owner: &Owner, id: &str, last: Answers) -> Hold {
-    let bare = Hold {
+pub fn question(owner: &Owner, id: &str, last: Answers) -> HoldRequest {
+    let bare = HoldRequest {
         deadline: None,
         fence: owner.fencing_token(id),
         noted: 0,
@@ -93,7 +93,7 @@
     let Some(deadline) = orders::lease_end(owner, id) else {
         return bare;
     };
-    Hold {
+    HoldRequest {
         deadline: Some(deadline),
         noted,
         wait: hold_wait(owner, id).as_millis() as u64,
