--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -7,7 +7,7 @@
 };
 use adapter::{
     advice::Advice, cloud::Cloud, http::Client, operator::Config, settings::Settings, store::Store,
-    workers::Workers,
+    workers::WorkerClient,
 };
 use clock::Instant;
 use fleet::{AnswerTime, Reach};
@@ -36,7 +36,7 @@
     /// Response times of the store.
     pub store_times: Cell<AnswerTime>,
     /// Client of the workers.
-    pub workers: Workers,
+    pub workers: WorkerClient,
     /// Client of the platform's VM service.
     pub cloud: Cloud,
     /// Response times of the VM list.
@@ -95,7 +95,7 @@
             metrics: Rc::new(Metrics::new()),
             store: Store::new(client.clone(), &settings.store),
             store_times: Cell::default(),
-            workers: Workers::new(client.clone()),
+            workers: WorkerClient::new(client.clone()),
             advice: settings
                 .advice
                 .as_ref()
