--- a/crates/havenladder/src/entry/moves/mod.rs
+++ b/crates/havenladder/src/entry/moves/mod.rs
@@ -10,7 +10,7 @@
     upkeep::Waves,
     vm_orders::{self, Errand, VmOrder},
 };
-use adapter::cloud::{Ordered, VmState};
+use adapter::cloud::{OrderOutcome, VmState};
 use clock::Instant;
 use fleet::{PoolDemand, Shift, SizingLimits, lacks_vms, resize};
 use jobs::{Loss, Need, Takeout, WorkerId};
@@ -201,14 +201,14 @@
     }
 
     /// Draws from the answer to an order what is certain about the move.
-    fn settle(&mut self, owner: &Owner, vm: &Vm, outcome: Option<Ordered>) {
+    fn settle(&mut self, owner: &Owner, vm: &Vm, outcome: Option<OrderOutcome>) {
         match outcome {
             // Without an answer, it may be carried out at any moment; the list tells.
-            Some(Ordered::Done) | None => {}
-            Some(Ordered::Fenced) => owner.end("a newer owner gave orders for a VM"),
-            Some(refused @ (Ordered::Busy | Ordered::Later | Ordered::Rejected)) => {
+            Some(OrderOutcome::Done) | None => {}
+            Some(OrderOutcome::Fenced) => owner.end("a newer owner gave orders for a VM"),
+            Some(refused @ (OrderOutcome::Busy | OrderOutcome::Later | OrderOutcome::Rejected)) => {
                 let moving = self.moving.remove(&vm.name);
-                if refused == Ordered::Rejected {
+                if refused == OrderOutcome::Rejected {
                     let bars = moving.map(|moving| (vm.pool.clone(), moving.to));
                     self.barred.extend(bars);
                 }
--- a/crates/havenladder/src/entry/upkeep.rs
+++ b/crates/havenladder/src/entry/upkeep.rs
@@ -8,7 +8,7 @@
     wave_status::publish,
 };
 use adapter::{
-    cloud::{Ordered, VmState},
+    cloud::{OrderOutcome, VmState},
     operator::{Wave, WaveState},
 };
 use clock::Instant;
@@ -354,9 +354,15 @@
 }
 
 /// Draws from the answer to an order what is certain about the VM.
-fn settle(owner: &Rc<Owner>, wave: &Wave, course: &mut Course, vm: &Vm, outcome: Option<Ordered>) {
+fn settle(
+    owner: &Rc<Owner>,
+    wave: &Wave,
+    course: &mut Course,
+    vm: &Vm,
+    outcome: Option<OrderOutcome>,
+) {
     match outcome {
-        Some(Ordered::Done) => {
+        Some(OrderOutcome::Done) => {
             course.done.insert(vm.name.clone());
             owner.cell.borrow_mut().note_upkeep(wave.number, &vm.name);
             owner.wake();
@@ -364,8 +370,8 @@
                 down.answered = Some(Instant::now());
             }
         }
-        Some(Ordered::Fenced) => owner.end("a newer owner gave orders for a VM"),
-        Some(Ordered::Busy | Ordered::Later | Ordered::Rejected) => {
+        Some(OrderOutcome::Fenced) => owner.end("a newer owner gave orders for a VM"),
+        Some(OrderOutcome::Busy | OrderOutcome::Later | OrderOutcome::Rejected) => {
             course.down.remove(&vm.name);
             if let Some(id) = &vm.worker {
                 let mut cell = owner.cell.borrow_mut();
--- a/crates/havenladder/src/entry/vm_orders.rs
+++ b/crates/havenladder/src/entry/vm_orders.rs
@@ -1,7 +1,7 @@
 //! Gives orders about VMs: several at once, within the rate that the platform takes.
 
 use super::owner::Owner;
-use adapter::cloud::Ordered;
+use adapter::cloud::OrderOutcome;
 use clock::Instant;
 use std::rc::Rc;
 use tokio::task;
@@ -43,7 +43,7 @@
 /// Gives orders, all at once, and returns their outcomes in the same order: none where the platform did
 /// not answer, so that the order may still be carried out. An owner that may no longer give an order
 /// does not: that counts as one that may be tried later.
-pub async fn give_all(owner: &Rc<Owner>, orders: Vec<VmOrder>) -> Vec<Option<Ordered>> {
+pub async fn give_all(owner: &Rc<Owner>, orders: Vec<VmOrder>) -> Vec<Option<OrderOutcome>> {
     let calls: Vec<_> = orders
         .into_iter()
         .map(|order| {
@@ -60,9 +60,9 @@
 }
 
 /// Gives one order.
-async fn give(owner: &Owner, order: &VmOrder) -> Option<Ordered> {
+async fn give(owner: &Owner, order: &VmOrder) -> Option<OrderOutcome> {
     if !owner.is_certain() {
-        return Some(Ordered::Later);
+        return Some(OrderOutcome::Later);
     }
     owner.vm_rate.borrow_mut().take();
     owner.node.metrics.ordered_vm(order.errand.name());
