--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -6,8 +6,8 @@
     in_force::InForce, metrics::Metrics, owner::Owner, reach::Directory, replication::Replication,
 };
 use adapter::{
-    advice::Advice, cloud::Cloud, http::Client, operator::Config, settings::Settings, store::Store,
-    workers::WorkerClient,
+    advice::AdviceClient, cloud::Cloud, http::Client, operator::Config, settings::Settings,
+    store::Store, workers::WorkerClient,
 };
 use clock::Instant;
 use fleet::{AnswerTime, Reach};
@@ -42,7 +42,7 @@
     /// Response times of the VM list.
     pub list_times: Cell<AnswerTime>,
     /// Client of the service that tells which workers may run a step, if there is one.
-    pub advice: Option<Advice>,
+    pub advice: Option<AdviceClient>,
     /// Settings and orders of operators that are in force.
     pub in_force: RefCell<InForce>,
     /// How recently this entry's configuration was known to be the newest one.
@@ -99,7 +99,7 @@
             advice: settings
                 .advice
                 .as_ref()
-                .map(|at| Advice::new(client.clone(), at)),
+                .map(|at| AdviceClient::new(client.clone(), at)),
             list_times: Cell::default(),
             cloud: Cloud::new(client.clone(), &settings.cloud, &settings.node),
             client,
--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -141,7 +141,7 @@
 /// Asks the service outside which of some workers may run a step.
 async fn ask(owner: &Rc<Owner>, task: TaskId, workers: &[WorkerId]) {
     let answer = match &owner.node.advice {
-        Some(advice) => advice.ask(task, workers).await,
+        Some(advice) => advice.request_permits(task, workers).await,
         None => Ok(None),
     };
     let good = answer.unwrap_or_else(|error| {
