--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -96,7 +96,7 @@
 async fn read_list(owner: &Owner) -> Option<Vec<cloud::Vm>> {
     owner.node.metrics.read("vms");
     let send = |connection| {
-        let cloud = owner.node.cloud.over(connection);
+        let cloud = owner.node.cloud.with_connection(connection);
         async move { cloud.vms().await }
     };
     let answered = until_answered(&owner.node.list_times, LIST, send).await;
--- a/crates/havenladder/src/entry/store_calls.rs
+++ b/crates/havenladder/src/entry/store_calls.rs
@@ -70,7 +70,7 @@
     let began = Instant::now();
     let append = Append::new(topic, condition, body);
     let send = |connection| {
-        let (store, append) = (node.store.over(connection), append.clone());
+        let (store, append) = (node.store.with_connection(connection), append.clone());
         async move { store.append(append).await }
     };
     let answered = until_answered(&node.store_times, APPEND_TIMEOUTS, send).await;
@@ -90,7 +90,7 @@
     hold: Duration,
 ) -> Result<Read, CallError> {
     let send = |connection| {
-        let store = node.store.over(connection);
+        let store = node.store.with_connection(connection);
         let wait = match connection {
             Connection::Kept => hold,
             Connection::Fresh => Duration::ZERO,
@@ -111,7 +111,7 @@
 /// Fails if the store does not answer.
 pub async fn read_once(node: &Node, topic: &'static str, from: Offset) -> Result<Read, CallError> {
     node.metrics.read(topic);
-    let store = node.store.over(Connection::Kept);
+    let store = node.store.with_connection(Connection::Kept);
     store.read(topic, from, Duration::ZERO).await
 }
 
@@ -126,7 +126,7 @@
         let after = newest.next.take();
         node.metrics.read(topic);
         let send = |connection| {
-            let (store, after) = (node.store.over(connection), after.clone());
+            let (store, after) = (node.store.with_connection(connection), after.clone());
             async move { store.newest(topic, after.as_deref()).await }
         };
         let answered = until_answered(&node.store_times, APPEND_TIMEOUTS, send).await;
