--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -106,11 +106,11 @@
         let workers = &owner.node.workers;
         workers.stop(info, task, run, fence, connection)
     };
-    let mut first = pin!(stop(Connection::Kept));
+    let mut first = pin!(stop(Connection::Pooled));
     if let Some(outcome) = unless_overdue(first.as_mut(), REPEATED).await {
         return outcome;
     }
-    let mut second = pin!(stop(Connection::Fresh));
+    let mut second = pin!(stop(Connection::New));
     tokio::select! {
         outcome = first.as_mut() => match outcome {
             Err(WorkerError::Call(_)) => second.await,
--- a/crates/havenladder/src/entry/outage.rs
+++ b/crates/havenladder/src/entry/outage.rs
@@ -161,7 +161,7 @@
 async fn probe_store(node: Rc<Node>) -> bool {
     let probes: Vec<_> = (0..PROBE_COUNT)
         .map(|_| {
-            let store = node.store.with_connection(Connection::Fresh);
+            let store = node.store.with_connection(Connection::New);
             task::spawn_local(async move { time::timeout(PROBE_TIMEOUT, store.probe()).await })
         })
         .collect();
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -297,7 +297,7 @@
 ) -> Result<PeerResponse, CallError> {
     let body = rmp_serde::to_vec(request).expect("plain data can be encoded as MessagePack");
     let call = Call {
-        connection: Connection::Kept,
+        connection: Connection::Pooled,
         address,
         method: Method::POST,
         path: PATH,
--- a/crates/havenladder/src/entry/questions.rs
+++ b/crates/havenladder/src/entry/questions.rs
@@ -55,14 +55,14 @@
 ) -> Result<Answer, WorkerError> {
     let workers = &owner.node.workers;
     let asked = Instant::now();
-    let mut first = pin!(workers.hold(info, hold, Connection::Kept));
+    let mut first = pin!(workers.hold(info, hold, Connection::Pooled));
     let wait = Duration::from_millis(hold.wait) + OVERDUE;
     if let Some(outcome) = unless_overdue(first.as_mut(), wait).await {
         return outcome.map(|told| Answer { asked, told });
     }
     let again = Instant::now();
     let second = question(owner, &info.id, Answers::Missing);
-    let mut second = pin!(workers.hold(info, second, Connection::Fresh));
+    let mut second = pin!(workers.hold(info, second, Connection::New));
     tokio::select! {
         // It ends last by its time-out: the worker is silent.
         outcome = first.as_mut() => outcome.map(|told| Answer { asked, told }),
--- a/crates/havenladder/src/entry/resend.rs
+++ b/crates/havenladder/src/entry/resend.rs
@@ -57,7 +57,7 @@
     let mut wait = times.get().first_wait();
     let mut calls = 1;
     let mut in_flight = JoinSet::new();
-    in_flight.spawn_local(timed(send(Connection::Kept)));
+    in_flight.spawn_local(timed(send(Connection::Pooled)));
     let mut failure = CallError::Unreachable;
     let mut until_resend = hold + wait;
     loop {
@@ -81,7 +81,7 @@
             }
             None => {
                 calls += 1;
-                in_flight.spawn_local(timed(send(Connection::Fresh)));
+                in_flight.spawn_local(timed(send(Connection::New)));
                 wait = next_wait(wait);
                 // The wait ends at the deadline, so that the caller still has time to ask others.
                 until_resend = wait.min(deadline.saturating_duration_since(Instant::now()));
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -133,7 +133,7 @@
     turn: Option<OwnedSemaphorePermit>,
 ) -> Result<WorkerResponse<()>, WorkerError> {
     let workers = &owner.node.workers;
-    let mut first = pin!(workers.start(info, order, Connection::Kept));
+    let mut first = pin!(workers.start(info, order, Connection::Pooled));
     if let Some(outcome) = unless_overdue(first.as_mut(), REPEATED).await {
         return outcome;
     }
@@ -143,7 +143,7 @@
         worker = %info.id,
         "start sent again"
     );
-    let second = workers.start(info, order, Connection::Fresh);
+    let second = workers.start(info, order, Connection::New);
     let mut both = pin!(either(first, second));
     if let Ok(outcome) = time::timeout(DOUBTED - REPEATED, both.as_mut()).await {
         return outcome;
--- a/crates/havenladder/src/entry/store_calls.rs
+++ b/crates/havenladder/src/entry/store_calls.rs
@@ -92,8 +92,8 @@
     let send = |connection| {
         let store = node.store.with_connection(connection);
         let wait = match connection {
-            Connection::Kept => hold,
-            Connection::Fresh => Duration::ZERO,
+            Connection::Pooled => hold,
+            Connection::New => Duration::ZERO,
         };
         async move { store.read(topic, from, wait).await }
     };
@@ -111,7 +111,7 @@
 /// Fails if the store does not answer.
 pub async fn read_once(node: &Node, topic: &'static str, from: Offset) -> Result<Read, CallError> {
     node.metrics.read(topic);
-    let store = node.store.with_connection(Connection::Kept);
+    let store = node.store.with_connection(Connection::Pooled);
     store.read(topic, from, Duration::ZERO).await
 }
 
