--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -3,7 +3,7 @@
 
 use adapter::{
     operator::{self, CONFIG_KEY, Config, EVACUATE_KEY, Queue, Version, WAVE_KEY, Wave},
-    store::{Keyed, Offset},
+    store::{KeyedRecord, Offset},
     workspaces::Rows,
 };
 use bytes::Bytes;
@@ -141,7 +141,7 @@
 
     /// Replaces the state by the newest record of each key of the operators' topic, which ended at
     /// `end`.
-    pub fn restart(&mut self, newest: Vec<Keyed>, end: Offset) {
+    pub fn restart(&mut self, newest: Vec<KeyedRecord>, end: Offset) {
         let orders = newest.iter().filter_map(|record| self.read_order(record));
         let halls = orders.filter_map(|order| match order {
             HallOrder::Empty(hall) => Some(hall),
@@ -155,7 +155,7 @@
     }
 
     /// Applies the record at an offset of the operators' topic.
-    pub fn apply(&mut self, record: Keyed, offset: Offset) {
+    pub fn apply(&mut self, record: KeyedRecord, offset: Offset) {
         let order = self.read_order(&record);
         if self.hall_drains.take(order, offset) {
             self.log_hall_drains();
@@ -187,7 +187,7 @@
 
     /// Returns the order about a data centre that a record holds. An order that cannot be read, or
     /// that names a data centre outside the deployment, is logged and has no effect.
-    fn read_order(&self, record: &Keyed) -> Option<HallOrder> {
+    fn read_order(&self, record: &KeyedRecord) -> Option<HallOrder> {
         let key = &record.key;
         let hall = key.strip_prefix(EVACUATE_KEY)?;
         let Some(value) = &record.value else {
@@ -207,7 +207,7 @@
     }
 
     /// Applies a record that holds a configuration or a wave.
-    fn apply_record(&mut self, record: Keyed) {
+    fn apply_record(&mut self, record: KeyedRecord) {
         let Some(value) = record.value else { return };
         if record.key == CONFIG_KEY {
             self.apply_config(value);
--- a/crates/havenladder/src/entry/operator_topic.rs
+++ b/crates/havenladder/src/entry/operator_topic.rs
@@ -9,7 +9,7 @@
 };
 use adapter::{
     operator::TOPIC,
-    store::{Keyed, Offset, Read, split_keyed},
+    store::{KeyedRecord, Offset, Read, split_keyed},
 };
 use bytes::Bytes;
 use clock::{Instant, timer};
@@ -71,7 +71,7 @@
 }
 
 /// Applies the newest record of each key of the topic, which ended at `end`.
-pub fn apply_newest(node: &Node, newest: Vec<Keyed>, end: Offset) {
+pub fn apply_newest(node: &Node, newest: Vec<KeyedRecord>, end: Offset) {
     node.replication.recent.borrow_mut().restart(&newest, end);
     node.in_force.borrow_mut().restart(newest, end);
     node.replication.updated.notify_waiters();
--- a/crates/havenladder/src/entry/owner/load.rs
+++ b/crates/havenladder/src/entry/owner/load.rs
@@ -5,7 +5,7 @@
     append::{RETRY_INTERVAL, TOPIC, append},
 };
 use crate::entry::store_calls;
-use adapter::store::Keyed;
+use adapter::store::KeyedRecord;
 use clock::Instant;
 use std::rc::Rc;
 use tokio::time;
@@ -52,7 +52,7 @@
 }
 
 /// Decodes a record. One that cannot be decoded is logged and skipped.
-fn decode(record: &Keyed) -> Option<jobs::Decoded> {
+fn decode(record: &KeyedRecord) -> Option<jobs::Decoded> {
     let value = record.value.as_ref()?;
     match jobs::decode_entry(&record.key, value) {
         Ok(decoded) => Some(decoded),
--- a/crates/havenladder/src/entry/replication/recent.rs
+++ b/crates/havenladder/src/entry/replication/recent.rs
@@ -1,6 +1,6 @@
 //! The records of operators that an entry has applied, kept for its followers.
 
-use adapter::store::{Keyed, Offset, join_keyed, split_keyed};
+use adapter::store::{KeyedRecord, Offset, join_keyed, split_keyed};
 use bytes::Bytes;
 use clock::Instant;
 use std::{
@@ -53,7 +53,7 @@
     }
 
     /// Starts over with the newest record of each key of a topic that ended at `end`.
-    pub fn restart(&mut self, newest: &[Keyed], end: Offset) {
+    pub fn restart(&mut self, newest: &[KeyedRecord], end: Offset) {
         let newest = newest.iter();
         *self = Recent {
             end: Some(end),
@@ -78,7 +78,7 @@
             Some(_) => return self.clear(),
             None => return,
         }
-        if let Some(Keyed { key, value }) = split_keyed(record.clone()) {
+        if let Some(KeyedRecord { key, value }) = split_keyed(record.clone()) {
             match value {
                 Some(_) => self.newest.insert(key, record.clone()),
                 None => self.newest.remove(&key),
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -7,7 +7,7 @@
     watch::watch,
 };
 use adapter::{
-    store::{Keyed, Offset, Read, split_keyed},
+    store::{KeyedRecord, Offset, Read, split_keyed},
     workers::{self, EntryError},
 };
 use clock::{Instant, timer};
@@ -74,7 +74,7 @@
 }
 
 /// Takes in what the list says of a worker, and watches the life that it names, if that is new.
-fn apply(owner: &Rc<Owner>, record: Keyed) {
+fn apply(owner: &Rc<Owner>, record: KeyedRecord) {
     let Some(value) = record.value else {
         return unlist(owner, &record.key);
     };
