--- a/crates/havenladder/src/entry/store_calls.rs
+++ b/crates/havenladder/src/entry/store_calls.rs
@@ -11,7 +11,7 @@
 };
 use adapter::{
     http::{CallError, Connection},
-    store::{Append, Appended, Condition, Newest, Offset, Read},
+    store::{Append, Appended, Condition, NewestRecords, Offset, Read},
 };
 use bytes::Bytes;
 use clock::Instant;
@@ -120,8 +120,8 @@
 /// # Errors
 ///
 /// Fails if the store does not answer.
-pub async fn newest(node: &Node, topic: &'static str) -> Result<Option<Newest>, CallError> {
-    let mut newest = Newest::default();
+pub async fn newest(node: &Node, topic: &'static str) -> Result<Option<NewestRecords>, CallError> {
+    let mut newest = NewestRecords::default();
     loop {
         let after = newest.next.take();
         node.metrics.read(topic);
