--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -6,7 +6,7 @@
     owner::Predecessor,
     store_calls,
 };
-use adapter::store::{Appended, Offset, Read};
+use adapter::store::{AppendResponse, Offset, Read};
 use bytes::Bytes;
 use clock::Instant;
 use fleet::{FirstSent, Tenure};
@@ -192,12 +192,12 @@
     let offset = log.end;
     log.first_sent = Some(FirstSent::note(log.first_sent, offset, Instant::now()));
     match append(node, offset, &lease).await {
-        Some(Appended::Done(end)) => {
+        Some(AppendResponse::Done(end)) => {
             log.end = end;
             apply_lease(node, log, lease, Instant::now());
             WriteOutcome::Done
         }
-        Some(Appended::Moved(_)) => {
+        Some(AppendResponse::Moved(_)) => {
             read(node, log, Duration::ZERO).await;
             if log.end == offset + 1 && is_own(node) {
                 WriteOutcome::AlreadyWritten
--- a/crates/havenladder/src/entry/lease_record.rs
+++ b/crates/havenladder/src/entry/lease_record.rs
@@ -5,7 +5,7 @@
     node::{Lease, Node},
     store_calls::{self, AppendKind},
 };
-use adapter::store::{Appended, Condition, Offset, frame_plain};
+use adapter::store::{AppendResponse, Condition, Offset, frame_plain};
 use tracing::info;
 
 /// Topic of the lease's records.
@@ -13,7 +13,7 @@
 
 /// Appends a record on the condition that the log ends at `end`. Returns `None` if the store did
 /// not answer.
-pub async fn append(node: &Node, end: Offset, lease: &Lease) -> Option<Appended> {
+pub async fn append(node: &Node, end: Offset, lease: &Lease) -> Option<AppendResponse> {
     let bytes = rmp_serde::to_vec(lease).expect("plain data can be encoded as MessagePack");
     let body = frame_plain([bytes.as_slice()]);
     let call = store_calls::append(node, AppendKind::Lease, TOPIC, Condition::At(end), body);
@@ -37,7 +37,7 @@
         "releases the cell on behalf of its owner"
     );
     match append(node, offset, &released).await {
-        Some(Appended::Done(end)) => Some((released, end)),
+        Some(AppendResponse::Done(end)) => Some((released, end)),
         Some(_) | None => None,
     }
 }
--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -6,7 +6,7 @@
     outage,
     store_calls::{self, AppendKind},
 };
-use adapter::store::{Appended, Condition, frame_keyed};
+use adapter::store::{AppendResponse, Condition, frame_keyed};
 use clock::Instant;
 use jobs::{Entry, Order};
 use std::{pin::pin, rc::Rc, time::Duration};
@@ -69,9 +69,9 @@
             body.clone(),
         );
         match work_while_waiting(owner, call, starts).await {
-            Ok(Appended::Done(_)) => return true,
-            Ok(Appended::Fenced) => owner.end("a newer owner appends"),
-            Ok(Appended::Busy) | Err(_) => {
+            Ok(AppendResponse::Done(_)) => return true,
+            Ok(AppendResponse::Fenced) => owner.end("a newer owner appends"),
+            Ok(AppendResponse::Busy) | Err(_) => {
                 let pause = time::sleep(RETRY_INTERVAL);
                 work_while_waiting(owner, pause, starts).await;
             }
--- a/crates/havenladder/src/entry/store_calls.rs
+++ b/crates/havenladder/src/entry/store_calls.rs
@@ -11,7 +11,7 @@
 };
 use adapter::{
     http::{CallError, Connection},
-    store::{Append, Appended, Condition, NewestRecords, Offset, Read},
+    store::{Append, AppendResponse, Condition, NewestRecords, Offset, Read},
 };
 use bytes::Bytes;
 use clock::Instant;
@@ -66,7 +66,7 @@
     topic: &str,
     condition: Condition<'_>,
     body: Bytes,
-) -> Result<Appended, CallError> {
+) -> Result<AppendResponse, CallError> {
     let began = Instant::now();
     let append = Append::new(topic, condition, body);
     let send = |connection| {
@@ -141,7 +141,12 @@
 }
 
 /// Counts an append, and logs it if it was resent, was slow or has no response.
-fn record_append(node: &Node, kind: AppendKind, answered: &Answered<Appended>, took: Duration) {
+fn record_append(
+    node: &Node,
+    kind: AppendKind,
+    answered: &Answered<AppendResponse>,
+    took: Duration,
+) {
     let Answered { outcome, calls } = answered;
     let resends = u64::from(calls - 1);
     node.metrics
@@ -153,10 +158,10 @@
 }
 
 /// Returns the name of an outcome in the metrics.
-fn outcome_name(outcome: &Result<Appended, CallError>) -> &'static str {
+fn outcome_name(outcome: &Result<AppendResponse, CallError>) -> &'static str {
     match outcome {
-        Ok(Appended::Done(_)) => "done",
-        Ok(Appended::Busy) => "busy",
+        Ok(AppendResponse::Done(_)) => "done",
+        Ok(AppendResponse::Busy) => "busy",
         Ok(_) => "refused",
         Err(error) if error.is_unsent() => "unsent",
         Err(_) => "unanswered",
--- a/crates/havenladder/src/entry/wave_status.rs
+++ b/crates/havenladder/src/entry/wave_status.rs
@@ -6,7 +6,7 @@
 };
 use adapter::{
     operator::{STATUS_TOPIC, WAVE_KEY, WaveState, write_wave},
-    store::{Appended, Condition, frame_keyed},
+    store::{AppendResponse, Condition, frame_keyed},
 };
 use tracing::{info, warn};
 
@@ -29,13 +29,13 @@
             body.clone(),
         );
         match call.await {
-            Ok(Appended::Done(end)) => {
+            Ok(AppendResponse::Done(end)) => {
                 owner.status_end.set(end);
                 info!(wave, ?state, "wave told");
                 return true;
             }
             // Others write there, too; or this record is there, and once more says the same.
-            Ok(Appended::Moved(end)) => owner.status_end.set(end),
+            Ok(AppendResponse::Moved(end)) => owner.status_end.set(end),
             outcome => {
                 warn!(wave, ?state, ?outcome, "wave not told");
                 return false;
