--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -6,7 +6,7 @@
     owner::Predecessor,
     store_calls,
 };
-use adapter::store::{AppendResponse, Offset, Read};
+use adapter::store::{AppendResponse, Offset, ReadResponse};
 use bytes::Bytes;
 use clock::Instant;
 use fleet::{FirstSent, Tenure};
@@ -63,16 +63,16 @@
         node.update_reach(|reach| reach.note_store(Instant::now()));
     }
     match read {
-        Ok(Read::Records(_, records)) if records.is_empty() => ReadOutcome::Nothing,
-        Ok(Read::Records(_, records)) => {
+        Ok(ReadResponse::Records(_, records)) if records.is_empty() => ReadOutcome::Nothing,
+        Ok(ReadResponse::Records(_, records)) => {
             apply_records(node, log, &records);
             ReadOutcome::Records
         }
-        Ok(Read::Gone(first)) => {
+        Ok(ReadResponse::Gone(first)) => {
             log.end = first;
             ReadOutcome::Records
         }
-        Ok(Read::Busy) | Err(_) => {
+        Ok(ReadResponse::Busy) | Err(_) => {
             let now = Instant::now();
             log.election.note_trouble(now);
             log.last_outage = Some(now);
--- a/crates/havenladder/src/entry/operator_topic.rs
+++ b/crates/havenladder/src/entry/operator_topic.rs
@@ -9,7 +9,7 @@
 };
 use adapter::{
     operator::TOPIC,
-    store::{KeyedRecord, Offset, Read, split_keyed},
+    store::{KeyedRecord, Offset, ReadResponse, split_keyed},
 };
 use bytes::Bytes;
 use clock::{Instant, timer};
@@ -82,11 +82,11 @@
 async fn read_from(node: &Node, from: Offset) -> bool {
     let sent = Instant::now();
     match store_calls::read(node, TOPIC, from, READ_HOLD).await {
-        Ok(Read::Records(_, records)) => {
+        Ok(ReadResponse::Records(_, records)) => {
             apply_read(node, from, &records, sent, READ_HOLD);
             true
         }
-        Ok(Read::Gone(first)) => {
+        Ok(ReadResponse::Gone(first)) => {
             info!(
                 from,
                 first, "records of operators were removed from the log; reading the newest ones"
@@ -94,7 +94,7 @@
             node.replication.recent.borrow_mut().clear();
             true
         }
-        Ok(Read::Busy) | Err(_) => false,
+        Ok(ReadResponse::Busy) | Err(_) => false,
     }
 }
 
@@ -228,7 +228,8 @@
     let sent = Instant::now();
     let known = node.replication.recent.borrow().end();
     if let Some(from) = known
-        && let Ok(Read::Records(_, records)) = store_calls::read_once(node, TOPIC, from).await
+        && let Ok(ReadResponse::Records(_, records)) =
+            store_calls::read_once(node, TOPIC, from).await
     {
         apply_read(node, from, &records, sent, Duration::ZERO);
         return true;
--- a/crates/havenladder/src/entry/store_calls.rs
+++ b/crates/havenladder/src/entry/store_calls.rs
@@ -11,7 +11,7 @@
 };
 use adapter::{
     http::{CallError, Connection},
-    store::{Append, AppendResponse, Condition, NewestRecords, Offset, Read},
+    store::{Append, AppendResponse, Condition, NewestRecords, Offset, ReadResponse},
 };
 use bytes::Bytes;
 use clock::Instant;
@@ -88,7 +88,7 @@
     topic: &'static str,
     from: Offset,
     hold: Duration,
-) -> Result<Read, CallError> {
+) -> Result<ReadResponse, CallError> {
     let send = |connection| {
         let store = node.store.with_connection(connection);
         let wait = match connection {
@@ -109,7 +109,11 @@
 /// # Errors
 ///
 /// Fails if the store does not answer.
-pub async fn read_once(node: &Node, topic: &'static str, from: Offset) -> Result<Read, CallError> {
+pub async fn read_once(
+    node: &Node,
+    topic: &'static str,
+    from: Offset,
+) -> Result<ReadResponse, CallError> {
     node.metrics.read(topic);
     let store = node.store.with_connection(Connection::Pooled);
     store.read(topic, from, Duration::ZERO).await
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -7,7 +7,7 @@
     watch::watch,
 };
 use adapter::{
-    store::{KeyedRecord, Offset, Read, split_keyed},
+    store::{KeyedRecord, Offset, ReadResponse, split_keyed},
     workers::{self, EntryError},
 };
 use clock::{Instant, timer};
@@ -58,7 +58,7 @@
 async fn read_on(owner: &Rc<Owner>, mut from: Offset) {
     while owner.is_alive() {
         match store_calls::read(&owner.node, workers::TOPIC, from, LIST_WAIT).await {
-            Ok(Read::Records(_, records)) => {
+            Ok(ReadResponse::Records(_, records)) => {
                 from += records.len() as Offset;
                 records
                     .into_iter()
@@ -67,8 +67,8 @@
                 owner.wake();
                 time::sleep(LIST_GAP).await;
             }
-            Ok(Read::Gone(_)) => return,
-            Ok(Read::Busy) | Err(_) => time::sleep(LIST_AGAIN).await,
+            Ok(ReadResponse::Gone(_)) => return,
+            Ok(ReadResponse::Busy) | Err(_) => time::sleep(LIST_AGAIN).await,
         }
     }
 }
