--- a/crates/havenladder/src/entry/operator_topic.rs
+++ b/crates/havenladder/src/entry/operator_topic.rs
@@ -9,7 +9,7 @@
 };
 use adapter::{
     operator::TOPIC,
-    store::{KeyedRecord, Offset, ReadResponse, split_keyed},
+    store::{KeyedRecord, Offset, ReadResponse, decode_keyed},
 };
 use bytes::Bytes;
 use clock::{Instant, timer};
@@ -120,7 +120,7 @@
     let mut recent = node.replication.recent.borrow_mut();
     for (offset, record) in (from..).zip(records) {
         recent.append(offset, record);
-        if let Some(record) = split_keyed(record.clone()) {
+        if let Some(record) = decode_keyed(record.clone()) {
             in_force.apply(record, offset);
         }
     }
--- a/crates/havenladder/src/entry/replication/recent.rs
+++ b/crates/havenladder/src/entry/replication/recent.rs
@@ -1,6 +1,6 @@
 //! The records of operators that an entry has applied, kept for its followers.
 
-use adapter::store::{KeyedRecord, Offset, join_keyed, split_keyed};
+use adapter::store::{KeyedRecord, Offset, decode_keyed, encode_keyed};
 use bytes::Bytes;
 use clock::Instant;
 use std::{
@@ -58,7 +58,7 @@
         *self = Recent {
             end: Some(end),
             newest: newest
-                .map(|record| (record.key.clone(), join_keyed(record)))
+                .map(|record| (record.key.clone(), encode_keyed(record)))
                 .collect(),
             ..Recent::default()
         };
@@ -78,7 +78,7 @@
             Some(_) => return self.clear(),
             None => return,
         }
-        if let Some(KeyedRecord { key, value }) = split_keyed(record.clone()) {
+        if let Some(KeyedRecord { key, value }) = decode_keyed(record.clone()) {
             match value {
                 Some(_) => self.newest.insert(key, record.clone()),
                 None => self.newest.remove(&key),
--- a/crates/havenladder/src/entry/replication_client.rs
+++ b/crates/havenladder/src/entry/replication_client.rs
@@ -7,7 +7,7 @@
     peer::{self, PeerRequest, PeerResponse},
     replication::{MAX_HOLD, Request, Response, Update},
 };
-use adapter::store::{Offset, split_keyed};
+use adapter::store::{Offset, decode_keyed};
 use clock::Instant;
 use fleet::{Address, STALE, Seeker, Source};
 use std::{rc::Rc, time::Duration};
@@ -130,7 +130,7 @@
     }
     match update.newest {
         Some(end) => {
-            let newest = records.into_iter().filter_map(split_keyed).collect();
+            let newest = records.into_iter().filter_map(decode_keyed).collect();
             operator_topic::apply_newest(node, newest, end);
         }
         None => operator_topic::apply_records(node, from.unwrap_or_default(), &records),
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -7,7 +7,7 @@
     watch::watch,
 };
 use adapter::{
-    store::{KeyedRecord, Offset, ReadResponse, split_keyed},
+    store::{KeyedRecord, Offset, ReadResponse, decode_keyed},
     workers::{self, EntryError},
 };
 use clock::{Instant, timer};
@@ -62,7 +62,7 @@
                 from += records.len() as Offset;
                 records
                     .into_iter()
-                    .filter_map(split_keyed)
+                    .filter_map(decode_keyed)
                     .for_each(|r| apply(owner, r));
                 owner.wake();
                 time::sleep(LIST_GAP).await;
