--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -2,7 +2,7 @@
 //! written, its keys, the waves of maintenance, and the data centres to be drained.
 
 use adapter::{
-    operator::{self, CONFIG_KEY, Config, EVACUATE_KEY, Queue, Version, WAVE_KEY, Wave},
+    operator::{self, CONFIG_KEY, Config, DRAIN_KEY_PREFIX, Queue, Version, WAVE_KEY_PREFIX, Wave},
     store::{KeyedRecord, Offset},
     workspaces::Rows,
 };
@@ -189,7 +189,7 @@
     /// that names a data centre outside the deployment, is logged and has no effect.
     fn read_order(&self, record: &KeyedRecord) -> Option<HallOrder> {
         let key = &record.key;
-        let hall = key.strip_prefix(EVACUATE_KEY)?;
+        let hall = key.strip_prefix(DRAIN_KEY_PREFIX)?;
         let Some(value) = &record.value else {
             return Some(HallOrder::TakeBack(hall.to_owned()));
         };
@@ -197,7 +197,7 @@
             warn!(key, halls = ?self.halls, "ignored an order to drain an unknown data centre");
             return None;
         }
-        match operator::read_evacuation(value) {
+        match operator::read_drain(value) {
             Ok(()) => Some(HallOrder::Empty(hall.to_owned())),
             Err(error) => {
                 warn!(%error, key, "cannot decode an order to drain a data centre");
@@ -211,7 +211,7 @@
         let Some(value) = record.value else { return };
         if record.key == CONFIG_KEY {
             self.apply_config(value);
-        } else if record.key.starts_with(WAVE_KEY) {
+        } else if record.key.starts_with(WAVE_KEY_PREFIX) {
             self.add_wave(&record.key, &value);
         }
     }
--- a/crates/havenladder/src/entry/wave_status.rs
+++ b/crates/havenladder/src/entry/wave_status.rs
@@ -5,7 +5,7 @@
     store_calls::{self, AppendKind},
 };
 use adapter::{
-    operator::{STATUS_TOPIC, WAVE_KEY, WaveState, write_wave},
+    operator::{STATUS_TOPIC, WAVE_KEY_PREFIX, WaveState, write_wave},
     store::{AppendResponse, Condition, frame_keyed},
 };
 use tracing::{info, warn};
@@ -16,7 +16,7 @@
 
 /// Tells operators how far a wave is; false if that was not taken, and is to be told again with the next look.
 pub async fn publish(owner: &Owner, wave: u64, state: WaveState) -> bool {
-    let key = format!("{WAVE_KEY}{wave}");
+    let key = format!("{WAVE_KEY_PREFIX}{wave}");
     let value = write_wave(state);
     let body = frame_keyed([(key.as_str(), Some(value.as_ref()))]);
     for _ in 0..TRIES {
