--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -251,7 +251,7 @@
     fn add_wave(&mut self, key: &str, value: &Bytes) {
         match operator::read_wave(value) {
             Ok(wave) => {
-                let (number, vms, most) = (wave.number, wave.vms.len(), wave.most);
+                let (number, vms, most) = (wave.number, wave.vms.len(), wave.max_down);
                 info!(wave = number, vms, most, "wave requested");
                 self.waves.entry(number).or_insert(wave);
             }
--- a/crates/havenladder/src/entry/upkeep.rs
+++ b/crates/havenladder/src/entry/upkeep.rs
@@ -220,7 +220,7 @@
         Some(VmState::Up) if owner.has_unconfirmed_order(name) => Whereabouts::Doubtful,
         Some(VmState::Up | VmState::Moving) | None => Whereabouts::Up,
     };
-    room_to_go(wave.most, wave.vms.iter().map(whereabouts))
+    room_to_go(wave.max_down, wave.vms.iter().map(whereabouts))
 }
 
 /// Chooses the VMs to go next: those that carry the least, as many as the bound has room for.
@@ -265,7 +265,7 @@
 fn may_wait(owner: &Owner, wave: &Wave, course: &Course, vm: &Vm) -> bool {
     let early = course
         .began
-        .is_some_and(|began| began.elapsed() < wave.span().mul_f64(SPARED_SHARE));
+        .is_some_and(|began| began.elapsed() < wave.time_limit().mul_f64(SPARED_SHARE));
     early && owner.cell.borrow().demand(&vm.pool).waiting != Need::default()
 }
 
