--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -122,7 +122,7 @@
         authorization: &Authorization,
     ) -> Result<Caller, Unauthorized> {
         let config = self.config.as_ref();
-        let open = queue.open || config.is_none_or(|config| config.workspaces.is_none());
+        let open = queue.is_public || config.is_none_or(|config| config.workspaces.is_none());
         match authorization {
             _ if open => Ok(Caller::Anyone),
             Authorization::Missing => Err(Unauthorized::Missing),
