--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -4,7 +4,7 @@
 use adapter::{
     operator::{self, CONFIG_KEY, Config, DRAIN_KEY_PREFIX, Queue, Version, WAVE_KEY_PREFIX, Wave},
     store::{KeyedRecord, Offset},
-    workspaces::Rows,
+    workspaces::RowCache,
 };
 use bytes::Bytes;
 use jobs::{Evacuations, HallId, HallOrder, WorkspaceId};
@@ -66,7 +66,7 @@
 pub struct InForce {
     config: Option<Rc<Config>>,
     raw_config: Option<Bytes>,
-    rows: Rows,
+    rows: RowCache,
     keyring: Keyring,
     waves: BTreeMap<u64, Wave>,
     hall_drains: Evacuations,
