--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -16,7 +16,7 @@
 use adapter::{
     callers::{HEADER_DEADLINE, read_id, read_job},
     operator::{Queue, Version},
-    workspaces::SCHEME,
+    workspaces::AUTH_SCHEME,
 };
 use bytes::Bytes;
 use clock::Instant;
@@ -76,7 +76,7 @@
             host: text(headers, "host").to_owned(),
             path: request.uri().path().to_owned(),
             authorization: read_authorization(
-                SCHEME,
+                AUTH_SCHEME,
                 authorization.map(|value| value.to_str().ok()),
             ),
             received_at,
@@ -192,7 +192,7 @@
     info!(method = %head.method, path = head.path, reason, version, "caller is not authorized");
     let body = serde_json::json!({ "error": reason }).to_string();
     let mut reply = reply(StatusCode::UNAUTHORIZED, body);
-    let scheme = HeaderValue::from_static(SCHEME);
+    let scheme = HeaderValue::from_static(AUTH_SCHEME);
     reply.headers_mut().insert(header::WWW_AUTHENTICATE, scheme);
     reply
 }
