--- a/crates/havenladder/src/entry/mod.rs
+++ b/crates/havenladder/src/entry/mod.rs
@@ -81,7 +81,7 @@
     let settings = &node.settings;
     let callers = TcpListener::bind(&settings.callers).await?;
     let ready = TcpListener::bind(&settings.ready).await?;
-    let peers = TcpListener::bind((settings.ip.as_str(), settings.inner_port)).await?;
+    let peers = TcpListener::bind((settings.ip.as_str(), settings.peer_port)).await?;
     info!(
         node = settings.node,
         hall = settings.hall,
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -128,13 +128,13 @@
 
     /// Returns the address on which this entry serves other entries.
     pub fn peer_address(&self) -> String {
-        format!("{}:{}", self.settings.ip, self.settings.inner_port)
+        format!("{}:{}", self.settings.ip, self.settings.peer_port)
     }
 
     /// Returns the addresses of other entries that can be asked: the owner's first, then those of
     /// the seeds.
     pub fn peers(&self) -> Vec<String> {
-        let port = self.settings.inner_port;
+        let port = self.settings.peer_port;
         let lease = self.lease.borrow();
         let owner = lease.iter().map(|lease| lease.address.clone());
         let seeds = self.settings.seeds.iter().map(|ip| format!("{ip}:{port}"));
--- a/crates/havenladder/src/entry/replication_client.rs
+++ b/crates/havenladder/src/entry/replication_client.rs
@@ -48,7 +48,7 @@
     let seeds = &node.settings.seeds;
     if !node.settings.is_seed && !seeds.is_empty() {
         let seed = &seeds[rand::random_range(0..seeds.len())];
-        let address = format!("{seed}:{}", node.settings.inner_port);
+        let address = format!("{seed}:{}", node.settings.peer_port);
         follow_from(&node, address).await;
         node.replication.set_source(None);
     }
