--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -50,7 +50,7 @@
 pub async fn run(node: Rc<Node>) {
     let mut log = Log {
         end: 0,
-        election: Tenure::new(node.settings.cpu, Instant::now()),
+        election: Tenure::new(node.settings.cpu_millis, Instant::now()),
         holder: None,
         last_renewal: None,
         last_outage: None,
@@ -136,7 +136,7 @@
         return;
     };
     let request = PeerRequest::HandOver {
-        cpu: node.settings.cpu,
+        cpu: node.settings.cpu_millis,
     };
     let node = Rc::clone(node);
     task::spawn_local(async move {
@@ -156,7 +156,7 @@
         node: node.settings.node.clone(),
         incarnation: node.incarnation,
         address: node.peer_address(),
-        cpu: node.settings.cpu,
+        cpu: node.settings.cpu_millis,
         unrecorded: node
             .as_owner()
             .is_some_and(|owner| owner.may_have_unrecorded_runs()),
@@ -296,7 +296,7 @@
 async fn release(node: &Node, log: &mut Log, owner: &Owner, why: &str) {
     // The state of its runs is read before the owner ends, since an ended owner has none.
     let released = Lease {
-        cpu: owner.successor.get().unwrap_or(node.settings.cpu),
+        cpu: owner.successor.get().unwrap_or(node.settings.cpu_millis),
         unrecorded: owner.has_unrecorded_runs(),
         unrecorded_orders: owner.may_have_unrecorded_orders(),
         ..record(node, Some(owner.inherited_leases_remaining()))
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -87,7 +87,7 @@
     /// Creates the state of an entry that has just started.
     pub fn new(settings: Settings) -> Rc<Self> {
         let client = Client::default();
-        let patience = settings.patience;
+        let patience = settings.max_config_age;
         let in_force = RefCell::new(InForce::new(settings.halls.clone()));
         Rc::new(Node {
             incarnation: rand::random(),
--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -60,7 +60,7 @@
     let mut contacts = owner.contacts.borrow_mut();
     let contact = contacts.get_mut(worker)?;
     let (clock, read) = contact.clock?;
-    let lease = WORKER_LEASE_DURATION.min(owner.node.settings.hold);
+    let lease = WORKER_LEASE_DURATION.min(owner.node.settings.max_worker_lease);
     contact.lease_until = contact.lease_until.max(now + max_lease_duration(lease));
     Some(clock + (now - read + lease).as_millis() as ClockMs)
 }
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -221,9 +221,9 @@
             unrecorded_order_at: Cell::new(None),
             orders_announced: Cell::new(false),
             inherited_orders_until: before.renewed.map_or(now, |at| at + CERTAIN_RENEWAL_AGE)
-                + node.settings.lease,
+                + node.settings.order_lease,
             ended_owners: RefCell::default(),
-            vm_rate: RefCell::new(RateLimit::new(node.settings.vm_orders, now)),
+            vm_rate: RefCell::new(RateLimit::new(node.settings.vm_order_rate, now)),
             status_end: Cell::new(0),
             outage: Cell::default(),
             renewing: Cell::new(None),
@@ -362,9 +362,9 @@
 /// for the others.
 fn limits(settings: &Settings) -> Limits {
     Limits {
-        stop: settings.stop,
-        hold: max_lease_duration(settings.hold),
-        far: settings.far,
+        stop: settings.stop_timeout,
+        hold: max_lease_duration(settings.max_worker_lease),
+        far: settings.remote_factor,
         ..Limits::default()
     }
 }
--- a/crates/havenladder/src/entry/owner/requests.rs
+++ b/crates/havenladder/src/entry/owner/requests.rs
@@ -86,7 +86,7 @@
         let is_stable = self.loaded.get()
             && self.is_certain()
             && !self.is_append_pending_for(STORE_OUTAGE_THRESHOLD);
-        if !is_stable || !outranks(cpu, self.node.settings.cpu) {
+        if !is_stable || !outranks(cpu, self.node.settings.cpu_millis) {
             return PeerResponse::Refused;
         }
         self.successor.set(Some(cpu));
--- a/crates/havenladder/src/entry/owner/vm_orders.rs
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -29,7 +29,7 @@
         if !self.is_certain() {
             return false;
         }
-        let relevance = self.node.settings.lease;
+        let relevance = self.node.settings.order_lease;
         let names = vms.iter().copied();
         let holder = self.holder();
         let version = self
@@ -69,7 +69,7 @@
     pub fn may_have_unrecorded_orders(&self) -> bool {
         let inherited =
             Instant::now() < self.inherited_orders_until && self.cell.borrow().doubts_all_vms();
-        let relevance = self.node.settings.lease + ANNOUNCEMENT_TIMEOUT;
+        let relevance = self.node.settings.order_lease + ANNOUNCEMENT_TIMEOUT;
         inherited
             || self
                 .unrecorded_order_at
--- a/crates/havenladder/src/entry/replication_client.rs
+++ b/crates/havenladder/src/entry/replication_client.rs
@@ -37,7 +37,7 @@
     Seeker {
         address: node.peer_address(),
         hall: node.settings.hall.clone(),
-        cpu: node.settings.cpu,
+        cpu: node.settings.cpu_millis,
         age: age.unwrap_or(UNKNOWN_AGE),
     }
 }
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -169,7 +169,7 @@
 fn note_restart(owner: &Owner, id: &WorkerId, now: Instant) {
     info!(worker = %id, "worker has started again");
     owner.node.metrics.restarted_worker();
-    let leased = now + max_lease_duration(owner.node.settings.hold);
+    let leased = now + max_lease_duration(owner.node.settings.max_worker_lease);
     if let Some(contact) = owner.contacts.borrow_mut().get_mut(id) {
         contact.lease_until = contact.lease_until.max(leased);
     }
