--- a/crates/havenladder/src/entry/mod.rs
+++ b/crates/havenladder/src/entry/mod.rs
@@ -79,8 +79,8 @@
 /// Fails if the port for callers, for readiness checks or for other entries cannot be bound.
 async fn serve(node: Rc<Node>) -> io::Result<()> {
     let settings = &node.settings;
-    let callers = TcpListener::bind(&settings.callers).await?;
-    let ready = TcpListener::bind(&settings.ready).await?;
+    let callers = TcpListener::bind(&settings.callers_address).await?;
+    let ready = TcpListener::bind(&settings.ready_address).await?;
     let peers = TcpListener::bind((settings.ip.as_str(), settings.peer_port)).await?;
     info!(
         node = settings.node,
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -93,15 +93,15 @@
             incarnation: rand::random(),
             began: Instant::now(),
             metrics: Rc::new(Metrics::new()),
-            store: Store::new(client.clone(), &settings.store),
+            store: Store::new(client.clone(), &settings.store_address),
             store_times: Cell::default(),
             workers: WorkerClient::new(client.clone()),
             advice: settings
-                .advice
+                .advice_address
                 .as_ref()
                 .map(|at| AdviceClient::new(client.clone(), at)),
             list_times: Cell::default(),
-            cloud: Cloud::new(client.clone(), &settings.cloud, &settings.node),
+            cloud: Cloud::new(client.clone(), &settings.cloud_address, &settings.node),
             client,
             settings,
             in_force,
