--- a/crates/havenladder/src/duties/editors.rs
+++ b/crates/havenladder/src/duties/editors.rs
@@ -28,7 +28,7 @@
     service::service_fn,
 };
 use hyper_util::rt::{TokioIo, TokioTimer};
-use serving::{Event, NotRun, Outcome, RequestId, Why};
+use serving::{Event, NotRun, NotRunReason, Outcome, RequestId};
 use std::{
     convert::Infallible,
     net::TcpListener as StdListener,
@@ -216,7 +216,7 @@
     let deadline = checked.deadline;
     let Some(_place) = InProgress::take(ctx, checked.length) else {
         let back = began + FULL_BACK;
-        let why = Why::Overload;
+        let why = NotRunReason::Overload;
         let outcome = Outcome::NotRun(NotRun { why, back });
         return respond(
             ctx,
@@ -246,7 +246,7 @@
     waiting.answered = true;
     let reply = reply.unwrap_or(Reply {
         outcome: Outcome::NotRun(NotRun {
-            why: Why::Overload,
+            why: NotRunReason::Overload,
             back: Instant::now() + FULL_BACK,
         }),
         answer: None,
--- a/crates/havenladder/src/outcome.rs
+++ b/crates/havenladder/src/outcome.rs
@@ -3,7 +3,7 @@
 use crate::problem::Problem;
 use hyper::StatusCode;
 use protocol::Loss;
-use serving::{AttemptEnd, ClaimState, NotRun, Outcome, Settled, Why};
+use serving::{AttemptEnd, ClaimState, NotRun, NotRunReason, Outcome, Settled};
 use std::time::{Duration, Instant};
 
 /// Time after which a caller may ask again about a request that is in progress.
@@ -25,10 +25,10 @@
         Outcome::Done(_) if in_time => Some(None),
         Outcome::Done(_) => Some(Some(Loss::Late)),
         Outcome::NotRun(refusal) => match refusal.why {
-            Why::Overload | Why::Refused => Some(Some(Loss::Overload)),
-            Why::NoWorker | Why::Stopping => Some(Some(Loss::NoWorker)),
-            Why::LogDown => Some(Some(Loss::LogDown)),
-            Why::DeadlinePast | Why::Cancelled => None,
+            NotRunReason::Overload | NotRunReason::Refused => Some(Some(Loss::Overload)),
+            NotRunReason::NoWorker | NotRunReason::Stopping => Some(Some(Loss::NoWorker)),
+            NotRunReason::LogDown => Some(Some(Loss::LogDown)),
+            NotRunReason::DeadlinePast | NotRunReason::Cancelled => None,
         },
         Outcome::Unknown(AttemptEnd::Failed) => Some(Some(Loss::WorkerFailed)),
         Outcome::Unknown(_) => Some(Some(Loss::Unknown)),
@@ -47,13 +47,13 @@
 
 fn not_run(refusal: &NotRun) -> Problem {
     let (status, kind, detail) = match refusal.why {
-        Why::Overload => (503, "overload", "it could not be done in time"),
-        Why::DeadlinePast => (504, "deadline-past", "its deadline is past"),
-        Why::NoWorker => (503, "no-worker", "no worker of its pool takes work"),
-        Why::Refused => (503, "refused", "every worker that was tried refused it"),
-        Why::LogDown => (503, "log-down", "the log for claims cannot be reached"),
-        Why::Cancelled => (499, "cancelled", "its caller went away"),
-        Why::Stopping => (503, "stopping", "this entry is about to stop"),
+        NotRunReason::Overload => (503, "overload", "it could not be done in time"),
+        NotRunReason::DeadlinePast => (504, "deadline-past", "its deadline is past"),
+        NotRunReason::NoWorker => (503, "no-worker", "no worker of its pool takes work"),
+        NotRunReason::Refused => (503, "refused", "every worker that was tried refused it"),
+        NotRunReason::LogDown => (503, "log-down", "the log for claims cannot be reached"),
+        NotRunReason::Cancelled => (499, "cancelled", "its caller went away"),
+        NotRunReason::Stopping => (503, "stopping", "this entry is about to stop"),
     };
     Problem {
         status: StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE),
--- a/crates/serving/src/admit.rs
+++ b/crates/serving/src/admit.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     estimate::Estimate,
-    job::{Job, NotRun, Why},
+    job::{Job, NotRun, NotRunReason},
     pool::Pool,
 };
 use settings::Service;
@@ -36,10 +36,10 @@
     now: Instant,
 ) -> Admission {
     if job.deadline <= now {
-        return refuse(Why::DeadlinePast, Duration::ZERO, now);
+        return refuse(NotRunReason::DeadlinePast, Duration::ZERO, now);
     }
     if pool.queue.len() >= service.queue_limit {
-        return refuse(Why::Overload, full_wait(job, pool, now), now);
+        return refuse(NotRunReason::Overload, full_wait(job, pool, now), now);
     }
     let wait = wait(job, pool, estimate, now);
     let run = if wait.is_zero() {
@@ -48,7 +48,7 @@
         estimate.careful(now)
     };
     if now + wait.mul_f64(WAIT_MARGIN) + run > job.deadline {
-        return refuse(Why::Overload, wait, now);
+        return refuse(NotRunReason::Overload, wait, now);
     }
     Admission::Take
 }
@@ -70,12 +70,12 @@
 }
 
 /// Makes a refusal that asks the caller to come back about at `back`.
-pub(crate) fn not_run(why: Why, back: Instant, now: Instant) -> NotRun {
+pub(crate) fn not_run(why: NotRunReason, back: Instant, now: Instant) -> NotRun {
     let back = back.clamp(now + SHORTEST_BACK, now + LONGEST_BACK);
     NotRun { why, back }
 }
 
-fn refuse(why: Why, wait: Duration, now: Instant) -> Admission {
+fn refuse(why: NotRunReason, wait: Duration, now: Instant) -> Admission {
     Admission::Refuse(not_run(why, now + wait, now))
 }
 
--- a/crates/serving/src/job.rs
+++ b/crates/serving/src/job.rs
@@ -35,7 +35,7 @@
 /// Why a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Why {
+pub enum NotRunReason {
     /// By what has been measured, it could not be done before its deadline.
     Overload,
     /// Its deadline was past when it came, or passed while it waited.
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotRun {
     /// Why not.
-    pub why: Why,
+    pub why: NotRunReason,
     /// When the caller should come back.
     pub back: Instant,
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -21,7 +21,7 @@
 };
 pub use estimate::Estimate;
 pub use job::{
-    AttemptEnd, AttemptId, Command, Event, Job, NotRun, Outcome, RequestId, Target, Why,
+    AttemptEnd, AttemptId, Command, Event, Job, NotRun, NotRunReason, Outcome, RequestId, Target,
 };
 pub use scheduler::Scheduler;
 pub use worker::{Peer, WorkerInfo};
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -7,7 +7,10 @@
     admit::{Admission, admit, is_hopeless, not_run},
     claim::Settled,
     estimate::Estimate,
-    job::{AttemptEnd, AttemptId, Command, Event, Job, NotRun, Outcome, RequestId, Target, Why},
+    job::{
+        AttemptEnd, AttemptId, Command, Event, Job, NotRun, NotRunReason, Outcome, RequestId,
+        Target,
+    },
     pool::Pool,
     worker::{Peer, WorkerInfo},
 };
@@ -123,11 +126,11 @@
     fn arrive(&mut self, job: Job, now: Instant) {
         let id = job.id;
         if self.stopping {
-            return self.refuse(id, Why::Stopping, now);
+            return self.refuse(id, NotRunReason::Stopping, now);
         }
         match self.admission(&job, now) {
             Admission::Take => self.take(job, now),
-            Admission::Refuse(refusal) if refusal.why == Why::DeadlinePast => {
+            Admission::Refuse(refusal) if refusal.why == NotRunReason::DeadlinePast => {
                 self.answer(id, Outcome::NotRun(refusal));
             }
             Admission::Refuse(refusal) => self.pass_on(job, refusal, now),
@@ -135,7 +138,7 @@
     }
 
     fn admission(&mut self, job: &Job, now: Instant) -> Admission {
-        let no_worker = Admission::Refuse(not_run(Why::NoWorker, now, now));
+        let no_worker = Admission::Refuse(not_run(NotRunReason::NoWorker, now, now));
         let Some(service) = self.services.get(&job.service) else {
             return no_worker;
         };
@@ -223,11 +226,11 @@
     fn claimed(&mut self, id: RequestId, settled: Settled, now: Instant) {
         if !self.requests.contains_key(&id) {
             // The caller went away meanwhile; the outcome frees the key again.
-            return self.refuse(id, Why::Cancelled, now);
+            return self.refuse(id, NotRunReason::Cancelled, now);
         }
         match settled {
             Settled::Won => self.enqueue(id, now),
-            Settled::LogDown => self.refuse(id, Why::LogDown, now),
+            Settled::LogDown => self.refuse(id, NotRunReason::LogDown, now),
             other => self.answer(id, Outcome::Claimed(other)),
         }
     }
@@ -257,7 +260,7 @@
             .entry(request.job.service.clone())
             .or_default();
         if is_hopeless(request.job.deadline, estimate, pool.queue.len() > 0, now) {
-            return self.refuse(id, Why::Overload, now);
+            return self.refuse(id, NotRunReason::Overload, now);
         }
         let mut chosen = pool.choose(now, &request.tried, &mut self.rng);
         if chosen.is_none() {
@@ -338,7 +341,7 @@
     }
 
     /// Refuses a request; one that an earlier attempt may have run is not told "not run".
-    fn refuse(&mut self, id: RequestId, why: Why, now: Instant) {
+    fn refuse(&mut self, id: RequestId, why: NotRunReason, now: Instant) {
         let uncertain = self.requests.get(&id).and_then(|request| request.uncertain);
         let outcome = match uncertain {
             Some(end) => Outcome::Unknown(end),
--- a/crates/serving/src/scheduler/ended.rs
+++ b/crates/serving/src/scheduler/ended.rs
@@ -1,7 +1,7 @@
 //! What the scheduler makes of an attempt that ended: it learns, tries again or answers.
 
 use super::{Attempt, Scheduler, worker_of};
-use crate::job::{AttemptEnd, AttemptId, Command, Outcome, Target, Why};
+use crate::job::{AttemptEnd, AttemptId, Command, NotRunReason, Outcome, Target};
 use std::time::Instant;
 
 /// Attempts that may fail or break before a request is given up.
@@ -81,7 +81,7 @@
             || request.refusals > MOST_REFUSALS
             || request.job.deadline <= now;
         if gave_up {
-            return self.refuse(id, Why::Refused, now);
+            return self.refuse(id, NotRunReason::Refused, now);
         }
         self.enqueue(id, now);
     }
--- a/crates/serving/src/scheduler/waiting.rs
+++ b/crates/serving/src/scheduler/waiting.rs
@@ -3,7 +3,7 @@
 use super::{Phase, Scheduler, worker_of};
 use crate::{
     admit::is_hopeless,
-    job::{AttemptEnd, AttemptId, Command, Outcome, RequestId, Target, Why},
+    job::{AttemptEnd, AttemptId, Command, NotRunReason, Outcome, RequestId, Target},
 };
 use settings::pool_of;
 use std::time::Instant;
@@ -22,7 +22,7 @@
                 if let Some(pool) = self.pools.get_mut(&pool_id) {
                     pool.queue.remove(id);
                 }
-                self.refuse(id, Why::Cancelled, now);
+                self.refuse(id, NotRunReason::Cancelled, now);
             }
             Phase::Running(attempt) => {
                 self.release(attempt);
@@ -67,7 +67,7 @@
             hopeless.extend(late);
         }
         for id in hopeless {
-            self.refuse(id, Why::Overload, now);
+            self.refuse(id, NotRunReason::Overload, now);
         }
         for id in self.stranded() {
             self.move_on(id, now);
@@ -99,7 +99,7 @@
             .and_then(|job| self.choose_peer(&job));
         match peer.map(|peer| (Target::Peer(peer.entry.clone()), peer.addr.clone())) {
             Some((target, addr)) => self.send(id, target, addr, now),
-            None => self.refuse(id, Why::NoWorker, now),
+            None => self.refuse(id, NotRunReason::NoWorker, now),
         }
     }
 }
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -1,8 +1,8 @@
 //! The scheduler's decisions, without sockets or clocks.
 
 use havenladder_serving::{
-    AttemptEnd, AttemptId, Command, Event, Job, Outcome, Peer, Scheduler, Settled, Target, Why,
-    WorkerInfo,
+    AttemptEnd, AttemptId, Command, Event, Job, NotRunReason, Outcome, Peer, Scheduler, Settled,
+    Target, WorkerInfo,
 };
 use settings::{Class, Service};
 use std::{
@@ -118,7 +118,7 @@
         self.sent.iter().filter(|sent| sent.0 == request).count()
     }
 
-    fn why(&self, request: u64) -> Option<Why> {
+    fn why(&self, request: u64) -> Option<NotRunReason> {
         match self.answers.get(&request) {
             Some(Outcome::NotRun(refusal)) => Some(refusal.why),
             _ => None,
@@ -265,7 +265,7 @@
     assert_eq!(bench.attempts(running), 1);
     assert_eq!(bench.why(id), None, "an early deadline goes in front");
     let hopeless = bench.arrive(SERVICE, 50, true);
-    assert_eq!(bench.why(hopeless), Some(Why::Overload));
+    assert_eq!(bench.why(hopeless), Some(NotRunReason::Overload));
     let Outcome::NotRun(refusal) = bench.answers[&hopeless] else {
         panic!("not refused");
     };
@@ -282,7 +282,7 @@
     assert!(!bench.answers.contains_key(&waits));
     bench.pass(320);
     bench.tell(Event::Tick);
-    assert_eq!(bench.why(waits), Some(Why::Overload));
+    assert_eq!(bench.why(waits), Some(NotRunReason::Overload));
 }
 
 #[test]
@@ -330,7 +330,7 @@
     let id = bench.arrive(SERVICE, 1_000, false);
     bench.tell(Event::Cancelled(id));
     bench.tell(Event::Claimed(id, Settled::Won));
-    assert_eq!(bench.why(id), Some(Why::Cancelled));
+    assert_eq!(bench.why(id), Some(NotRunReason::Cancelled));
     assert_eq!(bench.attempts(id), 0);
 }
 
@@ -351,7 +351,7 @@
 fn a_hall_without_workers_passes_requests_on_once() {
     let mut bench = Bench::new(0, 0);
     let id = bench.arrive(SERVICE, 1_000, true);
-    assert_eq!(bench.why(id), Some(Why::NoWorker));
+    assert_eq!(bench.why(id), Some(NotRunReason::NoWorker));
     let room = protocol::Room { slots: 8, taken: 0 };
     bench.tell(Event::Peers(vec![Peer {
         entry: "other".into(),
@@ -364,7 +364,7 @@
         Target::Peer("other".into())
     );
     bench.end(id, AttemptEnd::Refused);
-    assert_eq!(bench.why(id), Some(Why::Refused));
+    assert_eq!(bench.why(id), Some(NotRunReason::Refused));
 }
 
 #[test]
@@ -374,7 +374,7 @@
     let waits = bench.arrive(SERVICE, 10_000, true);
     bench.set_workers(0, 0);
     bench.tell(Event::Tick);
-    assert_eq!(bench.why(waits), Some(Why::NoWorker));
+    assert_eq!(bench.why(waits), Some(NotRunReason::NoWorker));
 }
 
 #[test]
