--- a/crates/havenladder/src/duties/editors.rs
+++ b/crates/havenladder/src/duties/editors.rs
@@ -215,9 +215,9 @@
     let forwarded = checked.forwarded;
     let deadline = checked.deadline;
     let Some(_place) = InProgress::take(ctx, checked.length) else {
-        let back = began + FULL_BACK;
-        let why = NotRunReason::Overload;
-        let outcome = Outcome::NotRun(NotRun { why, back });
+        let retry_at = began + FULL_BACK;
+        let reason = NotRunReason::Overload;
+        let outcome = Outcome::NotRun(NotRun { reason, retry_at });
         return respond(
             ctx,
             name,
@@ -246,8 +246,8 @@
     waiting.answered = true;
     let reply = reply.unwrap_or(Reply {
         outcome: Outcome::NotRun(NotRun {
-            why: NotRunReason::Overload,
-            back: Instant::now() + FULL_BACK,
+            reason: NotRunReason::Overload,
+            retry_at: Instant::now() + FULL_BACK,
         }),
         answer: None,
     });
--- a/crates/havenladder/src/outcome.rs
+++ b/crates/havenladder/src/outcome.rs
@@ -24,7 +24,7 @@
     match outcome {
         Outcome::Done(_) if in_time => Some(None),
         Outcome::Done(_) => Some(Some(Loss::Late)),
-        Outcome::NotRun(refusal) => match refusal.why {
+        Outcome::NotRun(refusal) => match refusal.reason {
             NotRunReason::Overload | NotRunReason::Refused => Some(Some(Loss::Overload)),
             NotRunReason::NoWorker | NotRunReason::Stopping => Some(Some(Loss::NoWorker)),
             NotRunReason::LogDown => Some(Some(Loss::LogDown)),
@@ -46,7 +46,7 @@
 }
 
 fn not_run(refusal: &NotRun) -> Problem {
-    let (status, kind, detail) = match refusal.why {
+    let (status, kind, detail) = match refusal.reason {
         NotRunReason::Overload => (503, "overload", "it could not be done in time"),
         NotRunReason::DeadlinePast => (504, "deadline-past", "its deadline is past"),
         NotRunReason::NoWorker => (503, "no-worker", "no worker of its pool takes work"),
@@ -61,7 +61,7 @@
         detail: format!("the request was not run: {detail}"),
         field: None,
         outcome: "not-run",
-        back: Some(refusal.back.saturating_duration_since(Instant::now())),
+        back: Some(refusal.retry_at.saturating_duration_since(Instant::now())),
     }
 }
 
--- a/crates/serving/src/admit.rs
+++ b/crates/serving/src/admit.rs
@@ -70,13 +70,13 @@
 }
 
 /// Makes a refusal that asks the caller to come back about at `back`.
-pub(crate) fn not_run(why: NotRunReason, back: Instant, now: Instant) -> NotRun {
-    let back = back.clamp(now + SHORTEST_BACK, now + LONGEST_BACK);
-    NotRun { why, back }
+pub(crate) fn not_run(reason: NotRunReason, retry_at: Instant, now: Instant) -> NotRun {
+    let retry_at = retry_at.clamp(now + SHORTEST_BACK, now + LONGEST_BACK);
+    NotRun { reason, retry_at }
 }
 
-fn refuse(why: NotRunReason, wait: Duration, now: Instant) -> Admission {
-    Admission::Refuse(not_run(why, now + wait, now))
+fn refuse(reason: NotRunReason, wait: Duration, now: Instant) -> Admission {
+    Admission::Refuse(not_run(reason, now + wait, now))
 }
 
 fn wait(job: &Job, pool: &Pool, estimate: &Estimate, now: Instant) -> Duration {
--- a/crates/serving/src/job.rs
+++ b/crates/serving/src/job.rs
@@ -56,9 +56,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotRun {
     /// Why not.
-    pub why: NotRunReason,
+    pub reason: NotRunReason,
     /// When the caller should come back.
-    pub back: Instant,
+    pub retry_at: Instant,
 }
 
 /// What became of a request: a closed set.
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -130,7 +130,7 @@
         }
         match self.admission(&job, now) {
             Admission::Take => self.take(job, now),
-            Admission::Refuse(refusal) if refusal.why == NotRunReason::DeadlinePast => {
+            Admission::Refuse(refusal) if refusal.reason == NotRunReason::DeadlinePast => {
                 self.answer(id, Outcome::NotRun(refusal));
             }
             Admission::Refuse(refusal) => self.pass_on(job, refusal, now),
@@ -341,11 +341,11 @@
     }
 
     /// Refuses a request; one that an earlier attempt may have run is not told "not run".
-    fn refuse(&mut self, id: RequestId, why: NotRunReason, now: Instant) {
+    fn refuse(&mut self, id: RequestId, reason: NotRunReason, now: Instant) {
         let uncertain = self.requests.get(&id).and_then(|request| request.uncertain);
         let outcome = match uncertain {
             Some(end) => Outcome::Unknown(end),
-            None => Outcome::NotRun(not_run(why, now, now)),
+            None => Outcome::NotRun(not_run(reason, now, now)),
         };
         self.answer(id, outcome);
     }
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -120,7 +120,7 @@
 
     fn why(&self, request: u64) -> Option<NotRunReason> {
         match self.answers.get(&request) {
-            Some(Outcome::NotRun(refusal)) => Some(refusal.why),
+            Some(Outcome::NotRun(refusal)) => Some(refusal.reason),
             _ => None,
         }
     }
@@ -269,7 +269,7 @@
     let Outcome::NotRun(refusal) = bench.answers[&hopeless] else {
         panic!("not refused");
     };
-    assert!(refusal.back > bench.now);
+    assert!(refusal.retry_at > bench.now);
     assert!(!bench.answers.contains_key(&in_front));
 }
 
