--- a/crates/havenladder/src/duties/claims.rs
+++ b/crates/havenladder/src/duties/claims.rs
@@ -5,8 +5,8 @@
 use platform::{CallError, Log};
 use protocol::{Offset, RecordId, Slice, encode};
 use serving::{
-    AttemptId, Claim, ClaimBook, ClaimRecord, ClaimState, Entry, Event, KEY_AGE, KEY_AHEAD,
-    RequestId, Settled,
+    AttemptId, Claim, ClaimBook, ClaimDecision, ClaimRecord, ClaimState, Entry, Event, KEY_AGE,
+    KEY_AHEAD, RequestId,
 };
 use std::{
     collections::{BTreeMap, HashMap},
@@ -235,11 +235,11 @@
         self.unsent.iter().filter(is_settlement).count()
     }
 
-    fn decide(&mut self, claim: AttemptId, settled: Settled) {
+    fn decide(&mut self, claim: AttemptId, settled: ClaimDecision) {
         if let Some(waiting) = self.waiting.remove(&claim) {
-            if settled == Settled::Won && self.is_undecidable(&waiting.settle) {
+            if settled == ClaimDecision::Won && self.is_undecidable(&waiting.settle) {
                 self.free(waiting.settle);
-                self.tell(waiting.request, Settled::TooOld);
+                self.tell(waiting.request, ClaimDecision::TooOld);
             } else {
                 self.tell(waiting.request, settled);
             }
@@ -247,7 +247,7 @@
         }
         // The request was refused when the log could not be reached; now its claim turns up.
         if let Some((claim, _)) = self.given_up.remove(&claim)
-            && settled == Settled::Won
+            && settled == ClaimDecision::Won
         {
             self.free(claim);
         }
@@ -276,12 +276,12 @@
                 .retain(|entry| !matches!(entry, Entry::Claim(claim) if claim.claim == id));
             let until = now + self.ctx.config.claims.patience * 2;
             self.given_up.insert(id, (waiting.settle, until));
-            self.tell(waiting.request, Settled::LogDown);
+            self.tell(waiting.request, ClaimDecision::LogDown);
         }
         self.given_up.retain(|_, (_, until)| now < *until);
     }
 
-    fn tell(&self, request: RequestId, settled: Settled) {
+    fn tell(&self, request: RequestId, settled: ClaimDecision) {
         let event = Event::Claimed(request, settled);
         self.ctx.placement.tell(Message::Happened(event));
     }
--- a/crates/havenladder/src/duties/placement.rs
+++ b/crates/havenladder/src/duties/placement.rs
@@ -9,8 +9,8 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use hyper::header::HeaderValue;
 use serving::{
-    AttemptEnd, AttemptId, Claim, ClaimState, Command, Event, Job, Outcome, RequestId, Scheduler,
-    Settled, Target,
+    AttemptEnd, AttemptId, Claim, ClaimDecision, ClaimState, Command, Event, Job, Outcome,
+    RequestId, Scheduler, Target,
 };
 use std::{
     collections::HashMap,
@@ -223,9 +223,9 @@
         self.happen(Event::Arrived(arrival.job));
     }
 
-    fn claimed(&mut self, id: RequestId, settled: Settled) {
+    fn claimed(&mut self, id: RequestId, settled: ClaimDecision) {
         if let Some((_, won)) = self.claims.get_mut(&id) {
-            *won = settled == Settled::Won;
+            *won = settled == ClaimDecision::Won;
         }
         self.happen(Event::Claimed(id, settled));
     }
--- a/crates/havenladder/src/outcome.rs
+++ b/crates/havenladder/src/outcome.rs
@@ -3,7 +3,7 @@
 use crate::problem::Problem;
 use hyper::StatusCode;
 use protocol::Loss;
-use serving::{AttemptEnd, ClaimState, NotRun, NotRunReason, Outcome, Settled};
+use serving::{AttemptEnd, ClaimDecision, ClaimState, NotRun, NotRunReason, Outcome};
 use std::time::{Duration, Instant};
 
 /// Time after which a caller may ask again about a request that is in progress.
@@ -65,7 +65,7 @@
     }
 }
 
-fn claimed(settled: Settled) -> Problem {
+fn claimed(settled: ClaimDecision) -> Problem {
     let conflict = |kind, detail: &str, outcome, back| Problem {
         status: StatusCode::CONFLICT,
         kind,
@@ -75,25 +75,25 @@
         back,
     };
     match settled {
-        Settled::Done => conflict(
+        ClaimDecision::Done => conflict(
             "already-done",
             "a request with this key ran to its end and its caller was answered",
             "done",
             None,
         ),
-        Settled::Held(ClaimState::Open) => conflict(
+        ClaimDecision::Held(ClaimState::Open) => conflict(
             "in-progress",
             "a request with this key is in progress, or its entry was lost with it",
             "in-progress",
             Some(IN_PROGRESS_BACK),
         ),
-        Settled::Held(_) => conflict(
+        ClaimDecision::Held(_) => conflict(
             "claimed",
             "a request with this key was sent and nobody can tell whether it ran",
             "unknown",
             None,
         ),
-        Settled::Mismatch => Problem {
+        ClaimDecision::Mismatch => Problem {
             status: StatusCode::UNPROCESSABLE_ENTITY,
             ..conflict(
                 "key-reused",
@@ -102,11 +102,13 @@
                 None,
             )
         },
-        Settled::TooOld => Problem {
+        ClaimDecision::TooOld => Problem {
             status: StatusCode::BAD_REQUEST,
             ..conflict("key-too-old", "the key is too old", "not-run", None)
         },
-        Settled::Won | Settled::LogDown => conflict("claimed", "claimed", "unknown", None),
+        ClaimDecision::Won | ClaimDecision::LogDown => {
+            conflict("claimed", "claimed", "unknown", None)
+        }
     }
 }
 
--- a/crates/serving/src/claim.rs
+++ b/crates/serving/src/claim.rs
@@ -111,7 +111,7 @@
 
 /// What was decided about a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum ClaimDecision {
     /// It was first: the request may be sent.
     Won,
     /// An earlier request with the key ran to its end.
@@ -132,7 +132,7 @@
     /// The claim.
     pub claim: AttemptId,
     /// What was decided.
-    pub settled: Settled,
+    pub settled: ClaimDecision,
     /// The entry that holds the key.
     pub holder: EntryId,
 }
@@ -192,10 +192,10 @@
             holder: holder.to_owned(),
         };
         if at > claim.expires {
-            return verdict(Settled::LogDown, by);
+            return verdict(ClaimDecision::LogDown, by);
         }
         if is_too_old(claim.key, at) {
-            return verdict(Settled::TooOld, by);
+            return verdict(ClaimDecision::TooOld, by);
         }
         let place = (claim.key, claim.service);
         if let Some(holder) = self.held.get(&place) {
@@ -208,7 +208,7 @@
             state: ClaimState::Open,
         };
         self.held.insert(place, holder);
-        verdict(Settled::Won, by)
+        verdict(ClaimDecision::Won, by)
     }
 
     fn settle(&mut self, place: (Key, ServiceId), claim: AttemptId, state: ClaimState) {
@@ -238,16 +238,16 @@
 }
 
 impl Holder {
-    fn answer(&self, claim: AttemptId, digest: u64) -> Settled {
+    fn answer(&self, claim: AttemptId, digest: u64) -> ClaimDecision {
         if self.claim == claim {
-            return Settled::Won;
+            return ClaimDecision::Won;
         }
         if self.digest != digest {
-            return Settled::Mismatch;
+            return ClaimDecision::Mismatch;
         }
         match self.state {
-            ClaimState::Done => Settled::Done,
-            state => Settled::Held(state),
+            ClaimState::Done => ClaimDecision::Done,
+            state => ClaimDecision::Held(state),
         }
     }
 }
--- a/crates/serving/src/job.rs
+++ b/crates/serving/src/job.rs
@@ -1,7 +1,7 @@
 //! Requests, attempts and their outcomes, and what goes into the scheduler and comes out of it.
 
 use crate::{
-    claim::Settled,
+    claim::ClaimDecision,
     worker::{Peer, WorkerInfo},
 };
 use protocol::{EntryId, PoolId, ServiceId, VmId};
@@ -71,7 +71,7 @@
     /// Nobody can tell whether it ran to its end; this is how the last attempt ended.
     Unknown(AttemptEnd),
     /// Another request with its key was first.
-    Claimed(Settled),
+    Claimed(ClaimDecision),
 }
 
 /// How an attempt ended.
@@ -106,7 +106,7 @@
     /// Its caller went away.
     Cancelled(RequestId),
     /// The claim of a request was decided.
-    Claimed(RequestId, Settled),
+    Claimed(RequestId, ClaimDecision),
     /// An attempt ended.
     Ended(AttemptId, AttemptEnd),
     /// The settings changed.
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -16,8 +16,8 @@
 
 pub use burn::{Burn, WINDOWS, Window, burn_rate};
 pub use claim::{
-    Claim, ClaimBook, ClaimRecord, ClaimState, ClaimVerdict, Entry, KEY_AGE, KEY_AHEAD, Key,
-    KeyError, Settled, read_key,
+    Claim, ClaimBook, ClaimDecision, ClaimRecord, ClaimState, ClaimVerdict, Entry, KEY_AGE,
+    KEY_AHEAD, Key, KeyError, read_key,
 };
 pub use estimate::Estimate;
 pub use job::{
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     admit::{Admission, admit, is_hopeless, not_run},
-    claim::Settled,
+    claim::ClaimDecision,
     estimate::Estimate,
     job::{
         AttemptEnd, AttemptId, Command, Event, Job, NotRun, NotRunReason, Outcome, RequestId,
@@ -223,14 +223,14 @@
         self.dispatch(&pool_id, now);
     }
 
-    fn claimed(&mut self, id: RequestId, settled: Settled, now: Instant) {
+    fn claimed(&mut self, id: RequestId, settled: ClaimDecision, now: Instant) {
         if !self.requests.contains_key(&id) {
             // The caller went away meanwhile; the outcome frees the key again.
             return self.refuse(id, NotRunReason::Cancelled, now);
         }
         match settled {
-            Settled::Won => self.enqueue(id, now),
-            Settled::LogDown => self.refuse(id, NotRunReason::LogDown, now),
+            ClaimDecision::Won => self.enqueue(id, now),
+            ClaimDecision::LogDown => self.refuse(id, NotRunReason::LogDown, now),
             other => self.answer(id, Outcome::Claimed(other)),
         }
     }
--- a/crates/serving/tests/claims.rs
+++ b/crates/serving/tests/claims.rs
@@ -3,8 +3,8 @@
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
 use havenladder_serving::{
-    AttemptId, Burn, Claim, ClaimBook, ClaimRecord, ClaimState, Entry, KEY_AGE, Key, KeyError,
-    Settled, burn_rate, read_key,
+    AttemptId, Burn, Claim, ClaimBook, ClaimDecision, ClaimRecord, ClaimState, Entry, KEY_AGE, Key,
+    KeyError, burn_rate, read_key,
 };
 use protocol::{LogRecord, Loss, RecordId, encode};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -29,7 +29,7 @@
         Key::from_datetime(self.at)
     }
 
-    fn append(&mut self, by: &str, entries: Vec<Entry>) -> Vec<Settled> {
+    fn append(&mut self, by: &str, entries: Vec<Entry>) -> Vec<ClaimDecision> {
         let record = ClaimRecord {
             id: RecordId::new(),
             by: by.into(),
@@ -48,7 +48,7 @@
             .collect()
     }
 
-    fn claim(&mut self, by: &str, key: Key, digest: u64) -> (AttemptId, Settled) {
+    fn claim(&mut self, by: &str, key: Key, digest: u64) -> (AttemptId, ClaimDecision) {
         let claim = AttemptId::new();
         let expires = self.at + Duration::from_secs(5);
         let entry = Entry::Claim(Claim {
@@ -87,18 +87,24 @@
         digest: 1,
         expires,
     });
-    assert_eq!(stream.append("a", vec![entry.clone()]), [Settled::Won]);
-    assert_eq!(stream.append("a", vec![entry]), [Settled::Won]);
-    assert_eq!(stream.claim("b", key, 1).1, Settled::Held(ClaimState::Open));
-    assert_eq!(stream.claim("b", key, 2).1, Settled::Mismatch);
+    assert_eq!(
+        stream.append("a", vec![entry.clone()]),
+        [ClaimDecision::Won]
+    );
+    assert_eq!(stream.append("a", vec![entry]), [ClaimDecision::Won]);
+    assert_eq!(
+        stream.claim("b", key, 1).1,
+        ClaimDecision::Held(ClaimState::Open)
+    );
+    assert_eq!(stream.claim("b", key, 2).1, ClaimDecision::Mismatch);
 }
 
 #[yare::parameterized(
-    done = { ClaimState::Done, Settled::Done },
-    unknown = { ClaimState::Unknown, Settled::Held(ClaimState::Unknown) },
-    not_run = { ClaimState::NotRun, Settled::Won },
+    done = { ClaimState::Done, ClaimDecision::Done },
+    unknown = { ClaimState::Unknown, ClaimDecision::Held(ClaimState::Unknown) },
+    not_run = { ClaimState::NotRun, ClaimDecision::Won },
 )]
-fn what_became_of_the_first_decides_about_the_second(state: ClaimState, second: Settled) {
+fn what_became_of_the_first_decides_about_the_second(state: ClaimState, second: ClaimDecision) {
     let mut stream = Stream::new();
     let key = stream.key();
     let (claim, _) = stream.claim("a", key, 1);
@@ -113,7 +119,10 @@
     stream.claim("a", key, 1);
     let (loser, _) = stream.claim("b", key, 1);
     stream.settle("b", key, loser, ClaimState::NotRun);
-    assert_eq!(stream.claim("b", key, 1).1, Settled::Held(ClaimState::Open));
+    assert_eq!(
+        stream.claim("b", key, 1).1,
+        ClaimDecision::Held(ClaimState::Open)
+    );
 }
 
 #[test]
@@ -122,9 +131,12 @@
     let key = stream.key();
     stream.claim("a", key, 1);
     stream.at += KEY_AGE;
-    assert_eq!(stream.claim("b", key, 1).1, Settled::Held(ClaimState::Open));
+    assert_eq!(
+        stream.claim("b", key, 1).1,
+        ClaimDecision::Held(ClaimState::Open)
+    );
     stream.at += Duration::from_secs(1);
-    assert_eq!(stream.claim("b", key, 1).1, Settled::TooOld);
+    assert_eq!(stream.claim("b", key, 1).1, ClaimDecision::TooOld);
     assert!(stream.book.is_empty());
 }
 
@@ -141,8 +153,8 @@
         digest: 1,
         expires,
     });
-    assert_eq!(stream.append("a", vec![late]), [Settled::LogDown]);
-    assert_eq!(stream.claim("b", key, 1).1, Settled::Won);
+    assert_eq!(stream.append("a", vec![late]), [ClaimDecision::LogDown]);
+    assert_eq!(stream.claim("b", key, 1).1, ClaimDecision::Won);
 }
 
 #[test]
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -1,8 +1,8 @@
 //! The scheduler's decisions, without sockets or clocks.
 
 use havenladder_serving::{
-    AttemptEnd, AttemptId, Command, Event, Job, NotRunReason, Outcome, Peer, Scheduler, Settled,
-    Target, WorkerInfo,
+    AttemptEnd, AttemptId, ClaimDecision, Command, Event, Job, NotRunReason, Outcome, Peer,
+    Scheduler, Target, WorkerInfo,
 };
 use settings::{Class, Service};
 use std::{
@@ -165,7 +165,7 @@
     let mut bench = Bench::new(3, 1);
     let id = bench.arrive(SERVICE, 1_000, false);
     assert_eq!(bench.attempts(id), 0, "sent before its claim was decided");
-    bench.tell(Event::Claimed(id, Settled::Won));
+    bench.tell(Event::Claimed(id, ClaimDecision::Won));
     bench.end(id, end);
     assert_eq!(bench.answers[&id], Outcome::Unknown(end));
     assert_eq!(bench.attempts(id), 1);
@@ -178,7 +178,7 @@
 fn a_certain_not_run_is_tried_elsewhere(end: AttemptEnd) {
     let mut bench = Bench::new(3, 1);
     let id = bench.arrive(SERVICE, 1_000, false);
-    bench.tell(Event::Claimed(id, Settled::Won));
+    bench.tell(Event::Claimed(id, ClaimDecision::Won));
     bench.end(id, end);
     assert_eq!(bench.attempts(id), 2);
     assert_ne!(bench.sent[0].2, bench.sent[1].2, "the same worker again");
@@ -215,7 +215,7 @@
     let mut failures = 0;
     for _ in 0..600 {
         let id = bench.arrive(SERVICE, 60_000, false);
-        bench.tell(Event::Claimed(id, Settled::Won));
+        bench.tell(Event::Claimed(id, ClaimDecision::Won));
         let bad = bench.sent.last().expect("sent").2 == Target::Worker("vm-0".into());
         failures += u32::from(bad);
         bench.end(
@@ -241,7 +241,7 @@
     let mut bench = Bench::new(6, 4);
     for _ in 0..300 {
         let id = bench.arrive(SERVICE, 60_000, false);
-        bench.tell(Event::Claimed(id, Settled::Won));
+        bench.tell(Event::Claimed(id, ClaimDecision::Won));
         bench.end(id, AttemptEnd::Failed);
         bench.pass(1);
     }
@@ -329,7 +329,7 @@
     let mut bench = Bench::new(1, 1);
     let id = bench.arrive(SERVICE, 1_000, false);
     bench.tell(Event::Cancelled(id));
-    bench.tell(Event::Claimed(id, Settled::Won));
+    bench.tell(Event::Claimed(id, ClaimDecision::Won));
     assert_eq!(bench.why(id), Some(NotRunReason::Cancelled));
     assert_eq!(bench.attempts(id), 0);
 }
