--- a/crates/havenladder/src/duties/claims.rs
+++ b/crates/havenladder/src/duties/claims.rs
@@ -175,7 +175,7 @@
             self.next = Some(read_from + slice.records.len() as Offset);
             for record in &slice.records {
                 for verdict in self.book.apply(record) {
-                    self.decide(verdict.claim, verdict.settled);
+                    self.decide(verdict.claim, verdict.decision);
                 }
             }
             if self.next >= Some(slice.next) {
--- a/crates/serving/src/claim.rs
+++ b/crates/serving/src/claim.rs
@@ -132,7 +132,7 @@
     /// The claim.
     pub claim: AttemptId,
     /// What was decided.
-    pub settled: ClaimDecision,
+    pub decision: ClaimDecision,
     /// The entry that holds the key.
     pub holder: EntryId,
 }
@@ -186,9 +186,9 @@
 
     fn judge(&mut self, claim: Claim, by: &str, at: SystemTime) -> ClaimVerdict {
         let id = claim.claim;
-        let verdict = |settled, holder: &str| ClaimVerdict {
+        let verdict = |decision, holder: &str| ClaimVerdict {
             claim: id,
-            settled,
+            decision,
             holder: holder.to_owned(),
         };
         if at > claim.expires {
--- a/crates/serving/tests/claims.rs
+++ b/crates/serving/tests/claims.rs
@@ -44,7 +44,7 @@
         self.book
             .apply(&record)
             .into_iter()
-            .map(|verdict| verdict.settled)
+            .map(|verdict| verdict.decision)
             .collect()
     }
 
