--- a/crates/havenladder/src/duties/claims.rs
+++ b/crates/havenladder/src/duties/claims.rs
@@ -5,7 +5,7 @@
 use platform::{CallError, Log};
 use protocol::{Offset, RecordId, Slice, encode};
 use serving::{
-    AttemptId, Claim, ClaimBook, ClaimDecision, ClaimRecord, ClaimState, Entry, Event, KEY_AGE,
+    AttemptId, Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, Entry, Event, KEY_AGE,
     KEY_AHEAD, RequestId,
 };
 use std::{
@@ -77,7 +77,7 @@
 struct Shard<'c> {
     ctx: &'c Context,
     stream: String,
-    book: ClaimBook,
+    book: ClaimRegistry,
     next: Option<Offset>,
     /// Everything that the log took from then on has been read.
     since: SystemTime,
@@ -92,7 +92,7 @@
     let mut shard = Shard {
         ctx,
         stream: format!("claims-{shard}"),
-        book: ClaimBook::default(),
+        book: ClaimRegistry::default(),
         next: None,
         since: SystemTime::UNIX_EPOCH,
         waiting: HashMap::new(),
@@ -150,7 +150,7 @@
     /// Forgets a stream that was not used for so long that it is quicker to begin anew.
     fn forget(&mut self) {
         self.next = None;
-        self.book = ClaimBook::default();
+        self.book = ClaimRegistry::default();
     }
 
     /// Reads what is new; begins where the oldest key that could still win was issued.
--- a/crates/serving/src/claim.rs
+++ b/crates/serving/src/claim.rs
@@ -148,11 +148,11 @@
 
 /// The fold of one stream of claims.
 #[derive(Clone, Debug, Default)]
-pub struct ClaimBook {
+pub struct ClaimRegistry {
     held: BTreeMap<(Key, ServiceId), Holder>,
 }
 
-impl ClaimBook {
+impl ClaimRegistry {
     /// Applies the next record and returns the verdict on each claim in it.
     pub fn apply(&mut self, record: &LogRecord) -> Vec<ClaimVerdict> {
         self.forget(record.at);
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use burn::{Burn, WINDOWS, Window, burn_rate};
 pub use claim::{
-    Claim, ClaimBook, ClaimDecision, ClaimRecord, ClaimState, ClaimVerdict, Entry, KEY_AGE,
+    Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, ClaimVerdict, Entry, KEY_AGE,
     KEY_AHEAD, Key, KeyError, read_key,
 };
 pub use estimate::Estimate;
--- a/crates/serving/tests/claims.rs
+++ b/crates/serving/tests/claims.rs
@@ -3,15 +3,15 @@
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
 use havenladder_serving::{
-    AttemptId, Burn, Claim, ClaimBook, ClaimDecision, ClaimRecord, ClaimState, Entry, KEY_AGE, Key,
-    KeyError, burn_rate, read_key,
+    AttemptId, Burn, Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, Entry, KEY_AGE,
+    Key, KeyError, burn_rate, read_key,
 };
 use protocol::{LogRecord, Loss, RecordId, encode};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// A stream of claims that one book reads.
 struct Stream {
-    book: ClaimBook,
+    book: ClaimRegistry,
     next: u64,
     at: SystemTime,
 }
@@ -19,7 +19,7 @@
 impl Stream {
     fn new() -> Self {
         Self {
-            book: ClaimBook::default(),
+            book: ClaimRegistry::default(),
             next: 0,
             at: UNIX_EPOCH + Duration::from_secs(1_000_000),
         }
