--- a/crates/havenladder/src/duties/claims.rs
+++ b/crates/havenladder/src/duties/claims.rs
@@ -5,8 +5,8 @@
 use platform::{CallError, Log};
 use protocol::{Offset, RecordId, Slice, encode};
 use serving::{
-    AttemptId, Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, Entry, Event, KEY_AGE,
-    KEY_AHEAD, RequestId,
+    AttemptId, Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, Entry, Event,
+    MAX_KEY_AGE, MAX_KEY_AHEAD, RequestId,
 };
 use std::{
     collections::{BTreeMap, HashMap},
@@ -101,7 +101,7 @@
     };
     loop {
         if shard.is_idle() {
-            match jobs.recv_timeout(KEY_AGE) {
+            match jobs.recv_timeout(MAX_KEY_AGE) {
                 Ok(job) => shard.take(job),
                 Err(RecvTimeoutError::Timeout) => {
                     shard.forget();
@@ -185,21 +185,21 @@
     }
 
     fn begin(&self) -> Result<Offset, CallError> {
-        let oldest = SystemTime::now() - KEY_AGE - MARGIN;
+        let oldest = SystemTime::now() - MAX_KEY_AGE - MARGIN;
         self.ctx.platform.offset_at(&self.stream, oldest)
     }
 
     /// Notes from when on the stream is known whole: a log that forgets sooner than keys age
     /// leaves older keys undecidable.
     fn note_since(&mut self, slice: &Slice) {
-        let oldest = SystemTime::now() - KEY_AGE - MARGIN;
+        let oldest = SystemTime::now() - MAX_KEY_AGE - MARGIN;
         let first = slice.records.first().filter(|_| slice.oldest > 0);
         self.since = first.map_or(oldest, |record| record.at.max(oldest));
     }
 
     /// Tells whether a key is so old that a claim on it may have been forgotten.
     fn is_undecidable(&self, claim: &Claim) -> bool {
-        claim.key.datetime() < self.since + KEY_AHEAD && self.since > oldest_known()
+        claim.key.datetime() < self.since + MAX_KEY_AHEAD && self.since > oldest_known()
     }
 
     /// Appends what is new in one record. After a lost answer it appends the same claims again:
@@ -290,14 +290,14 @@
 /// Tells whether a settlement has become pointless: its key is too old to be claimed.
 fn is_over(entry: &Entry, now: SystemTime) -> bool {
     match entry {
-        Entry::Settle { key, .. } => key.datetime() + KEY_AGE < now,
+        Entry::Settle { key, .. } => key.datetime() + MAX_KEY_AGE < now,
         Entry::Claim(_) => false,
     }
 }
 
 /// Keys issued before this are refused in any case.
 fn oldest_known() -> SystemTime {
-    SystemTime::now() - KEY_AGE - KEY_AHEAD
+    SystemTime::now() - MAX_KEY_AGE - MAX_KEY_AHEAD
 }
 
 fn settle(claim: Claim, state: ClaimState) -> Entry {
--- a/crates/serving/src/claim.rs
+++ b/crates/serving/src/claim.rs
@@ -2,7 +2,7 @@
 //!
 //! A caller's key holds its time of issue. The first claim on a key wins; a claim is never taken
 //! over, so a holder that was frozen cannot be overtaken and run a request a second time. Keys
-//! older than [`KEY_AGE`] are refused by the log's own time, so nothing older need be remembered.
+//! older than [`MAX_KEY_AGE`] are refused by the log's own time, so nothing older need be remembered.
 
 use crate::job::AttemptId;
 use protocol::{EntryId, LogRecord, RecordId, ServiceId, decode};
@@ -16,10 +16,10 @@
 pub type Key = ulid::Ulid;
 
 /// Age at which a key is refused.
-pub const KEY_AGE: Duration = Duration::from_secs(600);
+pub const MAX_KEY_AGE: Duration = Duration::from_secs(600);
 
 /// How far ahead of an entry's clock a key's time may be.
-pub const KEY_AHEAD: Duration = Duration::from_secs(60);
+pub const MAX_KEY_AHEAD: Duration = Duration::from_secs(60);
 
 /// Why a key is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -28,7 +28,7 @@
     #[error("must be a ULID: 26 characters that begin with the time of issue")]
     Malformed,
     /// It was issued too long ago.
-    #[error("was issued more than {} s ago", KEY_AGE.as_secs())]
+    #[error("was issued more than {} s ago", MAX_KEY_AGE.as_secs())]
     TooOld,
     /// It is dated ahead.
     #[error("is dated ahead of the present time")]
@@ -42,7 +42,7 @@
 /// Fails when the text is no ULID, or when its time is too old or ahead.
 pub fn read_key(text: &str, now: SystemTime) -> Result<Key, KeyError> {
     let key = Key::from_string(text).map_err(|_| KeyError::Malformed)?;
-    if key.datetime() > now + KEY_AHEAD {
+    if key.datetime() > now + MAX_KEY_AHEAD {
         return Err(KeyError::Ahead);
     }
     if is_too_old(key, now) {
@@ -253,5 +253,5 @@
 }
 
 fn is_too_old(key: Key, at: SystemTime) -> bool {
-    key.datetime() + KEY_AGE < at
+    key.datetime() + MAX_KEY_AGE < at
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -16,8 +16,8 @@
 
 pub use burn::{Burn, WINDOWS, Window, burn_rate};
 pub use claim::{
-    Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, ClaimVerdict, Entry, KEY_AGE,
-    KEY_AHEAD, Key, KeyError, read_key,
+    Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, ClaimVerdict, Entry, Key,
+    KeyError, MAX_KEY_AGE, MAX_KEY_AHEAD, read_key,
 };
 pub use estimate::Estimate;
 pub use job::{
--- a/crates/serving/tests/claims.rs
+++ b/crates/serving/tests/claims.rs
@@ -3,8 +3,8 @@
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
 use havenladder_serving::{
-    AttemptId, Burn, Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, Entry, KEY_AGE,
-    Key, KeyError, burn_rate, read_key,
+    AttemptId, Burn, Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, Entry, Key,
+    KeyError, MAX_KEY_AGE, burn_rate, read_key,
 };
 use protocol::{LogRecord, Loss, RecordId, encode};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -130,7 +130,7 @@
     let mut stream = Stream::new();
     let key = stream.key();
     stream.claim("a", key, 1);
-    stream.at += KEY_AGE;
+    stream.at += MAX_KEY_AGE;
     assert_eq!(
         stream.claim("b", key, 1).1,
         ClaimDecision::Held(ClaimState::Open)
@@ -163,7 +163,7 @@
     let text = |time: SystemTime| Key::from_datetime(time).to_string();
     assert!(read_key(&text(now), now).is_ok());
     assert_eq!(read_key("x", now), Err(KeyError::Malformed));
-    let old = now - KEY_AGE - Duration::from_secs(1);
+    let old = now - MAX_KEY_AGE - Duration::from_secs(1);
     assert_eq!(read_key(&text(old), now), Err(KeyError::TooOld));
     assert_eq!(
         read_key(&text(now + Duration::from_secs(120)), now),
