--- a/crates/havenladder/src/duties/placement.rs
+++ b/crates/havenladder/src/duties/placement.rs
@@ -173,7 +173,7 @@
             tick = now + placement.until_tick();
         }
         if now >= rooms {
-            *lock(&ctx.rooms) = placement.scheduler.rooms(now);
+            *lock(&ctx.rooms) = placement.scheduler.capacity(now);
             rooms = now + ROOMS;
         }
     }
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -102,7 +102,7 @@
     }
 
     /// Room for each service, as other halls are told of it.
-    pub fn rooms(&self, now: Instant) -> BTreeMap<ServiceId, Room> {
+    pub fn capacity(&self, now: Instant) -> BTreeMap<ServiceId, Room> {
         self.services
             .keys()
             .map(|service| {
