--- a/crates/havenladder/src/duties/placement.rs
+++ b/crates/havenladder/src/duties/placement.rs
@@ -248,7 +248,7 @@
                 deadline,
             } => self.send(request, attempt, &target, addr, pool, deadline),
             Command::Stop(attempt) => self.dispatch(Dispatch::Stop(attempt)),
-            Command::SetAside(vm, until) => {
+            Command::Eject(vm, until) => {
                 let seconds = until
                     .saturating_duration_since(Instant::now())
                     .as_secs_f64();
--- a/crates/serving/src/health.rs
+++ b/crates/serving/src/health.rs
@@ -21,7 +21,7 @@
 
 impl Health {
     /// Tells whether the worker is set aside at `now`.
-    pub(crate) fn is_aside(&self, now: Instant) -> bool {
+    pub(crate) fn is_ejected(&self, now: Instant) -> bool {
         self.aside.is_some_and(|until| now < until)
     }
 
@@ -35,12 +35,12 @@
         *self = Self::default();
     }
 
-    /// Takes in a failure; `may_pause` tells whether one more worker may be set aside. Returns until
+    /// Takes in a failure; `may_eject` tells whether one more worker may be set aside. Returns until
     /// when the worker is set aside, if it is now.
-    pub(crate) fn fail(&mut self, now: Instant, may_pause: bool) -> Option<Instant> {
+    pub(crate) fn fail(&mut self, now: Instant, may_eject: bool) -> Option<Instant> {
         self.streak += 1;
         let is_trial = self.is_on_trial(now);
-        if !may_pause || (self.streak < STREAK && !is_trial) {
+        if !may_eject || (self.streak < STREAK && !is_trial) {
             return None;
         }
         let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.pauses.min(6));
--- a/crates/serving/src/job.rs
+++ b/crates/serving/src/job.rs
@@ -146,7 +146,7 @@
     /// Stop an attempt.
     Stop(AttemptId),
     /// Note that a worker failed so often that it gets no tasks until this time.
-    SetAside(VmId, Instant),
+    Eject(VmId, Instant),
     /// Give a request its final outcome.
     Answer(RequestId, Outcome),
 }
--- a/crates/serving/src/pool.rs
+++ b/crates/serving/src/pool.rs
@@ -68,11 +68,11 @@
     }
 
     /// Tells whether one more worker may be set aside.
-    pub(crate) fn may_set_aside(&self, now: Instant) -> bool {
+    pub(crate) fn may_eject(&self, now: Instant) -> bool {
         let aside = self
             .workers
             .values()
-            .filter(|worker| worker.health.is_aside(now))
+            .filter(|worker| worker.health.is_ejected(now))
             .count();
         aside < (self.workers.len() / ASIDE_SHARE).max(1) && self.workers.len() > 1
     }
--- a/crates/serving/src/scheduler/ended.rs
+++ b/crates/serving/src/scheduler/ended.rs
@@ -37,10 +37,10 @@
             .estimates
             .entry(request.job.service.clone())
             .or_default();
-        let may_pause = self
+        let may_eject = self
             .pools
             .get(&attempt.pool)
-            .is_some_and(|pool| pool.may_set_aside(now));
+            .is_some_and(|pool| pool.may_eject(now));
         let Some(worker) = worker_of(&mut self.pools, &attempt.pool, vm) else {
             return;
         };
@@ -63,11 +63,11 @@
                 None
             }
             AttemptEnd::NotSent | AttemptEnd::Failed | AttemptEnd::Broken => {
-                worker.health.fail(now, may_pause)
+                worker.health.fail(now, may_eject)
             }
         };
         if let Some(until) = aside {
-            self.commands.push(Command::SetAside(vm.clone(), until));
+            self.commands.push(Command::Eject(vm.clone(), until));
         }
     }
 
--- a/crates/serving/src/worker.rs
+++ b/crates/serving/src/worker.rs
@@ -68,7 +68,7 @@
 
     /// Slots that are free as far as this entry can tell.
     pub(crate) fn free(&self, now: Instant) -> u32 {
-        let blocked = self.full.is_some_and(|until| now < until) || self.health.is_aside(now);
+        let blocked = self.full.is_some_and(|until| now < until) || self.health.is_ejected(now);
         if blocked || (self.health.is_on_trial(now) && self.own > 0) {
             return 0;
         }
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -73,7 +73,7 @@
                     self.sent.push((request, attempt, target));
                 }
                 Command::Stop(attempt) => self.stopped.push(attempt),
-                Command::SetAside(..) => self.set_aside += 1,
+                Command::Eject(..) => self.set_aside += 1,
                 Command::Answer(id, outcome) => {
                     assert!(self.answers.insert(id, outcome).is_none(), "two outcomes");
                 }
