--- a/crates/havenladder/src/entry/questions.rs
+++ b/crates/havenladder/src/entry/questions.rs
@@ -56,7 +56,7 @@
     let workers = &owner.node.workers;
     let asked = Instant::now();
     let mut first = pin!(workers.hold(info, hold, Connection::Pooled));
-    let wait = Duration::from_millis(hold.wait) + OVERDUE;
+    let wait = Duration::from_millis(hold.wait_ms) + OVERDUE;
     if let Some(outcome) = unless_overdue(first.as_mut(), wait).await {
         return outcome.map(|told| Answer { asked, told });
     }
@@ -79,7 +79,7 @@
         deadline: None,
         fence: owner.fencing_token(id),
         noted: 0,
-        wait: 0,
+        wait_ms: 0,
     };
     // A question without an answer may extend the lease all the same: a worker that is silent is
     // asked without, so that its lease can run out.
@@ -96,7 +96,7 @@
     HoldRequest {
         deadline: Some(deadline),
         noted,
-        wait: hold_wait(owner, id).as_millis() as u64,
+        wait_ms: hold_wait(owner, id).as_millis() as u64,
         ..bare
     }
 }
