--- a/crates/havenladder/src/duties/peers.rs
+++ b/crates/havenladder/src/duties/peers.rs
@@ -132,7 +132,7 @@
             Some(Peer {
                 entry: status.entry,
                 addr: neighbour.editors.to_string(),
-                room: status.room,
+                capacity: status.room,
             })
         })
         .collect()
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -180,7 +180,11 @@
         if job.forwarded {
             return None;
         }
-        let free = |peer: &Peer| peer.room.get(&job.service).map_or(0, |room| room.free());
+        let free = |peer: &Peer| {
+            peer.capacity
+                .get(&job.service)
+                .map_or(0, |capacity| capacity.free())
+        };
         let roomy: Vec<&Peer> = self.peers.iter().filter(|peer| free(peer) > 0).collect();
         if roomy.is_empty() {
             return None;
--- a/crates/serving/src/worker.rs
+++ b/crates/serving/src/worker.rs
@@ -31,7 +31,7 @@
     /// Where it listens for callers.
     pub addr: String,
     /// Room for each service in its hall.
-    pub room: BTreeMap<ServiceId, Room>,
+    pub capacity: BTreeMap<ServiceId, Room>,
 }
 
 /// A worker and what this entry has in flight there.
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -356,7 +356,7 @@
     bench.tell(Event::Peers(vec![Peer {
         entry: "other".into(),
         addr: "addr".into(),
-        room: BTreeMap::from([(SERVICE.to_owned(), room)]),
+        capacity: BTreeMap::from([(SERVICE.to_owned(), room)]),
     }]));
     let id = bench.arrive(SERVICE, 1_000, true);
     assert_eq!(
