--- a/crates/serving/src/admit.rs
+++ b/crates/serving/src/admit.rs
@@ -43,9 +43,9 @@
     }
     let wait = wait(job, pool, estimate, now);
     let run = if wait.is_zero() {
-        estimate.least(now)
+        estimate.min(now)
     } else {
-        estimate.careful(now)
+        estimate.percentile_90(now)
     };
     if now + wait.mul_f64(WAIT_MARGIN) + run > job.deadline {
         return refuse(NotRunReason::Overload, wait, now);
@@ -62,9 +62,9 @@
     now: Instant,
 ) -> bool {
     let run = if others_wait {
-        estimate.careful(now)
+        estimate.percentile_90(now)
     } else {
-        estimate.least(now)
+        estimate.min(now)
     };
     now + run > deadline
 }
--- a/crates/serving/src/estimate.rs
+++ b/crates/serving/src/estimate.rs
@@ -21,8 +21,8 @@
     current: Histogram<u32>,
     previous: Histogram<u32>,
     mean: Duration,
-    careful: Duration,
-    least: Duration,
+    percentile_90: Duration,
+    min: Duration,
     stale: Option<Instant>,
 }
 
@@ -32,8 +32,8 @@
             current: histogram(),
             previous: histogram(),
             mean: Duration::ZERO,
-            careful: Duration::ZERO,
-            least: Duration::ZERO,
+            percentile_90: Duration::ZERO,
+            min: Duration::ZERO,
             stale: None,
         }
     }
@@ -58,13 +58,13 @@
     }
 
     /// A run that nine of ten do not exceed; zero while nothing was measured lately.
-    pub fn careful(&self, now: Instant) -> Duration {
-        self.if_fresh(self.careful, now)
+    pub fn percentile_90(&self, now: Instant) -> Duration {
+        self.if_fresh(self.percentile_90, now)
     }
 
     /// The shortest run; zero while nothing was measured lately.
-    pub fn least(&self, now: Instant) -> Duration {
-        self.if_fresh(self.least, now)
+    pub fn min(&self, now: Instant) -> Duration {
+        self.if_fresh(self.min, now)
     }
 
     fn if_fresh(&self, value: Duration, now: Instant) -> Duration {
@@ -80,8 +80,8 @@
             return;
         }
         self.mean = Duration::from_secs_f64(all.mean() / 1e6);
-        self.careful = Duration::from_micros(all.value_at_quantile(CAREFUL));
-        self.least = Duration::from_micros(all.min());
+        self.percentile_90 = Duration::from_micros(all.value_at_quantile(CAREFUL));
+        self.min = Duration::from_micros(all.min());
     }
 }
 
