--- a/crates/serving/src/admit.rs
+++ b/crates/serving/src/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: whether a request can be done in time, by what has been measured.
+//! Admission: decides by measured run times whether a request can be done before its deadline.
 
 use crate::{
     estimate::Estimate,
@@ -8,26 +8,26 @@
 use settings::Service;
 use std::time::{Duration, Instant};
 
-/// The shortest time after which a refused caller is asked to come back.
-const SHORTEST_BACK: Duration = Duration::from_millis(100);
+/// Minimum time after which a refused caller is asked to retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// The longest time after which a refused caller is asked to come back.
-const LONGEST_BACK: Duration = Duration::from_secs(60);
+/// Maximum time after which a refused caller is asked to retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Factor on the expected wait: runs differ, and a request that is taken and given up later has
-/// kept its caller waiting for nothing.
-const WAIT_MARGIN: f64 = 2.0;
+/// Safety factor on the expected wait. Run times vary, and a request that is admitted and fails later has kept
+/// its caller waiting in vain.
+const WAIT_FACTOR: f64 = 2.0;
 
-/// What to do with a request that came.
+/// Decision about a request that arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// Take it.
-    Take,
-    /// Refuse it at once.
+    /// The request is admitted.
+    Admit,
+    /// The request is refused at once.
     Refuse(NotRun),
 }
 
-/// Decides about one request.
+/// Decides whether to admit a request.
 pub(crate) fn admit(
     job: &Job,
     service: &Service,
@@ -39,7 +39,7 @@
         return refuse(NotRunReason::DeadlinePast, Duration::ZERO, now);
     }
     if pool.queue.len() >= service.queue_limit {
-        return refuse(NotRunReason::Overload, full_wait(job, pool, now), now);
+        return refuse(NotRunReason::Overload, max_wait(job, pool, now), now);
     }
     let wait = wait(job, pool, estimate, now);
     let run = if wait.is_zero() {
@@ -47,15 +47,16 @@
     } else {
         estimate.percentile_90(now)
     };
-    if now + wait.mul_f64(WAIT_MARGIN) + run > job.deadline {
+    if now + wait.mul_f64(WAIT_FACTOR) + run > job.deadline {
         return refuse(NotRunReason::Overload, wait, now);
     }
-    Admission::Take
+    Admission::Admit
 }
 
-/// Tells whether a request that waits should be given up. While others wait as well, its slot
-/// goes to one that will most likely be done in time; alone it is tried as long as it can be.
-pub(crate) fn is_hopeless(
+/// Returns whether a waiting request is unlikely to meet its deadline. While other requests wait, the slot goes
+/// to one that will probably be done in time. A request that waits alone is tried as long as it may still
+/// succeed.
+pub(crate) fn is_too_late(
     deadline: Instant,
     estimate: &Estimate,
     others_wait: bool,
@@ -69,9 +70,9 @@
     now + run > deadline
 }
 
-/// Makes a refusal that asks the caller to come back about at `back`.
+/// Returns a refusal that asks the caller to retry at about `retry_at`.
 pub(crate) fn not_run(reason: NotRunReason, retry_at: Instant, now: Instant) -> NotRun {
-    let retry_at = retry_at.clamp(now + SHORTEST_BACK, now + LONGEST_BACK);
+    let retry_at = retry_at.clamp(now + MIN_RETRY_AFTER, now + MAX_RETRY_AFTER);
     NotRun { reason, retry_at }
 }
 
@@ -87,7 +88,7 @@
     pool.queue.wait(job.class, job.deadline, slots) + estimate.mean() / slots
 }
 
-fn full_wait(job: &Job, pool: &Pool, now: Instant) -> Duration {
-    let last = now + LONGEST_BACK;
+fn max_wait(job: &Job, pool: &Pool, now: Instant) -> Duration {
+    let last = now + MAX_RETRY_AFTER;
     pool.queue.wait(job.class, last, pool.in_flight())
 }
--- a/crates/serving/src/health.rs
+++ b/crates/serving/src/health.rs
@@ -1,52 +1,53 @@
-//! Workers that fail every task: set aside on evidence, and tried again later.
+//! Ejection of workers that fail every task. An ejected worker gets no tasks for a time and then one on trial.
 
 use std::time::{Duration, Instant};
 
-/// Failures in a row after which a worker is set aside.
-const STREAK: u32 = 3;
+/// Number of consecutive failures after which a worker is ejected.
+const EJECTION_FAILURES: u32 = 3;
 
-/// First time for which a worker is set aside; it doubles each time.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
+/// Duration of a worker's first ejection. It doubles each time.
+const MIN_EJECTION: Duration = Duration::from_secs(1);
 
-/// The longest time for which a worker is set aside.
-const LONGEST_PAUSE: Duration = Duration::from_secs(60);
+/// Maximum duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(60);
 
-/// One worker's record of failures.
+/// Failures and ejections of one worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
-    streak: u32,
-    pauses: u32,
-    aside: Option<Instant>,
+    failures: u32,
+    ejections: u32,
+    ejected_until: Option<Instant>,
 }
 
 impl Health {
-    /// Tells whether the worker is set aside at `now`.
+    /// Returns whether the worker is ejected at `now`.
     pub(crate) fn is_ejected(&self, now: Instant) -> bool {
-        self.aside.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Tells whether the worker was set aside and has not proved itself since: it gets one task.
+    /// Returns whether the worker's ejection is over and no task has succeeded since. Such a worker gets one
+    /// task at a time.
     pub(crate) fn is_on_trial(&self, now: Instant) -> bool {
-        self.aside.is_some_and(|until| now >= until)
+        self.ejected_until.is_some_and(|until| now >= until)
     }
 
-    /// Takes in a success.
+    /// Records a success, which clears all failures.
     pub(crate) fn succeed(&mut self) {
         *self = Self::default();
     }
 
-    /// Takes in a failure; `may_eject` tells whether one more worker may be set aside. Returns until
-    /// when the worker is set aside, if it is now.
+    /// Records a failure. `may_eject` states whether one more worker may be ejected. Returns the end of the
+    /// ejection if the failure causes one.
     pub(crate) fn fail(&mut self, now: Instant, may_eject: bool) -> Option<Instant> {
-        self.streak += 1;
+        self.failures += 1;
         let is_trial = self.is_on_trial(now);
-        if !may_eject || (self.streak < STREAK && !is_trial) {
+        if !may_eject || (self.failures < EJECTION_FAILURES && !is_trial) {
             return None;
         }
-        let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.pauses.min(6));
-        self.aside = Some(now + pause.min(LONGEST_PAUSE));
-        self.pauses += 1;
-        self.streak = 0;
-        self.aside
+        let duration = MIN_EJECTION * 2_u32.saturating_pow(self.ejections.min(6));
+        self.ejected_until = Some(now + duration.min(MAX_EJECTION));
+        self.ejections += 1;
+        self.failures = 0;
+        self.ejected_until
     }
 }
--- a/crates/serving/src/job.rs
+++ b/crates/serving/src/job.rs
@@ -1,4 +1,4 @@
-//! Requests, attempts and their outcomes, and what goes into the scheduler and comes out of it.
+//! Requests, attempts and their outcomes, and the events and commands of the scheduler.
 
 use crate::{
     claim::ClaimDecision,
@@ -9,144 +9,144 @@
 use settings::{Class, Service};
 use std::{collections::BTreeMap, time::Instant};
 
-/// A request's number in this entry.
+/// Number of a request in this entry.
 pub type RequestId = u64;
 
-/// An attempt's id, fresh for each attempt in all entries.
+/// Id of an attempt, unique among all entries.
 pub type AttemptId = ulid::Ulid;
 
-/// One request as the scheduler sees it; its body stays outside.
+/// Request as the scheduler sees it, without its body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Its number.
+    /// Number of the request.
     pub id: RequestId,
-    /// Its service.
+    /// Service of the request.
     pub service: ServiceId,
-    /// Its urgency.
+    /// Urgency of the request.
     pub class: Class,
-    /// When its answer is of no more use.
+    /// Time after which a response is of no use.
     pub deadline: Instant,
-    /// Whether it may be run more than once.
+    /// Whether the request may be run more than once.
     pub repeatable: bool,
-    /// Whether a peer has passed it on, so that it must not be passed on again.
+    /// Whether a peer forwarded the request, so that it must not be forwarded again.
     pub forwarded: bool,
 }
 
-/// Why a request was not run.
+/// Reason why a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NotRunReason {
-    /// By what has been measured, it could not be done before its deadline.
+    /// According to the measured run times, the request could not be done before its deadline.
     Overload,
-    /// Its deadline was past when it came, or passed while it waited.
+    /// The deadline was past on arrival, or passed while the request waited.
     DeadlinePast,
-    /// No worker of its pool takes work, here or in another hall that can be reached.
+    /// No worker of the pool takes work, here or in another data centre that can be reached.
     NoWorker,
-    /// Every worker that was tried refused it.
+    /// Every worker that was tried refused the request.
     Refused,
-    /// The log that claims go through cannot be reached.
+    /// The log of the claims cannot be reached.
     LogDown,
-    /// Its caller went away before it was sent.
+    /// The caller disconnected before the request was sent.
     Cancelled,
     /// The entry is about to stop.
     Stopping,
 }
 
-/// A request that was certainly not run.
+/// Refusal of a request that was certainly not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotRun {
-    /// Why not.
+    /// Reason of the refusal.
     pub reason: NotRunReason,
-    /// When the caller should come back.
+    /// Time at which the caller should retry.
     pub retry_at: Instant,
 }
 
-/// What became of a request: a closed set.
+/// Outcome of a request. No other outcomes exist.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer of this attempt is the request's answer.
+    /// The complete response of this attempt is the response to the request.
     Done(AttemptId),
-    /// It was certainly not run.
+    /// The request was certainly not run.
     NotRun(NotRun),
-    /// Nobody can tell whether it ran to its end; this is how the last attempt ended.
+    /// It is unknown whether the request ran to its end. The last attempt ended like this.
     Unknown(AttemptEnd),
-    /// Another request with its key was first.
+    /// Another request with the same key was first.
     Claimed(ClaimDecision),
 }
 
-/// How an attempt ended.
+/// Way in which an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The whole answer is here.
+    /// The complete response has arrived.
     Done,
-    /// The worker refused before it began: certainly not run.
+    /// The worker refused before it began, so that the attempt certainly did not run.
     Refused,
-    /// The request never left this entry: certainly not run.
+    /// The attempt was not sent, so that it certainly did not run.
     NotSent,
     /// The connection broke after the request was written, or the time ran out.
     Broken,
-    /// The worker ran it and failed, or sent less than it had announced.
+    /// The worker ran the request and failed, or sent a shorter response than announced.
     Failed,
 }
 
-/// Where an attempt goes.
+/// Destination of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A worker of this hall.
+    /// Worker in this data centre.
     Worker(VmId),
-    /// A peer in another hall.
+    /// Peer in another data centre.
     Peer(EntryId),
 }
 
-/// What happens to the scheduler.
+/// Event that the scheduler handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request came.
+    /// A request arrived.
     Arrived(Job),
-    /// Its caller went away.
+    /// The caller of a request disconnected.
     Cancelled(RequestId),
     /// The claim of a request was decided.
     Claimed(RequestId, ClaimDecision),
     /// An attempt ended.
     Ended(AttemptId, AttemptEnd),
-    /// The settings changed.
+    /// The settings of the services changed.
     Services(BTreeMap<ServiceId, Service>),
-    /// The pools' workers in this hall changed.
+    /// The workers of the pools in this data centre changed.
     Workers(Vec<WorkerInfo>),
     /// A worker reported how many tasks it runs.
     Usage(VmId, u32),
-    /// The rooms of other halls' entries changed.
+    /// The capacity of entries in other data centres changed.
     Peers(Vec<Peer>),
-    /// No new requests are taken from here on.
+    /// From now on, no new requests are admitted.
     Stop,
     /// Time has passed.
     Tick,
 }
 
-/// What the scheduler wants done.
+/// Command of the scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Claim the request's key before anything is sent.
     Claim(RequestId),
     /// Send an attempt.
     Send {
-        /// The request.
+        /// Request of the attempt.
         request: RequestId,
-        /// The attempt.
+        /// Id of the attempt.
         attempt: AttemptId,
-        /// Where it goes.
+        /// Destination of the attempt.
         target: Target,
-        /// Its address.
+        /// Address of the destination.
         addr: String,
-        /// The pool that it is placed in.
+        /// Pool that the attempt is counted in.
         pool: PoolId,
-        /// When its answer is of no more use.
+        /// Time after which a response is of no use.
         deadline: Instant,
     },
     /// Stop an attempt.
     Stop(AttemptId),
-    /// Note that a worker failed so often that it gets no tasks until this time.
+    /// Record that a worker is ejected until this time, because too many of its tasks failed.
     Eject(VmId, Instant),
-    /// Give a request its final outcome.
+    /// Report the final outcome of a request.
     Answer(RequestId, Outcome),
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decisions about requests: admission, placement, retries, claims and worker health.
 //!
-//! Nothing in here knows a socket or a clock; events come in with the time, commands go out.
+//! The crate uses neither sockets nor clocks. Events come in with the current time, and commands go out.
 
 mod admit;
 mod burn;
--- a/crates/serving/src/pool.rs
+++ b/crates/serving/src/pool.rs
@@ -1,4 +1,4 @@
-//! One pool in this hall: its workers, its queue and its retry budget.
+//! Pool in this data centre, with its workers, its queue and its retry budget.
 
 use crate::{
     queue::Queue,
@@ -9,10 +9,10 @@
 use rand::{Rng, rngs::SmallRng};
 use std::{collections::BTreeMap, time::Instant};
 
-/// Workers that may be set aside at once: one of this many, but always one.
-const ASIDE_SHARE: usize = 3;
+/// Divisor that bounds ejections: at most one worker in three may be ejected at a time, but always one.
+const MAX_EJECTED_DIVISOR: usize = 3;
 
-/// One pool as this entry sees it.
+/// Pool as this entry sees it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pool {
     pub(crate) workers: BTreeMap<VmId, Worker>,
@@ -21,7 +21,7 @@
 }
 
 impl Pool {
-    /// Takes in which workers there are; what is known of those that stay is kept.
+    /// Replaces the set of workers. The state of workers that stay at the same address is kept.
     pub(crate) fn set_workers(&mut self, infos: Vec<WorkerInfo>) {
         let mut old = std::mem::take(&mut self.workers);
         for info in infos {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Chooses a worker: the less loaded of two that are free, drawn at random.
+    /// Chooses the less loaded of two free workers that are drawn at random, leaving out those in `tried`.
     pub(crate) fn choose(
         &self,
         now: Instant,
@@ -57,28 +57,28 @@
         })
     }
 
-    /// Tells whether any worker is free.
+    /// Returns whether any worker is free.
     pub(crate) fn has_free(&self, now: Instant) -> bool {
         self.workers.values().any(|worker| worker.free(now) > 0)
     }
 
-    /// Attempts that this entry has in flight.
+    /// Returns the number of attempts that this entry has in flight.
     pub(crate) fn in_flight(&self) -> u32 {
-        self.workers.values().map(|worker| worker.own).sum()
+        self.workers.values().map(|worker| worker.in_flight).sum()
     }
 
-    /// Tells whether one more worker may be set aside.
+    /// Returns whether one more worker may be ejected.
     pub(crate) fn may_eject(&self, now: Instant) -> bool {
-        let aside = self
+        let ejected = self
             .workers
             .values()
             .filter(|worker| worker.health.is_ejected(now))
             .count();
-        aside < (self.workers.len() / ASIDE_SHARE).max(1) && self.workers.len() > 1
+        ejected < (self.workers.len() / MAX_EJECTED_DIVISOR).max(1) && self.workers.len() > 1
     }
 
-    /// Room as other halls are told of it.
-    pub(crate) fn room(&self, now: Instant) -> Room {
+    /// Returns the capacity that is reported to other data centres.
+    pub(crate) fn capacity(&self, now: Instant) -> Room {
         let slots: u32 = self.workers.values().map(|worker| worker.info.slots).sum();
         let free: u32 = self.workers.values().map(|worker| worker.free(now)).sum();
         let waiting = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -1,10 +1,10 @@
-//! The scheduler: events in, commands out, one plain `match`.
+//! Scheduler: handles one event at a time and returns the commands that follow from it.
 
 mod ended;
 mod waiting;
 
 use crate::{
-    admit::{Admission, admit, is_hopeless, not_run},
+    admit::{Admission, admit, is_too_late, not_run},
     claim::ClaimDecision,
     estimate::Estimate,
     job::{
@@ -22,18 +22,18 @@
     time::Instant,
 };
 
-/// Where a request stands.
+/// State of a request without an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Its claim has not been decided.
+    /// The claim has not been decided.
     Claiming,
-    /// It waits for a worker.
+    /// The request waits for a worker.
     Queued,
-    /// This attempt is on its way.
+    /// This attempt is in flight.
     Running(AttemptId),
 }
 
-/// A request that has no outcome yet.
+/// Request that has no outcome yet.
 #[derive(Clone, Debug)]
 struct Request {
     job: Job,
@@ -41,11 +41,11 @@
     tried: Vec<VmId>,
     refusals: usize,
     failures: u32,
-    /// How an earlier attempt ended that may have run.
+    /// End of an earlier attempt that may have run.
     uncertain: Option<AttemptEnd>,
 }
 
-/// An attempt that is on its way.
+/// Attempt that is in flight.
 #[derive(Clone, Debug)]
 struct Attempt {
     request: RequestId,
@@ -54,7 +54,7 @@
     sent: Instant,
 }
 
-/// All requests of one entry that have no outcome yet, and what they wait for.
+/// Requests of one entry that have no outcome yet, with the state that decides about them.
 #[derive(Debug)]
 pub struct Scheduler {
     services: BTreeMap<ServiceId, Service>,
@@ -69,7 +69,7 @@
 }
 
 impl Scheduler {
-    /// Makes an empty scheduler; `seed` fixes its random choices.
+    /// Returns an empty scheduler. `seed` fixes its random choices.
     pub fn new(seed: u64) -> Self {
         Self {
             services: BTreeMap::new(),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Takes in one event and returns what is to be done.
+    /// Handles an event and returns the commands to carry out.
     pub fn handle(&mut self, event: Event, now: Instant) -> Vec<Command> {
         match event {
             Event::Arrived(job) => self.arrive(job, now),
@@ -101,24 +101,24 @@
         std::mem::take(&mut self.commands)
     }
 
-    /// Room for each service, as other halls are told of it.
+    /// Returns the capacity for each service that is reported to other data centres.
     pub fn capacity(&self, now: Instant) -> BTreeMap<ServiceId, Room> {
         self.services
             .keys()
             .map(|service| {
                 let pool = self.pools.get(pool_of(service));
-                let room = pool.map(|pool| pool.room(now)).unwrap_or_default();
-                (service.clone(), room)
+                let capacity = pool.map(|pool| pool.capacity(now)).unwrap_or_default();
+                (service.clone(), capacity)
             })
             .collect()
     }
 
-    /// Requests that have no outcome yet.
+    /// Returns the number of requests without an outcome.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Tells whether every request has its outcome.
+    /// Returns whether every request has its outcome.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
@@ -129,11 +129,11 @@
             return self.refuse(id, NotRunReason::Stopping, now);
         }
         match self.admission(&job, now) {
-            Admission::Take => self.take(job, now),
+            Admission::Admit => self.accept(job, now),
             Admission::Refuse(refusal) if refusal.reason == NotRunReason::DeadlinePast => {
                 self.answer(id, Outcome::NotRun(refusal));
             }
-            Admission::Refuse(refusal) => self.pass_on(job, refusal, now),
+            Admission::Refuse(refusal) => self.forward(job, refusal, now),
         }
     }
 
@@ -153,7 +153,7 @@
         admit(job, service, pool, estimate, now)
     }
 
-    fn take(&mut self, job: Job, now: Instant) {
+    fn accept(&mut self, job: Job, now: Instant) {
         let id = job.id;
         let repeatable = job.repeatable;
         self.insert(job, Phase::Claiming);
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Passes a request on to another hall, or refuses it when none has room.
-    fn pass_on(&mut self, job: Job, refusal: NotRun, now: Instant) {
+    /// Forwards a request to another data centre, or refuses it if none has free capacity.
+    fn forward(&mut self, job: Job, refusal: NotRun, now: Instant) {
         let id = job.id;
         let Some(peer) = self.choose_peer(&job) else {
             return self.answer(id, Outcome::NotRun(refusal));
@@ -175,7 +175,7 @@
         self.send(id, target, addr, now);
     }
 
-    /// Chooses the roomier of two peers of other halls, drawn at random.
+    /// Chooses the peer with more free capacity of two in other data centres that are drawn at random.
     fn choose_peer(&mut self, job: &Job) -> Option<&Peer> {
         if job.forwarded {
             return None;
@@ -185,12 +185,12 @@
                 .get(&job.service)
                 .map_or(0, |capacity| capacity.free())
         };
-        let roomy: Vec<&Peer> = self.peers.iter().filter(|peer| free(peer) > 0).collect();
-        if roomy.is_empty() {
+        let candidates: Vec<&Peer> = self.peers.iter().filter(|peer| free(peer) > 0).collect();
+        if candidates.is_empty() {
             return None;
         }
-        let first = roomy[self.rng.random_range(0..roomy.len())];
-        let second = roomy[self.rng.random_range(0..roomy.len())];
+        let first = candidates[self.rng.random_range(0..candidates.len())];
+        let second = candidates[self.rng.random_range(0..candidates.len())];
         Some(if free(second) > free(first) {
             second
         } else {
@@ -229,7 +229,7 @@
 
     fn claimed(&mut self, id: RequestId, settled: ClaimDecision, now: Instant) {
         if !self.requests.contains_key(&id) {
-            // The caller went away meanwhile; the outcome frees the key again.
+            // The caller has disconnected. The outcome frees the key again.
             return self.refuse(id, NotRunReason::Cancelled, now);
         }
         match settled {
@@ -263,7 +263,7 @@
             .estimates
             .entry(request.job.service.clone())
             .or_default();
-        if is_hopeless(request.job.deadline, estimate, pool.queue.len() > 0, now) {
+        if is_too_late(request.job.deadline, estimate, pool.queue.len() > 0, now) {
             return self.refuse(id, NotRunReason::Overload, now);
         }
         let mut chosen = pool.choose(now, &request.tried, &mut self.rng);
@@ -288,7 +288,7 @@
         if let Target::Worker(vm) = &target {
             request.tried.push(vm.clone());
             if let Some(worker) = worker_of(&mut self.pools, &pool, vm) {
-                worker.own += 1;
+                worker.in_flight += 1;
             }
         }
         self.attempts.insert(
@@ -344,7 +344,7 @@
         }
     }
 
-    /// Refuses a request; one that an earlier attempt may have run is not told "not run".
+    /// Refuses a request. If an earlier attempt may have run, the outcome is unknown instead of not run.
     fn refuse(&mut self, id: RequestId, reason: NotRunReason, now: Instant) {
         let uncertain = self.requests.get(&id).and_then(|request| request.uncertain);
         let outcome = match uncertain {
--- a/crates/serving/src/scheduler/ended.rs
+++ b/crates/serving/src/scheduler/ended.rs
@@ -1,22 +1,23 @@
-//! What the scheduler makes of an attempt that ended: it learns, tries again or answers.
+//! Handling of attempts that ended: updates the estimates and the worker's health, and retries or answers the
+//! request.
 
 use super::{Attempt, Scheduler, worker_of};
 use crate::job::{AttemptEnd, AttemptId, Command, NotRunReason, Outcome, Target};
 use std::time::Instant;
 
-/// Attempts that may fail or break before a request is given up.
-const MOST_FAILURES: u32 = 3;
+/// Maximum number of attempts that may fail or break before a request fails.
+const MAX_FAILURES: u32 = 3;
 
-/// Refusals that a request may meet before it is given up.
-const MOST_REFUSALS: usize = 16;
+/// Maximum number of refusals before a request fails.
+const MAX_REFUSALS: usize = 16;
 
 impl Scheduler {
     pub(super) fn ended(&mut self, id: AttemptId, end: AttemptEnd, now: Instant) {
         let Some(attempt) = self.attempts.remove(&id) else {
-            // A late answer of an attempt that was given up: nobody waits for it.
+            // This is the late response of an abandoned attempt, for which nothing waits.
             return;
         };
-        self.note(&attempt, end, now);
+        self.record_end(&attempt, end, now);
         match end {
             AttemptEnd::Done => self.answer(attempt.request, Outcome::Done(id)),
             AttemptEnd::Refused | AttemptEnd::NotSent => self.retry_refused(&attempt, now),
@@ -25,8 +26,8 @@
         self.dispatch(&attempt.pool, now);
     }
 
-    /// Learns from how an attempt at a worker ended.
-    fn note(&mut self, attempt: &Attempt, end: AttemptEnd, now: Instant) {
+    /// Updates the worker and the estimate of the service after an attempt at a worker.
+    fn record_end(&mut self, attempt: &Attempt, end: AttemptEnd, now: Instant) {
         let Target::Worker(vm) = &attempt.target else {
             return;
         };
@@ -44,9 +45,9 @@
         let Some(worker) = worker_of(&mut self.pools, &attempt.pool, vm) else {
             return;
         };
-        worker.own = worker.own.saturating_sub(1);
+        worker.in_flight = worker.in_flight.saturating_sub(1);
         let run = now - attempt.sent;
-        let aside = match end {
+        let ejected_until = match end {
             AttemptEnd::Done => {
                 worker.health.succeed();
                 estimate.record(run, now);
@@ -56,8 +57,8 @@
                 worker.refuse(now, estimate.mean());
                 None
             }
-            // A run that used up its deadline says how long the service takes, not that the
-            // worker is at fault.
+            // A run that took until its deadline tells how long the service takes, not that the worker is at
+            // fault.
             AttemptEnd::Broken if now >= request.job.deadline => {
                 estimate.record(run, now);
                 None
@@ -66,7 +67,7 @@
                 worker.health.fail(now, may_eject)
             }
         };
-        if let Some(until) = aside {
+        if let Some(until) = ejected_until {
             self.commands.push(Command::Eject(vm.clone(), until));
         }
     }
@@ -77,10 +78,10 @@
             return;
         };
         request.refusals += 1;
-        let gave_up = matches!(attempt.target, Target::Peer(_))
-            || request.refusals > MOST_REFUSALS
+        let failed = matches!(attempt.target, Target::Peer(_))
+            || request.refusals > MAX_REFUSALS
             || request.job.deadline <= now;
-        if gave_up {
+        if failed {
             return self.refuse(id, NotRunReason::Refused, now);
         }
         self.enqueue(id, now);
@@ -94,7 +95,7 @@
         request.failures += 1;
         request.uncertain = Some(end);
         let may_retry = request.job.repeatable
-            && request.failures < MOST_FAILURES
+            && request.failures < MAX_FAILURES
             && request.job.deadline > now
             && matches!(attempt.target, Target::Worker(_));
         let pool = self.pools.get_mut(&attempt.pool);
--- a/crates/serving/src/scheduler/waiting.rs
+++ b/crates/serving/src/scheduler/waiting.rs
@@ -1,8 +1,8 @@
-//! What the scheduler makes of requests that wait: cancelled, hopeless, or left without workers.
+//! Handling of waiting requests that are cancelled, too late, or left without workers.
 
 use super::{Phase, Scheduler, worker_of};
 use crate::{
-    admit::is_hopeless,
+    admit::is_too_late,
     job::{AttemptEnd, AttemptId, Command, NotRunReason, Outcome, RequestId, Target},
 };
 use settings::pool_of;
@@ -33,7 +33,7 @@
         self.dispatch(&pool_id, now);
     }
 
-    /// Gives back the slot of an attempt that is given up.
+    /// Releases the slot of an abandoned attempt.
     fn release(&mut self, attempt: AttemptId) {
         let Some(attempt) = self.attempts.remove(&attempt) else {
             return;
@@ -41,13 +41,13 @@
         if let Target::Worker(vm) = &attempt.target
             && let Some(worker) = worker_of(&mut self.pools, &attempt.pool, vm)
         {
-            worker.own = worker.own.saturating_sub(1);
+            worker.in_flight = worker.in_flight.saturating_sub(1);
         }
     }
 
-    /// Refuses what can no longer be done in time, at once, and sends what has become possible.
+    /// Refuses the waiting requests that can no longer be done in time, and dispatches those that can run now.
     pub(super) fn tick(&mut self, now: Instant) {
-        let mut hopeless = Vec::new();
+        let mut too_late = Vec::new();
         for pool in self.pools.values_mut() {
             let others_wait = pool.queue.len() > 1;
             let late: Vec<RequestId> = pool
@@ -57,25 +57,25 @@
                     let service = self.requests.get(id).map(|request| &request.job.service);
                     let estimate = service.and_then(|service| self.estimates.get(service));
                     estimate
-                        .is_some_and(|estimate| is_hopeless(*deadline, estimate, others_wait, now))
+                        .is_some_and(|estimate| is_too_late(*deadline, estimate, others_wait, now))
                 })
                 .map(|(id, _)| id)
                 .collect();
             for id in &late {
                 pool.queue.remove(*id);
             }
-            hopeless.extend(late);
+            too_late.extend(late);
         }
-        for id in hopeless {
+        for id in too_late {
             self.refuse(id, NotRunReason::Overload, now);
         }
         for id in self.stranded() {
-            self.move_on(id, now);
+            self.reroute(id, now);
         }
         self.dispatch_all(now);
     }
 
-    /// Takes out requests that wait in pools whose last worker has gone.
+    /// Removes and returns the requests that wait in pools without workers.
     fn stranded(&mut self) -> Vec<RequestId> {
         let mut stranded = Vec::new();
         for pool in self
@@ -90,9 +90,9 @@
         stranded
     }
 
-    /// Passes a stranded request on, unless its key is claimed here: another hall's entry would
-    /// find the key held.
-    fn move_on(&mut self, id: RequestId, now: Instant) {
+    /// Forwards a request whose pool has lost its last worker. If its key is claimed here, it is refused, since
+    /// an entry in another data centre would find the key held.
+    fn reroute(&mut self, id: RequestId, now: Instant) {
         let job = self.requests.get(&id).map(|request| request.job.clone());
         let peer = job
             .filter(|job| job.repeatable)
--- a/crates/serving/src/worker.rs
+++ b/crates/serving/src/worker.rs
@@ -1,4 +1,4 @@
-//! One worker as this entry sees it, and the peers of other halls.
+//! Worker as this entry sees it, and the peers in other data centres.
 
 use crate::health::Health;
 use protocol::{EntryId, PoolId, Room, ServiceId, VmId};
@@ -7,40 +7,40 @@
     time::{Duration, Instant},
 };
 
-/// The longest time for which a worker that said it was full is left alone.
-const LONGEST_FULL: Duration = Duration::from_millis(200);
+/// Maximum time for which a worker that reported itself full gets no tasks.
+const MAX_FULL_PAUSE: Duration = Duration::from_millis(200);
 
-/// What is agreed about a worker.
+/// Properties of a worker that all entries agree on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerInfo {
-    /// Its VM.
+    /// VM of the worker.
     pub vm: VmId,
-    /// Where it listens.
+    /// Address that the worker listens on.
     pub addr: String,
-    /// Its pool.
+    /// Pool of the worker.
     pub pool: PoolId,
-    /// Tasks that it runs at once.
+    /// Number of tasks that the worker runs at the same time.
     pub slots: u32,
 }
 
-/// An entry of another hall to which requests can be passed on.
+/// Entry in another data centre to which requests can be forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// The entry.
+    /// Id of the entry.
     pub entry: EntryId,
-    /// Where it listens for callers.
+    /// Address that the entry listens on for callers.
     pub addr: String,
-    /// Room for each service in its hall.
+    /// Capacity for each service in its data centre.
     pub capacity: BTreeMap<ServiceId, Room>,
 }
 
-/// A worker and what this entry has in flight there.
+/// Worker, with the attempts that this entry has in flight there.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub(crate) info: WorkerInfo,
-    pub(crate) own: u32,
+    pub(crate) in_flight: u32,
     others: u32,
-    full: Option<Instant>,
+    full_until: Option<Instant>,
     pub(crate) health: Health,
 }
 
@@ -48,35 +48,37 @@
     pub(crate) fn new(info: WorkerInfo) -> Self {
         Self {
             info,
-            own: 0,
+            in_flight: 0,
             others: 0,
-            full: None,
+            full_until: None,
             health: Health::default(),
         }
     }
 
-    /// Takes in a lagging report of all tasks that the worker runs.
+    /// Records a delayed report of the number of all tasks that the worker runs.
     pub(crate) fn report(&mut self, running: u32) {
-        self.others = running.saturating_sub(self.own);
+        self.others = running.saturating_sub(self.in_flight);
     }
 
-    /// Notes that the worker refused; it is left alone for about the time of one free slot.
+    /// Records a refusal of the worker. The worker gets no tasks for about the time in which one slot becomes
+    /// free.
     pub(crate) fn refuse(&mut self, now: Instant, mean: Duration) {
         let pause = mean / self.info.slots.max(1);
-        self.full = Some(now + pause.clamp(Duration::from_millis(1), LONGEST_FULL));
+        self.full_until = Some(now + pause.clamp(Duration::from_millis(1), MAX_FULL_PAUSE));
     }
 
-    /// Slots that are free as far as this entry can tell.
+    /// Returns the number of free slots, as far as this entry knows.
     pub(crate) fn free(&self, now: Instant) -> u32 {
-        let blocked = self.full.is_some_and(|until| now < until) || self.health.is_ejected(now);
-        if blocked || (self.health.is_on_trial(now) && self.own > 0) {
+        let blocked =
+            self.full_until.is_some_and(|until| now < until) || self.health.is_ejected(now);
+        if blocked || (self.health.is_on_trial(now) && self.in_flight > 0) {
             return 0;
         }
-        self.info.slots.saturating_sub(self.own + self.others)
+        self.info.slots.saturating_sub(self.in_flight + self.others)
     }
 
-    /// Load that two workers are compared by: tasks for each slot.
+    /// Returns the load, in tasks per slot, by which two workers are compared.
     pub(crate) fn load(&self) -> f64 {
-        f64::from(self.own + self.others) / f64::from(self.info.slots.max(1))
+        f64::from(self.in_flight + self.others) / f64::from(self.info.slots.max(1))
     }
 }
