--- a/crates/serving/src/burn.rs
+++ b/crates/serving/src/burn.rs
@@ -1,4 +1,5 @@
-//! Counts for the burn report, and the burn rate by the published multi-window practice.
+//! Counters for the burn report, and the burn rate over several windows as the Site Reliability Workbook
+//! describes it.
 
 use protocol::{BurnCell, BurnSum, Loss, ServiceId};
 use std::{
@@ -6,17 +7,17 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// One window of the report.
+/// Window of the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
-    /// Its name in the report.
+    /// Name of the window in the report.
     pub name: &'static str,
-    /// How far back it reaches.
+    /// Length of the window.
     pub span: Duration,
 }
 
-/// The windows: a short and a long one for a fast burn, the same for a slow one, as the Site
-/// Reliability Workbook pairs them, cut to what an entry can remember.
+/// Windows of the report: a short and a long one for a fast burn, and the same for a slow burn, as the Site
+/// Reliability Workbook pairs them. They are shortened to what an entry keeps in memory.
 pub const WINDOWS: [Window; 4] = [
     Window {
         name: "5m",
@@ -36,23 +37,23 @@
     },
 ];
 
-/// Span of one cell.
-const CELL: Duration = Duration::from_secs(30);
+/// Time that one cell covers.
+const CELL_SPAN: Duration = Duration::from_secs(30);
 
-/// Cells that the longest window needs.
-const MOST_CELLS: usize = 6 * 60 * 2 + 1;
+/// Number of cells that the longest window needs.
+const MAX_CELLS: usize = 6 * 60 * 2 + 1;
 
-/// Cells of one service, the newest last, with the number of their span since 1970.
+/// Cells of one service, the newest last, each with its number since 1970.
 type Cells = VecDeque<(u64, BurnCell)>;
 
-/// What one entry has counted.
+/// Counters of one entry.
 #[derive(Clone, Debug, Default)]
 pub struct Burn {
     services: BTreeMap<ServiceId, Cells>,
 }
 
 impl Burn {
-    /// Counts one request: good, or lost to a cause.
+    /// Counts one request as good, or as lost for a cause.
     pub fn count(&mut self, service: &str, loss: Option<Loss>, now: SystemTime) {
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), Cells::new());
@@ -60,11 +61,11 @@
         let Some(cells) = self.services.get_mut(service) else {
             return;
         };
-        let number = number_of(now);
+        let number = cell_number(now);
         if cells.back().is_none_or(|(newest, _)| *newest < number) {
             cells.push_back((number, BurnCell::default()));
         }
-        if cells.len() > MOST_CELLS {
+        if cells.len() > MAX_CELLS {
             cells.pop_front();
         }
         let Some((_, cell)) = cells.back_mut() else {
@@ -85,7 +86,8 @@
     }
 }
 
-/// Returns how fast a service uses up what its objective leaves: at 1.0 it lasts just the period.
+/// Returns the rate at which a service consumes its error budget. At 1.0 the budget lasts exactly for the
+/// period.
 pub fn burn_rate(cell: &BurnCell, objective: f64) -> f64 {
     let total = cell.total();
     if total == 0 {
@@ -97,7 +99,7 @@
 
 fn sum(cells: &Cells, now: SystemTime) -> BurnSum {
     let windows = WINDOWS.iter().map(|window| {
-        let oldest = number_of(now.checked_sub(window.span).unwrap_or(UNIX_EPOCH));
+        let oldest = cell_number(now.checked_sub(window.span).unwrap_or(UNIX_EPOCH));
         let mut total = BurnCell::default();
         for (_, cell) in cells.iter().filter(|(number, _)| *number > oldest) {
             total.add(cell);
@@ -109,7 +111,7 @@
     }
 }
 
-fn number_of(time: SystemTime) -> u64 {
+fn cell_number(time: SystemTime) -> u64 {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.as_secs() / CELL.as_secs()
+    since.as_secs() / CELL_SPAN.as_secs()
 }
--- a/crates/serving/src/claim.rs
+++ b/crates/serving/src/claim.rs
@@ -1,8 +1,8 @@
-//! At most once: claims on keys, decided by their order in a stream of the log.
+//! At-most-once execution: claims on keys, decided by their order in a stream of the log.
 //!
-//! A caller's key holds its time of issue. The first claim on a key wins; a claim is never taken
-//! over, so a holder that was frozen cannot be overtaken and run a request a second time. Keys
-//! older than [`MAX_KEY_AGE`] are refused by the log's own time, so nothing older need be remembered.
+//! A caller's key contains its time of issue. The first claim on a key wins. A claim is never taken over, so
+//! that a holder that was suspended cannot be overtaken and then run a request a second time. Keys older than
+//! [`MAX_KEY_AGE`] by the log's time are refused, so that no older key has to be kept in memory.
 
 use crate::job::AttemptId;
 use protocol::{EntryId, LogRecord, RecordId, ServiceId, decode};
@@ -12,34 +12,34 @@
     time::{Duration, SystemTime},
 };
 
-/// A caller's key: a ULID, whose first part is its time of issue.
+/// Key of a caller: a ULID, which begins with its time of issue.
 pub type Key = ulid::Ulid;
 
-/// Age at which a key is refused.
+/// Age above which a key is refused.
 pub const MAX_KEY_AGE: Duration = Duration::from_secs(600);
 
-/// How far ahead of an entry's clock a key's time may be.
+/// Maximum time by which a key may be ahead of an entry's clock.
 pub const MAX_KEY_AHEAD: Duration = Duration::from_secs(60);
 
-/// Why a key is not taken.
+/// Reason why a key is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// It is no ULID.
+    /// The key is not a ULID.
     #[error("must be a ULID: 26 characters that begin with the time of issue")]
     Malformed,
-    /// It was issued too long ago.
+    /// The key was issued too long ago.
     #[error("was issued more than {} s ago", MAX_KEY_AGE.as_secs())]
     TooOld,
-    /// It is dated ahead.
+    /// The key's time of issue is too far in the future.
     #[error("is dated ahead of the present time")]
     Ahead,
 }
 
-/// Reads a caller's key.
+/// Parses a caller's key.
 ///
 /// # Errors
 ///
-/// Fails when the text is no ULID, or when its time is too old or ahead.
+/// Fails when the text is not a ULID, or its time of issue is too old or too far in the future.
 pub fn read_key(text: &str, now: SystemTime) -> Result<Key, KeyError> {
     let key = Key::from_string(text).map_err(|_| KeyError::Malformed)?;
     if key.datetime() > now + MAX_KEY_AHEAD {
@@ -51,93 +51,94 @@
     Ok(key)
 }
 
-/// One record of a stream of claims.
+/// Record of a stream of claims.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// Unique id; a second copy has no effect because each claim in it has an id as well.
+    /// Unique id of the record. A second copy of a record has no effect, because each claim has an id of its
+    /// own too.
     pub id: RecordId,
-    /// The entry that appended it.
+    /// Entry that appended the record.
     pub by: EntryId,
-    /// What it holds.
+    /// Contents of the record.
     pub entries: Vec<Entry>,
 }
 
-/// One part of a record.
+/// Item of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A claim.
+    /// Claim on a key.
     Claim(Claim),
-    /// What became of the request of a claim that won.
+    /// Result of the request whose claim won.
     Settle {
-        /// The service.
+        /// Service of the request.
         service: ServiceId,
-        /// The key.
+        /// Key of the request.
         key: Key,
-        /// The claim.
+        /// Claim that won.
         claim: AttemptId,
-        /// What became of it.
+        /// Result of the request.
         state: ClaimState,
     },
 }
 
-/// A claim on a key.
+/// Claim on a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The service.
+    /// Service of the request.
     pub service: ServiceId,
-    /// The caller's key.
+    /// Key that the caller sent.
     pub key: Key,
-    /// The claim's own id.
+    /// Id of the claim.
     pub claim: AttemptId,
-    /// Hash of the request's body: another body under the same key is another request.
+    /// Hash of the request's body. The same key with another body is another request.
     pub digest: u64,
-    /// The claim has no effect if the log takes it later than this.
+    /// Time limit for the log to accept the claim. A claim that is accepted later has no effect.
     pub expires: SystemTime,
 }
 
-/// What became of a request that holds its key.
+/// State of a request that holds its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimState {
-    /// Nobody has said yet.
+    /// No result has been reported.
     Open,
-    /// It ran to its end and its caller was answered.
+    /// The request ran to its end and its caller was answered.
     Done,
-    /// Nobody can tell whether it ran.
+    /// It is unknown whether the request ran.
     Unknown,
-    /// It was certainly not run; the key is free again.
+    /// The request was certainly not run, and the key is free again.
     NotRun,
 }
 
-/// What was decided about a claim.
+/// Decision about a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
-    /// It was first: the request may be sent.
+    /// The claim is the first, and the request may be sent.
     Won,
     /// An earlier request with the key ran to its end.
     Done,
-    /// An earlier request with the key is in progress, or nobody can tell what became of it.
+    /// An earlier request with the key is in progress, or its result is unknown.
     Held(ClaimState),
     /// The key belongs to a request with another body.
     Mismatch,
-    /// The key was too old by the time the log took the claim.
+    /// The key was already too old when the log accepted the claim.
     TooOld,
     /// The log could not be reached in time.
     LogDown,
 }
 
-/// The verdict on one claim, as the book reads it.
+/// Decision about one claim, with the entry that holds its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimVerdict {
-    /// The claim.
+    /// Id of the claim.
     pub claim: AttemptId,
-    /// What was decided.
+    /// Decision about the claim.
     pub decision: ClaimDecision,
-    /// The entry that holds the key.
+    /// Entry that holds the key.
     pub holder: EntryId,
 }
 
-/// Who holds a key.
+/// Claim that holds a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Holder {
     claim: AttemptId,
@@ -146,23 +147,23 @@
     state: ClaimState,
 }
 
-/// The fold of one stream of claims.
+/// Keys that are held, as the records of one stream of claims define them.
 #[derive(Clone, Debug, Default)]
 pub struct ClaimRegistry {
     held: BTreeMap<(Key, ServiceId), Holder>,
 }
 
 impl ClaimRegistry {
-    /// Applies the next record and returns the verdict on each claim in it.
+    /// Applies the next record and returns the decision on each claim in it.
     pub fn apply(&mut self, record: &LogRecord) -> Vec<ClaimVerdict> {
         self.forget(record.at);
         let Ok(claims) = decode::<ClaimRecord>(&record.data) else {
             return Vec::new();
         };
-        let mut verdicts = Vec::new();
+        let mut decisions = Vec::new();
         for entry in claims.entries {
             match entry {
-                Entry::Claim(claim) => verdicts.push(self.judge(claim, &claims.by, record.at)),
+                Entry::Claim(claim) => decisions.push(self.decide(claim, &claims.by, record.at)),
                 Entry::Settle {
                     service,
                     key,
@@ -171,20 +172,20 @@
                 } => self.settle((key, service), claim, state),
             }
         }
-        verdicts
+        decisions
     }
 
-    /// Keys that are remembered.
+    /// Returns the number of keys in memory.
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
-    /// Tells whether no key is remembered.
+    /// Returns whether no key is in memory.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    fn judge(&mut self, claim: Claim, by: &str, at: SystemTime) -> ClaimVerdict {
+    fn decide(&mut self, claim: Claim, by: &str, at: SystemTime) -> ClaimVerdict {
         let id = claim.claim;
         let verdict = |decision, holder: &str| ClaimVerdict {
             claim: id,
@@ -197,9 +198,9 @@
         if is_too_old(claim.key, at) {
             return verdict(ClaimDecision::TooOld, by);
         }
-        let place = (claim.key, claim.service);
-        if let Some(holder) = self.held.get(&place) {
-            return verdict(holder.answer(id, claim.digest), &holder.by);
+        let held_key = (claim.key, claim.service);
+        if let Some(holder) = self.held.get(&held_key) {
+            return verdict(holder.decide(id, claim.digest), &holder.by);
         }
         let holder = Holder {
             claim: id,
@@ -207,12 +208,12 @@
             digest: claim.digest,
             state: ClaimState::Open,
         };
-        self.held.insert(place, holder);
+        self.held.insert(held_key, holder);
         verdict(ClaimDecision::Won, by)
     }
 
-    fn settle(&mut self, place: (Key, ServiceId), claim: AttemptId, state: ClaimState) {
-        let Some(holder) = self.held.get_mut(&place) else {
+    fn settle(&mut self, held_key: (Key, ServiceId), claim: AttemptId, state: ClaimState) {
+        let Some(holder) = self.held.get_mut(&held_key) else {
             return;
         };
         if holder.claim != claim {
@@ -220,13 +221,13 @@
         }
         match state {
             ClaimState::NotRun => {
-                self.held.remove(&place);
+                self.held.remove(&held_key);
             }
             ClaimState::Open | ClaimState::Done | ClaimState::Unknown => holder.state = state,
         }
     }
 
-    /// Forgets keys on which no claim can win any more.
+    /// Drops the keys on which no claim can win any more.
     fn forget(&mut self, at: SystemTime) {
         while let Some(entry) = self.held.first_entry() {
             if !is_too_old(entry.key().0, at) {
@@ -238,7 +239,7 @@
 }
 
 impl Holder {
-    fn answer(&self, claim: AttemptId, digest: u64) -> ClaimDecision {
+    fn decide(&self, claim: AttemptId, digest: u64) -> ClaimDecision {
         if self.claim == claim {
             return ClaimDecision::Won;
         }
--- a/crates/serving/src/estimate.rs
+++ b/crates/serving/src/estimate.rs
@@ -1,21 +1,21 @@
-//! Run times as they were measured; what is declared is not believed.
+//! Estimates of run times. They use only measured run times, since declared ones are not reliable.
 
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
 
-/// Samples after which the older half is forgotten.
-const WINDOW: u64 = 256;
+/// Number of samples in a histogram, after which the older histogram is dropped.
+const WINDOW_SAMPLES: u64 = 256;
 
-/// Time after which old samples say nothing any more, so that a service is tried again.
-const STALE: Duration = Duration::from_secs(10);
+/// Time after the last sample from which the estimates are ignored, so that a service is tried again.
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(10);
 
-/// Share of runs that the careful estimate covers.
-const CAREFUL: f64 = 0.9;
+/// Share of runs that the 90th percentile covers.
+const PERCENTILE_90: f64 = 0.9;
 
-/// The longest run that is told apart, in microseconds: one day.
-const LONGEST_US: u64 = 24 * 60 * 60 * 1_000_000;
+/// Maximum run time that is measured, in microseconds: one day. Longer runs count as this.
+const MAX_RUN_US: u64 = 24 * 60 * 60 * 1_000_000;
 
-/// Measured run times of one service, the newest few hundred.
+/// Measured run times of one service, from the last few hundred runs.
 #[derive(Clone, Debug)]
 pub struct Estimate {
     current: Histogram<u32>,
@@ -23,7 +23,7 @@
     mean: Duration,
     percentile_90: Duration,
     min: Duration,
-    stale: Option<Instant>,
+    expires: Option<Instant>,
 }
 
 impl Default for Estimate {
@@ -34,42 +34,42 @@
             mean: Duration::ZERO,
             percentile_90: Duration::ZERO,
             min: Duration::ZERO,
-            stale: None,
+            expires: None,
         }
     }
 }
 
 impl Estimate {
-    /// Takes in one run that ended at `now`; one that was cut off counts as far as it went.
+    /// Records a run that ended at `now`. A run that was cut off counts with the time that it took until then.
     pub fn record(&mut self, run: Duration, now: Instant) {
-        self.stale = Some(now + STALE);
-        let micros = u64::try_from(run.as_micros()).unwrap_or(LONGEST_US);
-        self.current.saturating_record(micros.clamp(1, LONGEST_US));
-        if self.current.len() >= WINDOW {
+        self.expires = Some(now + MAX_SAMPLE_AGE);
+        let micros = u64::try_from(run.as_micros()).unwrap_or(MAX_RUN_US);
+        self.current.saturating_record(micros.clamp(1, MAX_RUN_US));
+        if self.current.len() >= WINDOW_SAMPLES {
             std::mem::swap(&mut self.current, &mut self.previous);
             self.current.reset();
         }
         self.refresh();
     }
 
-    /// The mean run; zero while nothing was measured.
+    /// Returns the mean run time, or zero without samples.
     pub fn mean(&self) -> Duration {
         self.mean
     }
 
-    /// A run that nine of ten do not exceed; zero while nothing was measured lately.
+    /// Returns the 90th percentile of the run times, or zero without recent samples.
     pub fn percentile_90(&self, now: Instant) -> Duration {
-        self.if_fresh(self.percentile_90, now)
+        self.unless_expired(self.percentile_90, now)
     }
 
-    /// The shortest run; zero while nothing was measured lately.
+    /// Returns the shortest run time, or zero without recent samples.
     pub fn min(&self, now: Instant) -> Duration {
-        self.if_fresh(self.min, now)
+        self.unless_expired(self.min, now)
     }
 
-    fn if_fresh(&self, value: Duration, now: Instant) -> Duration {
-        match self.stale {
-            Some(stale) if now < stale => value,
+    fn unless_expired(&self, value: Duration, now: Instant) -> Duration {
+        match self.expires {
+            Some(expires) if now < expires => value,
             _ => Duration::ZERO,
         }
     }
@@ -80,11 +80,11 @@
             return;
         }
         self.mean = Duration::from_secs_f64(all.mean() / 1e6);
-        self.percentile_90 = Duration::from_micros(all.value_at_quantile(CAREFUL));
+        self.percentile_90 = Duration::from_micros(all.value_at_quantile(PERCENTILE_90));
         self.min = Duration::from_micros(all.min());
     }
 }
 
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, LONGEST_US, 1).expect("the bounds are constant and in order")
+    Histogram::new_with_bounds(1, MAX_RUN_US, 1).expect("the bounds are constant and in order")
 }
--- a/crates/serving/src/retry.rs
+++ b/crates/serving/src/retry.rs
@@ -1,12 +1,12 @@
-//! The retry budget: a share of recent traffic, so that retries cannot multiply an overload.
+//! Retry budget: a share of the recent traffic, so that retries cannot multiply an overload.
 
-/// Retries that each new request pays for.
-const PER_REQUEST: f64 = 0.1;
+/// Retries that each new request adds to the budget.
+const RETRIES_PER_REQUEST: f64 = 0.1;
 
-/// The most retries that can be saved up.
-const MOST_SAVED: f64 = 20.0;
+/// Maximum number of saved retries.
+const MAX_SAVED_RETRIES: f64 = 20.0;
 
-/// Saved-up retries of one pool.
+/// Retry budget of one pool.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryBudget {
     saved: f64,
@@ -14,17 +14,19 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MOST_SAVED }
+        Self {
+            saved: MAX_SAVED_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
-    /// Takes in a new request.
+    /// Adds the share of a new request to the budget.
     pub(crate) fn earn(&mut self) {
-        self.saved = (self.saved + PER_REQUEST).min(MOST_SAVED);
+        self.saved = (self.saved + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Spends one retry if one is saved.
+    /// Spends one retry. Returns false if none is left.
     pub(crate) fn spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
