--- a/crates/serving/tests/claims.rs
+++ b/crates/serving/tests/claims.rs
@@ -1,4 +1,4 @@
-//! The fold of claims: the first one wins, in every reader alike.
+//! Claims on keys: the first one wins, and every reader of the stream comes to the same decision.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -9,9 +9,9 @@
 use protocol::{LogRecord, Loss, RecordId, encode};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A stream of claims that one book reads.
+/// Stream of claims that one registry reads.
 struct Stream {
-    book: ClaimRegistry,
+    registry: ClaimRegistry,
     next: u64,
     at: SystemTime,
 }
@@ -19,7 +19,7 @@
 impl Stream {
     fn new() -> Self {
         Self {
-            book: ClaimRegistry::default(),
+            registry: ClaimRegistry::default(),
             next: 0,
             at: UNIX_EPOCH + Duration::from_secs(1_000_000),
         }
@@ -41,7 +41,7 @@
             data: encode(&record).unwrap(),
         };
         self.next += 1;
-        self.book
+        self.registry
             .apply(&record)
             .into_iter()
             .map(|verdict| verdict.decision)
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_first_claim_wins_and_a_copy_of_it_still_does() {
+fn the_first_claim_wins_and_so_does_its_copy() {
     let mut stream = Stream::new();
     let key = stream.key();
     let claim = AttemptId::new();
@@ -104,7 +104,10 @@
     unknown = { ClaimState::Unknown, ClaimDecision::Held(ClaimState::Unknown) },
     not_run = { ClaimState::NotRun, ClaimDecision::Won },
 )]
-fn what_became_of_the_first_decides_about_the_second(state: ClaimState, second: ClaimDecision) {
+fn the_state_of_the_first_request_decides_the_second_claim(
+    state: ClaimState,
+    second: ClaimDecision,
+) {
     let mut stream = Stream::new();
     let key = stream.key();
     let (claim, _) = stream.claim("a", key, 1);
@@ -113,7 +116,7 @@
 }
 
 #[test]
-fn only_the_holder_settles() {
+fn only_the_holder_settles_its_key() {
     let mut stream = Stream::new();
     let key = stream.key();
     stream.claim("a", key, 1);
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn a_key_that_is_too_old_never_wins_once_it_is_forgotten() {
+fn a_key_that_is_too_old_never_wins_after_it_was_dropped() {
     let mut stream = Stream::new();
     let key = stream.key();
     stream.claim("a", key, 1);
@@ -137,11 +140,11 @@
     );
     stream.at += Duration::from_secs(1);
     assert_eq!(stream.claim("b", key, 1).1, ClaimDecision::TooOld);
-    assert!(stream.book.is_empty());
+    assert!(stream.registry.is_empty());
 }
 
 #[test]
-fn a_claim_that_the_log_took_too_late_does_not_hold_the_key() {
+fn a_claim_that_the_log_accepted_too_late_does_not_hold_the_key() {
     let mut stream = Stream::new();
     let key = stream.key();
     let claim = AttemptId::new();
@@ -158,7 +161,7 @@
 }
 
 #[test]
-fn keys_are_read_with_their_times() {
+fn keys_are_checked_for_their_time_of_issue() {
     let now = UNIX_EPOCH + Duration::from_secs(1_000_000);
     let text = |time: SystemTime| Key::from_datetime(time).to_string();
     assert!(read_key(&text(now), now).is_ok());
--- a/crates/serving/tests/scheduler.rs
+++ b/crates/serving/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler's decisions, without sockets or clocks.
+//! Decisions of the scheduler, tested without sockets or clocks.
 
 use havenladder_serving::{
     AttemptEnd, AttemptId, ClaimDecision, Command, Event, Job, NotRunReason, Outcome, Peer,
@@ -13,8 +13,8 @@
 const SERVICE: &str = "place/pool/service";
 const LARGE: &str = "place/pool/large";
 
-/// A scheduler with a clock of its own and workers that end attempts when told.
-struct Bench {
+/// Scheduler with a clock of its own and workers that end attempts when the test says so.
+struct Harness {
     scheduler: Scheduler,
     now: Instant,
     next: u64,
@@ -22,12 +22,12 @@
     answers: HashMap<u64, Outcome>,
     claims: Vec<u64>,
     stopped: Vec<AttemptId>,
-    set_aside: u32,
+    ejections: u32,
 }
 
-impl Bench {
+impl Harness {
     fn new(workers: usize, slots: u32) -> Self {
-        let mut bench = Self {
+        let mut harness = Self {
             scheduler: Scheduler::new(7),
             now: Instant::now(),
             next: 0,
@@ -35,7 +35,7 @@
             answers: HashMap::new(),
             claims: Vec::new(),
             stopped: Vec::new(),
-            set_aside: 0,
+            ejections: 0,
         };
         let large = Service {
             class: Class::Large,
@@ -45,9 +45,9 @@
             (SERVICE.to_owned(), Service::default()),
             (LARGE.to_owned(), large),
         ];
-        bench.tell(Event::Services(BTreeMap::from(services)));
-        bench.set_workers(workers, slots);
-        bench
+        harness.handle(Event::Services(BTreeMap::from(services)));
+        harness.set_workers(workers, slots);
+        harness
     }
 
     fn set_workers(&mut self, workers: usize, slots: u32) {
@@ -57,10 +57,10 @@
             pool: "place/pool".into(),
             slots,
         });
-        self.tell(Event::Workers(infos.collect()));
+        self.handle(Event::Workers(infos.collect()));
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         for command in self.scheduler.handle(event, self.now) {
             match command {
                 Command::Claim(id) => self.claims.push(id),
@@ -73,7 +73,7 @@
                     self.sent.push((request, attempt, target));
                 }
                 Command::Stop(attempt) => self.stopped.push(attempt),
-                Command::Eject(..) => self.set_aside += 1,
+                Command::Eject(..) => self.ejections += 1,
                 Command::Answer(id, outcome) => {
                     assert!(self.answers.insert(id, outcome).is_none(), "two outcomes");
                 }
@@ -88,7 +88,7 @@
         } else {
             Class::Ordinary
         };
-        self.tell(Event::Arrived(Job {
+        self.handle(Event::Arrived(Job {
             id: self.next,
             service: service.into(),
             class,
@@ -99,7 +99,7 @@
         self.next
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
     }
 
@@ -111,7 +111,7 @@
             .rfind(|sent| sent.0 == request)
             .expect("sent");
         let attempt = *attempt;
-        self.tell(Event::Ended(attempt, end));
+        self.handle(Event::Ended(attempt, end));
     }
 
     fn attempts(&self, request: u64) -> usize {
@@ -125,35 +125,37 @@
         }
     }
 
-    /// Teaches the scheduler that the service takes this long.
+    /// Runs requests so that the scheduler measures this run time for the service.
     fn learn(&mut self, service: &str, ms: u64) {
         for _ in 0..3 {
             let id = self.arrive(service, 1_000_000, true);
-            self.pass(ms);
+            self.advance(ms);
             self.end(id, AttemptEnd::Done);
         }
     }
 }
 
 #[test]
-fn a_request_that_may_have_run_is_never_told_not_run() {
-    let mut bench = Bench::new(2, 1);
-    let id = bench.arrive(SERVICE, 1_000, true);
-    bench.end(id, AttemptEnd::Broken);
+fn a_request_that_may_have_run_is_never_reported_as_not_run() {
+    let mut harness = Harness::new(2, 1);
+    let id = harness.arrive(SERVICE, 1_000, true);
+    harness.end(id, AttemptEnd::Broken);
     for _ in 0..40 {
-        if bench.answers.contains_key(&id) {
+        if harness.answers.contains_key(&id) {
             break;
         }
-        bench.pass(210);
-        bench.tell(Event::Tick);
-        if bench.sent.last().is_some_and(|sent| sent.0 == id) && !bench.answers.contains_key(&id) {
-            bench.end(id, AttemptEnd::Refused);
+        harness.advance(210);
+        harness.handle(Event::Tick);
+        if harness.sent.last().is_some_and(|sent| sent.0 == id)
+            && !harness.answers.contains_key(&id)
+        {
+            harness.end(id, AttemptEnd::Refused);
         }
     }
     assert!(
-        matches!(bench.answers[&id], Outcome::Unknown(_)),
+        matches!(harness.answers[&id], Outcome::Unknown(_)),
         "{:?}",
-        bench.answers[&id]
+        harness.answers[&id]
     );
 }
 
@@ -162,46 +164,49 @@
     failed = { AttemptEnd::Failed },
 )]
 fn a_request_that_must_not_be_repeated_is_sent_once(end: AttemptEnd) {
-    let mut bench = Bench::new(3, 1);
-    let id = bench.arrive(SERVICE, 1_000, false);
-    assert_eq!(bench.attempts(id), 0, "sent before its claim was decided");
-    bench.tell(Event::Claimed(id, ClaimDecision::Won));
-    bench.end(id, end);
-    assert_eq!(bench.answers[&id], Outcome::Unknown(end));
-    assert_eq!(bench.attempts(id), 1);
+    let mut harness = Harness::new(3, 1);
+    let id = harness.arrive(SERVICE, 1_000, false);
+    assert_eq!(harness.attempts(id), 0, "sent before its claim was decided");
+    harness.handle(Event::Claimed(id, ClaimDecision::Won));
+    harness.end(id, end);
+    assert_eq!(harness.answers[&id], Outcome::Unknown(end));
+    assert_eq!(harness.attempts(id), 1);
 }
 
 #[yare::parameterized(
     refused = { AttemptEnd::Refused },
     not_sent = { AttemptEnd::NotSent },
 )]
-fn a_certain_not_run_is_tried_elsewhere(end: AttemptEnd) {
-    let mut bench = Bench::new(3, 1);
-    let id = bench.arrive(SERVICE, 1_000, false);
-    bench.tell(Event::Claimed(id, ClaimDecision::Won));
-    bench.end(id, end);
-    assert_eq!(bench.attempts(id), 2);
-    assert_ne!(bench.sent[0].2, bench.sent[1].2, "the same worker again");
-    bench.end(id, AttemptEnd::Done);
-    assert!(matches!(bench.answers[&id], Outcome::Done(_)));
+fn a_request_that_certainly_did_not_run_is_retried_elsewhere(end: AttemptEnd) {
+    let mut harness = Harness::new(3, 1);
+    let id = harness.arrive(SERVICE, 1_000, false);
+    harness.handle(Event::Claimed(id, ClaimDecision::Won));
+    harness.end(id, end);
+    assert_eq!(harness.attempts(id), 2);
+    assert_ne!(
+        harness.sent[0].2, harness.sent[1].2,
+        "the same worker again"
+    );
+    harness.end(id, AttemptEnd::Done);
+    assert!(matches!(harness.answers[&id], Outcome::Done(_)));
 }
 
 #[test]
-fn retries_are_a_share_of_traffic() {
-    let mut bench = Bench::new(4, 100);
+fn retries_are_limited_to_a_share_of_the_traffic() {
+    let mut harness = Harness::new(4, 100);
     let mut attempts = 0;
     for _ in 0..1_000 {
-        let id = bench.arrive(SERVICE, 10_000, true);
-        while !bench.answers.contains_key(&id) {
-            bench.end(id, AttemptEnd::Broken);
-            bench.pass(1);
-            bench.tell(Event::Tick);
-            if !bench.scheduler.is_empty() && bench.attempts(id) == 0 {
+        let id = harness.arrive(SERVICE, 10_000, true);
+        while !harness.answers.contains_key(&id) {
+            harness.end(id, AttemptEnd::Broken);
+            harness.advance(1);
+            harness.handle(Event::Tick);
+            if !harness.scheduler.is_empty() && harness.attempts(id) == 0 {
                 break;
             }
         }
-        attempts += bench.attempts(id);
-        bench.pass(70_000);
+        attempts += harness.attempts(id);
+        harness.advance(70_000);
     }
     assert!(
         attempts <= 1_000 + 100 + 20,
@@ -210,15 +215,15 @@
 }
 
 #[test]
-fn a_worker_that_fails_everything_is_set_aside_and_tried_again() {
-    let mut bench = Bench::new(6, 4);
+fn a_worker_that_fails_every_task_is_ejected_and_tried_again() {
+    let mut harness = Harness::new(6, 4);
     let mut failures = 0;
     for _ in 0..600 {
-        let id = bench.arrive(SERVICE, 60_000, false);
-        bench.tell(Event::Claimed(id, ClaimDecision::Won));
-        let bad = bench.sent.last().expect("sent").2 == Target::Worker("vm-0".into());
+        let id = harness.arrive(SERVICE, 60_000, false);
+        harness.handle(Event::Claimed(id, ClaimDecision::Won));
+        let bad = harness.sent.last().expect("sent").2 == Target::Worker("vm-0".into());
         failures += u32::from(bad);
-        bench.end(
+        harness.end(
             id,
             if bad {
                 AttemptEnd::Failed
@@ -226,26 +231,27 @@
                 AttemptEnd::Done
             },
         );
-        bench.pass(10);
+        harness.advance(10);
     }
-    // 6 s: the first three, then one trial after 1 s, after 2 s more, and so on.
+    // In 6 s, the worker fails its first three tasks, then one on trial after 1 s, one after 2 s more, and so
+    // on.
     assert!(
         (4..=8).contains(&failures),
         "{failures} tasks to the failing worker"
     );
-    assert_eq!(bench.set_aside, failures - 2, "each one is told");
+    assert_eq!(harness.ejections, failures - 2, "each ejection is reported");
 }
 
 #[test]
-fn no_more_than_a_third_of_the_workers_is_set_aside() {
-    let mut bench = Bench::new(6, 4);
+fn at_most_a_third_of_the_workers_is_ejected() {
+    let mut harness = Harness::new(6, 4);
     for _ in 0..300 {
-        let id = bench.arrive(SERVICE, 60_000, false);
-        bench.tell(Event::Claimed(id, ClaimDecision::Won));
-        bench.end(id, AttemptEnd::Failed);
-        bench.pass(1);
+        let id = harness.arrive(SERVICE, 60_000, false);
+        harness.handle(Event::Claimed(id, ClaimDecision::Won));
+        harness.end(id, AttemptEnd::Failed);
+        harness.advance(1);
     }
-    let used: std::collections::BTreeSet<String> = bench.sent[250..]
+    let used: std::collections::BTreeSet<String> = harness.sent[250..]
         .iter()
         .map(|(_, _, target)| format!("{target:?}"))
         .collect();
@@ -253,143 +259,140 @@
 }
 
 #[test]
-fn what_cannot_be_done_in_time_is_refused_at_once_with_a_time_to_come_back() {
-    let mut bench = Bench::new(1, 1);
-    bench.learn(SERVICE, 100);
-    let running = bench.arrive(SERVICE, 10_000, true);
+fn a_request_that_cannot_meet_its_deadline_is_refused_with_a_retry_time() {
+    let mut harness = Harness::new(1, 1);
+    harness.learn(SERVICE, 100);
+    let running = harness.arrive(SERVICE, 10_000, true);
     for _ in 0..9 {
-        bench.arrive(SERVICE, 10_000, true);
+        harness.arrive(SERVICE, 10_000, true);
     }
-    let id = bench.arrive(SERVICE, 500, true);
-    let in_front = bench.arrive(SERVICE, 700, true);
-    assert_eq!(bench.attempts(running), 1);
-    assert_eq!(bench.why(id), None, "an early deadline goes in front");
-    let hopeless = bench.arrive(SERVICE, 50, true);
-    assert_eq!(bench.why(hopeless), Some(NotRunReason::Overload));
-    let Outcome::NotRun(refusal) = bench.answers[&hopeless] else {
+    let id = harness.arrive(SERVICE, 500, true);
+    let earlier = harness.arrive(SERVICE, 700, true);
+    assert_eq!(harness.attempts(running), 1);
+    assert_eq!(harness.why(id), None, "an early deadline goes in front");
+    let too_late = harness.arrive(SERVICE, 50, true);
+    assert_eq!(harness.why(too_late), Some(NotRunReason::Overload));
+    let Outcome::NotRun(refusal) = harness.answers[&too_late] else {
         panic!("not refused");
     };
-    assert!(refusal.retry_at > bench.now);
-    assert!(!bench.answers.contains_key(&in_front));
+    assert!(refusal.retry_at > harness.now);
+    assert!(!harness.answers.contains_key(&earlier));
 }
 
 #[test]
-fn a_request_that_has_become_hopeless_in_the_queue_is_answered_then() {
-    let mut bench = Bench::new(1, 1);
-    bench.learn(SERVICE, 100);
-    bench.arrive(SERVICE, 10_000, true);
-    let waits = bench.arrive(SERVICE, 400, true);
-    assert!(!bench.answers.contains_key(&waits));
-    bench.pass(320);
-    bench.tell(Event::Tick);
-    assert_eq!(bench.why(waits), Some(NotRunReason::Overload));
+fn a_request_that_becomes_too_late_in_the_queue_is_refused_then() {
+    let mut harness = Harness::new(1, 1);
+    harness.learn(SERVICE, 100);
+    harness.arrive(SERVICE, 10_000, true);
+    let waits = harness.arrive(SERVICE, 400, true);
+    assert!(!harness.answers.contains_key(&waits));
+    harness.advance(320);
+    harness.handle(Event::Tick);
+    assert_eq!(harness.why(waits), Some(NotRunReason::Overload));
 }
 
 #[test]
 fn no_class_is_starved() {
-    let mut bench = Bench::new(1, 4);
-    bench.learn(SERVICE, 10);
-    bench.learn(LARGE, 10);
+    let mut harness = Harness::new(1, 4);
+    harness.learn(SERVICE, 10);
+    harness.learn(LARGE, 10);
     for _ in 0..200 {
-        bench.arrive(SERVICE, 1_000_000, true);
-        bench.arrive(LARGE, 1_000_000, true);
+        harness.arrive(SERVICE, 1_000_000, true);
+        harness.arrive(LARGE, 1_000_000, true);
     }
-    let from = bench.sent.len();
+    let from = harness.sent.len();
     let mut large = 0;
     for step in 0..100 {
-        let id = bench.sent[from - 4 + step].0;
-        bench.pass(3);
-        bench.end(id, AttemptEnd::Done);
+        let id = harness.sent[from - 4 + step].0;
+        harness.advance(3);
+        harness.end(id, AttemptEnd::Done);
     }
-    for (id, _, _) in &bench.sent[from..] {
-        // Large requests got the even numbers after the lessons.
+    for (id, _, _) in &harness.sent[from..] {
+        // The large requests got the even numbers, after the six requests of the two calls of `learn`.
         large += u32::from((id - 6) % 2 == 0);
     }
     assert!((20..=60).contains(&large), "{large} of 100 were large");
 }
 
 #[test]
-fn a_wave_of_cancellations_frees_places_and_workers_at_once() {
-    let mut bench = Bench::new(1, 2);
-    bench.learn(SERVICE, 10);
+fn cancellations_free_queue_and_workers_at_once() {
+    let mut harness = Harness::new(1, 2);
+    harness.learn(SERVICE, 10);
     let ids: Vec<u64> = (0..50)
-        .map(|_| bench.arrive(SERVICE, 100_000, true))
+        .map(|_| harness.arrive(SERVICE, 100_000, true))
         .collect();
     let last = ids[49];
     for id in &ids[..49] {
-        bench.tell(Event::Cancelled(*id));
+        harness.handle(Event::Cancelled(*id));
     }
-    assert_eq!(bench.attempts(last), 1, "the last one runs at once");
-    assert_eq!(bench.stopped.len(), bench.sent.len() - 3 - 1);
-    assert_eq!(bench.scheduler.len(), 1);
+    assert_eq!(harness.attempts(last), 1, "the last one runs at once");
+    assert_eq!(harness.stopped.len(), harness.sent.len() - 3 - 1);
+    assert_eq!(harness.scheduler.len(), 1);
 }
 
 #[test]
-fn a_claim_that_is_won_after_its_caller_left_is_answered_not_run() {
-    let mut bench = Bench::new(1, 1);
-    let id = bench.arrive(SERVICE, 1_000, false);
-    bench.tell(Event::Cancelled(id));
-    bench.tell(Event::Claimed(id, ClaimDecision::Won));
-    assert_eq!(bench.why(id), Some(NotRunReason::Cancelled));
-    assert_eq!(bench.attempts(id), 0);
+fn a_claim_won_after_the_caller_disconnected_is_not_run() {
+    let mut harness = Harness::new(1, 1);
+    let id = harness.arrive(SERVICE, 1_000, false);
+    harness.handle(Event::Cancelled(id));
+    harness.handle(Event::Claimed(id, ClaimDecision::Won));
+    assert_eq!(harness.why(id), Some(NotRunReason::Cancelled));
+    assert_eq!(harness.attempts(id), 0);
 }
 
 #[test]
-fn a_late_answer_of_an_earlier_attempt_is_dropped() {
-    let mut bench = Bench::new(2, 1);
-    let id = bench.arrive(SERVICE, 10_000, true);
-    let first = bench.sent[0].1;
-    bench.tell(Event::Ended(first, AttemptEnd::Broken));
-    assert_eq!(bench.attempts(id), 2);
-    bench.tell(Event::Ended(first, AttemptEnd::Done));
-    assert!(!bench.answers.contains_key(&id));
-    bench.end(id, AttemptEnd::Done);
-    assert_eq!(bench.answers[&id], Outcome::Done(bench.sent[1].1));
+fn a_late_response_to_an_earlier_attempt_is_dropped() {
+    let mut harness = Harness::new(2, 1);
+    let id = harness.arrive(SERVICE, 10_000, true);
+    let first = harness.sent[0].1;
+    harness.handle(Event::Ended(first, AttemptEnd::Broken));
+    assert_eq!(harness.attempts(id), 2);
+    harness.handle(Event::Ended(first, AttemptEnd::Done));
+    assert!(!harness.answers.contains_key(&id));
+    harness.end(id, AttemptEnd::Done);
+    assert_eq!(harness.answers[&id], Outcome::Done(harness.sent[1].1));
 }
 
 #[test]
-fn a_hall_without_workers_passes_requests_on_once() {
-    let mut bench = Bench::new(0, 0);
-    let id = bench.arrive(SERVICE, 1_000, true);
-    assert_eq!(bench.why(id), Some(NotRunReason::NoWorker));
-    let room = protocol::Room { slots: 8, taken: 0 };
-    bench.tell(Event::Peers(vec![Peer {
+fn a_data_centre_without_workers_forwards_requests_once() {
+    let mut harness = Harness::new(0, 0);
+    let id = harness.arrive(SERVICE, 1_000, true);
+    assert_eq!(harness.why(id), Some(NotRunReason::NoWorker));
+    let capacity = protocol::Room { slots: 8, taken: 0 };
+    harness.handle(Event::Peers(vec![Peer {
         entry: "other".into(),
         addr: "addr".into(),
-        capacity: BTreeMap::from([(SERVICE.to_owned(), room)]),
+        capacity: BTreeMap::from([(SERVICE.to_owned(), capacity)]),
     }]));
-    let id = bench.arrive(SERVICE, 1_000, true);
+    let id = harness.arrive(SERVICE, 1_000, true);
     assert_eq!(
-        bench.sent.last().expect("sent").2,
+        harness.sent.last().expect("sent").2,
         Target::Peer("other".into())
     );
-    bench.end(id, AttemptEnd::Refused);
-    assert_eq!(bench.why(id), Some(NotRunReason::Refused));
+    harness.end(id, AttemptEnd::Refused);
+    assert_eq!(harness.why(id), Some(NotRunReason::Refused));
 }
 
 #[test]
-fn requests_that_wait_are_told_when_their_last_worker_goes() {
-    let mut bench = Bench::new(1, 1);
-    bench.arrive(SERVICE, 10_000, true);
-    let waits = bench.arrive(SERVICE, 10_000, true);
-    bench.set_workers(0, 0);
-    bench.tell(Event::Tick);
-    assert_eq!(bench.why(waits), Some(NotRunReason::NoWorker));
+fn waiting_requests_are_refused_when_their_last_worker_leaves() {
+    let mut harness = Harness::new(1, 1);
+    harness.arrive(SERVICE, 10_000, true);
+    let waits = harness.arrive(SERVICE, 10_000, true);
+    harness.set_workers(0, 0);
+    harness.handle(Event::Tick);
+    assert_eq!(harness.why(waits), Some(NotRunReason::NoWorker));
 }
 
 #[test]
-fn work_goes_to_the_less_loaded_of_two() {
-    let mut bench = Bench::new(8, 64);
+fn requests_go_to_the_less_loaded_of_two_workers() {
+    let mut harness = Harness::new(8, 64);
     for _ in 0..256 {
-        bench.arrive(SERVICE, 100_000, true);
+        harness.arrive(SERVICE, 100_000, true);
     }
     let mut loads: HashMap<String, u32> = HashMap::new();
-    for (_, _, target) in &bench.sent {
+    for (_, _, target) in &harness.sent {
         *loads.entry(format!("{target:?}")).or_default() += 1;
     }
-    let (least, most) = (loads.values().min(), loads.values().max());
-    assert!(
-        most.expect("loads") - least.expect("loads") <= 6,
-        "{loads:?}"
-    );
+    let (min, max) = (loads.values().min(), loads.values().max());
+    assert!(max.expect("loads") - min.expect("loads") <= 6, "{loads:?}");
 }
