--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! Reads objects of JSON with comments field by field and collects what is wrong.
+//! Reader for objects in JSON with comments. It reads field by field and collects everything that is wrong.
 
 use crate::finding::{Finding, Findings, nearest};
 use jsonc_parser::{
@@ -9,7 +9,7 @@
 };
 use std::{cell::RefCell, ops::RangeInclusive, str::FromStr};
 
-/// A file that is being read.
+/// File that is being read.
 pub struct Document<'a> {
     file: &'a str,
     text: &'a str,
@@ -17,7 +17,7 @@
 }
 
 impl<'a> Document<'a> {
-    /// Opens `text`, which the operator knows as `file`.
+    /// Returns the document with this text, which the operator knows as `file`.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Self {
             file,
@@ -26,11 +26,11 @@
         }
     }
 
-    /// Parses the text, hands its top object to `read` and returns what that made of it.
+    /// Parses the text, passes its top-level object to `read` and returns the result.
     ///
     /// # Errors
     ///
-    /// Returns every finding of the parse and of `read`.
+    /// Returns all findings of the parser and of `read`.
     pub fn read<T>(&self, read: impl FnOnce(&Fields<'_>) -> T) -> Result<T, Findings> {
         let value = self.parse();
         let result = match &value {
@@ -88,12 +88,12 @@
     }
 }
 
-/// The fields of one object; remembers which keys were asked for, so that others are findings.
+/// Fields of one object. It records which keys were requested, so that all others are reported as unknown.
 pub struct Fields<'d> {
     document: &'d Document<'d>,
     object: &'d Object<'d>,
     path: String,
-    asked: RefCell<Vec<&'static str>>,
+    requested: RefCell<Vec<&'static str>>,
 }
 
 impl<'d> Fields<'d> {
@@ -102,9 +102,9 @@
             document,
             object,
             path,
-            asked: RefCell::default(),
+            requested: RefCell::default(),
         };
-        fields.check_twice();
+        fields.check_duplicates();
         fields
     }
 
@@ -116,23 +116,23 @@
         self.document.report(range, &self.join(key), message.into());
     }
 
-    /// Reads a text.
+    /// Reads a string.
     pub fn text(&self, key: &'static str) -> Option<String> {
-        match self.ask(key)? {
+        match self.request(key)? {
             Value::StringLit(text) => Some(text.value.clone().into_owned()),
             _ => self.mismatch(key, "a text in quotes"),
         }
     }
 
-    /// Reads a text that some type parses, such as an address.
-    pub fn parsed<T: FromStr>(&self, key: &'static str, wanted: &str) -> Option<T> {
+    /// Reads a string and parses it as a type such as an address.
+    pub fn parsed<T: FromStr>(&self, key: &'static str, expected: &str) -> Option<T> {
         let text = self.text(key)?;
-        text.parse().ok().or_else(|| self.mismatch(key, wanted))
+        text.parse().ok().or_else(|| self.mismatch(key, expected))
     }
 
     /// Reads `true` or `false`.
     pub fn flag(&self, key: &'static str) -> Option<bool> {
-        match self.ask(key)? {
+        match self.request(key)? {
             Value::BooleanLit(flag) => Some(flag.value),
             _ => self.mismatch(key, "true or false"),
         }
@@ -140,53 +140,53 @@
 
     /// Reads a whole number in `range`.
     pub fn number(&self, key: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
-        let Value::NumberLit(number) = self.ask(key)? else {
-            return self.mismatch(key, &number_wanted(&range));
+        let Value::NumberLit(number) = self.request(key)? else {
+            return self.mismatch(key, &expected_number(&range));
         };
         match number.value.parse() {
             Ok(value) if range.contains(&value) => Some(value),
-            _ => self.mismatch(key, &number_wanted(&range)),
+            _ => self.mismatch(key, &expected_number(&range)),
         }
     }
 
     /// Reads a share above 0 and below 1.
     pub fn share(&self, key: &'static str) -> Option<f64> {
-        const WANTED: &str = "a number above 0 and below 1";
-        let Value::NumberLit(number) = self.ask(key)? else {
-            return self.mismatch(key, WANTED);
+        const EXPECTED: &str = "a number above 0 and below 1";
+        let Value::NumberLit(number) = self.request(key)? else {
+            return self.mismatch(key, EXPECTED);
         };
         match number.value.parse() {
             Ok(value) if value > 0.0 && value < 1.0 => Some(value),
-            _ => self.mismatch(key, WANTED),
+            _ => self.mismatch(key, EXPECTED),
         }
     }
 
-    /// Reads a value that may be a text or a whole number, as its text.
-    pub fn text_or_number(&self, key: &'static str, wanted: &str) -> Option<String> {
-        match self.ask(key)? {
+    /// Reads a string or a whole number, as a string.
+    pub fn text_or_number(&self, key: &'static str, expected: &str) -> Option<String> {
+        match self.request(key)? {
             Value::StringLit(text) => Some(text.value.clone().into_owned()),
             Value::NumberLit(number) => Some(number.value.to_owned()),
-            _ => self.mismatch(key, wanted),
+            _ => self.mismatch(key, expected),
         }
     }
 
-    /// Reads a list of texts.
+    /// Reads a list of strings.
     pub fn texts(&self, key: &'static str) -> Option<Vec<String>> {
-        const WANTED: &str = "a list of texts";
-        let Value::Array(array) = self.ask(key)? else {
-            return self.mismatch(key, WANTED);
+        const EXPECTED: &str = "a list of texts";
+        let Value::Array(array) = self.request(key)? else {
+            return self.mismatch(key, EXPECTED);
         };
         let text = |element: &Value<'_>| match element {
             Value::StringLit(text) => Some(text.value.clone().into_owned()),
             _ => None,
         };
         let texts: Option<Vec<String>> = array.elements.iter().map(text).collect();
-        texts.or_else(|| self.mismatch(key, WANTED))
+        texts.or_else(|| self.mismatch(key, EXPECTED))
     }
 
     /// Reads the object at `key`.
     pub fn object<T>(&self, key: &'static str, read: impl FnOnce(&Fields<'_>) -> T) -> Option<T> {
-        match self.ask(key)? {
+        match self.request(key)? {
             Value::Object(object) => Some(self.nested(object, self.join(key), read)),
             _ => self.mismatch(key, "an object"),
         }
@@ -194,7 +194,7 @@
 
     /// Reads the list of objects at `key`.
     pub fn list<T>(&self, key: &'static str, mut read: impl FnMut(&Fields<'_>) -> T) -> Vec<T> {
-        let Some(value) = self.ask(key) else {
+        let Some(value) = self.request(key) else {
             return Vec::new();
         };
         let Value::Array(array) = value else {
@@ -214,7 +214,7 @@
         items
     }
 
-    /// Reads every field of this object, whose names are the operator's own, as an object.
+    /// Reads every field of this object as an object. The operator chooses the names of the fields.
     pub fn each(&self, mut read: impl FnMut(&str, &Fields<'_>)) {
         for property in &self.object.properties {
             let name = property.name.as_str();
@@ -233,7 +233,7 @@
                     .report(other.range(), &path, "must be an object".into()),
             }
         }
-        self.asked.borrow_mut().push("");
+        self.requested.borrow_mut().push("");
     }
 
     fn nested<T>(
@@ -257,13 +257,13 @@
         Some(&property.value)
     }
 
-    fn ask(&self, key: &'static str) -> Option<&Value<'d>> {
-        self.asked.borrow_mut().push(key);
+    fn request(&self, key: &'static str) -> Option<&Value<'d>> {
+        self.requested.borrow_mut().push(key);
         self.value(key)
     }
 
-    fn mismatch<T>(&self, key: &str, wanted: &str) -> Option<T> {
-        self.report(key, format!("must be {wanted}"));
+    fn mismatch<T>(&self, key: &str, expected: &str) -> Option<T> {
+        self.report(key, format!("must be {expected}"));
         None
     }
 
@@ -275,7 +275,7 @@
         }
     }
 
-    fn check_twice(&self) {
+    fn check_duplicates(&self) {
         for (index, property) in self.object.properties.iter().enumerate() {
             let name = property.name.as_str();
             let earlier = &self.object.properties[..index];
@@ -287,20 +287,20 @@
         }
     }
 
-    /// Reports the keys that nobody asked for, each with the nearest known one.
+    /// Reports the keys that were not requested, each with the most similar known key.
     fn finish(&self) {
-        let asked = self.asked.borrow();
-        if asked.contains(&"") {
+        let requested = self.requested.borrow();
+        if requested.contains(&"") {
             return;
         }
         for property in &self.object.properties {
             let name = property.name.as_str();
-            if asked.contains(&name) {
+            if requested.contains(&name) {
                 continue;
             }
-            let message = match nearest(name, asked.iter().copied()) {
+            let message = match nearest(name, requested.iter().copied()) {
                 Some(known) => format!("unknown key; did you mean `{known}`?"),
-                None => format!("unknown key; known here: {}", asked.join(", ")),
+                None => format!("unknown key; known here: {}", requested.join(", ")),
             };
             self.document
                 .report(property.range, &self.join(name), message);
@@ -308,7 +308,7 @@
     }
 }
 
-fn number_wanted(range: &RangeInclusive<u64>) -> String {
+fn expected_number(range: &RangeInclusive<u64>) -> String {
     format!("a whole number from {} to {}", range.start(), range.end())
 }
 
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -1,22 +1,22 @@
-//! Findings: everything that is wrong in a file, each with its place.
+//! Findings: everything that is wrong in a file, each with its position.
 
 use std::fmt::{self, Display, Formatter};
 
-/// Names that are further away than this are not offered as a correction.
-const FURTHEST_SUGGESTION: usize = 4;
+/// Maximum edit distance of a name that is suggested as a correction.
+const MAX_SUGGESTION_DISTANCE: usize = 4;
 
-/// One thing that is wrong in a file.
+/// Error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The file, as the operator named it.
+    /// Name of the file, as the operator gave it.
     pub file: String,
     /// Line, counted from 1.
     pub line: usize,
     /// Column, counted from 1.
     pub column: usize,
-    /// Path of the value in the file, as `aotearoa.pools.renders.vms`; empty for the whole file.
+    /// Path of the value in the file, such as `aotearoa.pools.renders.vms`; empty for the whole file.
     pub path: String,
-    /// What is wrong and what would be right.
+    /// Description of what is wrong and what would be right.
     pub message: String,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// All findings of one file; never empty when it is returned as an error.
+/// All findings of one file. It is never empty when it is returned as an error.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
 pub struct Findings(pub Vec<Finding>);
 
@@ -46,12 +46,12 @@
     }
 }
 
-/// Returns the name in `known` that is nearest to `wrong`, if one is near.
+/// Returns the name in `known` that is most similar to `wrong`, if one is similar enough.
 pub fn nearest<'a>(wrong: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
         .map(|name| (strsim::damerau_levenshtein(wrong, name), name))
-        .filter(|(distance, name)| *distance <= FURTHEST_SUGGESTION.min(name.len() / 2 + 1))
+        .filter(|(distance, name)| *distance <= MAX_SUGGESTION_DISTANCE.min(name.len() / 2 + 1))
         .min()
         .map(|(_, name)| name)
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! The tree of settings that operators publish: place, pool, service.
+//! Tree of the settings that operators publish, with the levels place, pool and service.
 //!
-//! A service inherits from its pool and a pool from its place; the lowest level that sets a value
-//! wins. Files are JSON with comments; everything that is wrong in one is reported together, each
-//! finding with its place.
+//! A service inherits from its pool and a pool from its place. The lowest level that sets a value wins. Files
+//! are JSON with comments. All errors of a file are reported together, each with its position.
 
 mod document;
 mod finding;
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,4 +1,4 @@
-//! One level's own values.
+//! Values that one level of the tree sets.
 
 use serde::{Deserialize, Serialize};
 use std::{
@@ -6,18 +6,18 @@
     str::FromStr,
 };
 
-/// How much of a service's capacity may be unavailable at once.
+/// Part of a service's capacity that may be unavailable at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Budget {
-    /// A count of slots.
+    /// Number of slots.
     Slots(u32),
-    /// A share of the capacity, in percent, rounded down to whole slots.
+    /// Share of the capacity in percent, rounded down to whole slots.
     Percent(u8),
 }
 
 impl Budget {
-    /// Returns the budget in slots for a service of `capacity` slots.
+    /// Returns the budget in slots for a service with `capacity` slots.
     pub fn slots(self, capacity: u32) -> u32 {
         match self {
             Self::Slots(slots) => slots.min(capacity),
@@ -38,7 +38,7 @@
     }
 }
 
-/// The text is neither a count of slots nor a share such as `20%`.
+/// Error of a text that is neither a number of slots nor a share such as `20%`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("must be a count of slots or a share such as \"20%\"")]
 pub struct BudgetError;
@@ -57,15 +57,15 @@
     }
 }
 
-/// How urgent a service's requests are against those of other services on the same workers.
+/// Urgency of a service's requests compared with those of other services on the same workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Small and waited for by a person.
+    /// Small requests for which a person waits.
     Preview,
-    /// Neither.
+    /// Requests that are neither urgent nor large.
     Ordinary,
-    /// Long, and content to wait.
+    /// Long requests that may wait.
     Large,
 }
 
@@ -87,34 +87,34 @@
     }
 }
 
-/// The values that one level sets; what is `None` is inherited.
+/// Values that one level sets. A value of `None` is inherited.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// How much may be unavailable at once.
+    /// Part of the capacity that may be unavailable at a time.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub unavailable: Option<Budget>,
-    /// Share of requests to be done once, whole and in time.
+    /// Objective: share of requests that must be done once, completely and in time.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub objective: Option<f64>,
-    /// Urgency.
+    /// Urgency of the requests.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub class: Option<Class>,
-    /// Time that a request has when its caller names no deadline, in milliseconds.
+    /// Time limit for requests whose callers set no deadline, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub timeout_ms: Option<u64>,
     /// Whether a request may be run more than once.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub repeatable: Option<bool>,
-    /// The largest body of a request and of an answer, in bytes.
+    /// Maximum size of the body of a request and of a response, in bytes.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub body_limit: Option<u64>,
-    /// The most requests that wait in one entry.
+    /// Maximum number of requests that wait in one entry.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub queue_limit: Option<u64>,
-    /// The halls whose VMs may serve here.
+    /// Data centres whose VMs may serve here.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub halls: Option<Vec<String>>,
-    /// The asked-for number of VMs; pools only.
+    /// Requested number of VMs, for pools only.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub vms: Option<u32>,
 }
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads a file of settings into a tree.
+//! Reads a settings file into a tree.
 
 use crate::{
     document::{Document, Fields},
@@ -7,17 +7,17 @@
     tree::Tree,
 };
 
-/// The longest time that a service may give its requests: one day.
-const LONGEST_TIMEOUT_MS: u64 = 24 * 60 * 60 * 1_000;
+/// Maximum time limit that a service may give its requests: one day.
+const MAX_TIMEOUT_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// The largest body that a service may allow, in bytes.
-const LARGEST_BODY: u64 = 64 << 20;
+/// Maximum body size that a service may allow, in bytes.
+const MAX_BODY_BYTES: u64 = 64 << 20;
 
-/// The longest queue that a service may have in one entry.
-const LONGEST_QUEUE: u64 = 100_000;
+/// Maximum queue length that a service may have in one entry.
+const MAX_QUEUE_LENGTH: u64 = 100_000;
 
-/// The most VMs that a pool may ask for.
-const MOST_VMS: u64 = 100_000;
+/// Maximum number of VMs that a pool may request.
+const MAX_VMS: u64 = 100_000;
 
 /// Reads `text`, which the operator knows as `file`.
 ///
@@ -42,7 +42,7 @@
 fn read_pool(tree: &mut Tree, path: &str, fields: &Fields<'_>) {
     let mut node = read_node(fields);
     node.vms = fields
-        .number("vms", 0..=MOST_VMS)
+        .number("vms", 0..=MAX_VMS)
         .and_then(|vms| u32::try_from(vms).ok());
     tree.nodes.insert(path.to_owned(), node);
     fields.object("services", |services| {
@@ -58,18 +58,18 @@
         unavailable: read_budget(fields),
         objective: fields.share("objective"),
         class: read_class(fields),
-        timeout_ms: fields.number("timeout_ms", 1..=LONGEST_TIMEOUT_MS),
+        timeout_ms: fields.number("timeout_ms", 1..=MAX_TIMEOUT_MS),
         repeatable: fields.flag("repeatable"),
-        body_limit: fields.number("body_limit", 0..=LARGEST_BODY),
-        queue_limit: fields.number("queue_limit", 0..=LONGEST_QUEUE),
+        body_limit: fields.number("body_limit", 0..=MAX_BODY_BYTES),
+        queue_limit: fields.number("queue_limit", 0..=MAX_QUEUE_LENGTH),
         halls: fields.texts("halls"),
         vms: None,
     }
 }
 
 fn read_budget(fields: &Fields<'_>) -> Option<Budget> {
-    const WANTED: &str = "a count of slots or a share such as \"20%\"";
-    let text = fields.text_or_number("unavailable", WANTED)?;
+    const EXPECTED: &str = "a count of slots or a share such as \"20%\"";
+    let text = fields.text_or_number("unavailable", EXPECTED)?;
     match text.parse() {
         Ok(budget) => Some(budget),
         Err(error) => {
--- a/crates/settings/src/resolve.rs
+++ b/crates/settings/src/resolve.rs
@@ -1,4 +1,4 @@
-//! Inheritance: what is in force for a service, and which level each value came from.
+//! Inheritance: the values in force for a service, and the level that each value comes from.
 
 use crate::{
     node::{Budget, Class, Node},
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A key that every level may set.
+/// Key that every level may set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Key {
@@ -39,7 +39,7 @@
         Self::QueueLimit,
     ];
 
-    /// The key as it stands in a file.
+    /// Returns the key as it is written in a file.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Unavailable => "unavailable",
@@ -53,22 +53,22 @@
     }
 }
 
-/// What is in force for one service; the default holds where no level sets a value.
+/// Values in force for one service. A value that no level sets has its default.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// How much may be unavailable at once.
+    /// Part of the capacity that may be unavailable at a time.
     pub unavailable: Budget,
-    /// Share of requests to be done once, whole and in time.
+    /// Objective: share of requests that must be done once, completely and in time.
     pub objective: f64,
-    /// Urgency.
+    /// Urgency of the requests.
     pub class: Class,
-    /// Time that a request has when its caller names no deadline.
+    /// Time limit for requests whose callers set no deadline.
     pub timeout: Duration,
     /// Whether a request may be run more than once.
     pub repeatable: bool,
-    /// The largest body of a request and of an answer, in bytes.
+    /// Maximum size of the body of a request and of a response, in bytes.
     pub body_limit: usize,
-    /// The most requests that wait in one entry.
+    /// Maximum number of requests that wait in one entry.
     pub queue_limit: usize,
 }
 
@@ -87,52 +87,52 @@
 }
 
 impl Service {
-    /// Resolves the service at `path`.
+    /// Resolves the values in force for the service at `path`.
     pub fn resolve(tree: &Tree, path: &str) -> Self {
         let mut service = Self::default();
-        if let Some(unavailable) = lowest(tree, path, |node| node.unavailable) {
+        if let Some(unavailable) = lowest_set(tree, path, |node| node.unavailable) {
             service.unavailable = unavailable;
         }
-        if let Some(objective) = lowest(tree, path, |node| node.objective) {
+        if let Some(objective) = lowest_set(tree, path, |node| node.objective) {
             service.objective = objective;
         }
-        if let Some(class) = lowest(tree, path, |node| node.class) {
+        if let Some(class) = lowest_set(tree, path, |node| node.class) {
             service.class = class;
         }
-        if let Some(timeout) = lowest(tree, path, |node| node.timeout_ms) {
+        if let Some(timeout) = lowest_set(tree, path, |node| node.timeout_ms) {
             service.timeout = Duration::from_millis(timeout);
         }
-        if let Some(repeatable) = lowest(tree, path, |node| node.repeatable) {
+        if let Some(repeatable) = lowest_set(tree, path, |node| node.repeatable) {
             service.repeatable = repeatable;
         }
-        if let Some(limit) = lowest(tree, path, |node| node.body_limit) {
+        if let Some(limit) = lowest_set(tree, path, |node| node.body_limit) {
             service.body_limit = usize::try_from(limit).unwrap_or(usize::MAX);
         }
-        if let Some(limit) = lowest(tree, path, |node| node.queue_limit) {
+        if let Some(limit) = lowest_set(tree, path, |node| node.queue_limit) {
             service.queue_limit = usize::try_from(limit).unwrap_or(usize::MAX);
         }
         service
     }
 }
 
-/// Tells whether VMs of `hall` may serve at `path`; they may wherever no level names halls.
+/// Returns whether VMs of the data centre `hall` may serve at `path`. All may if no level names data centres.
 pub fn admits_hall(tree: &Tree, path: &str, hall: &str) -> bool {
     let named = Tree::levels(path).find_map(|level| tree.nodes.get(level)?.halls.as_ref());
     named.is_none_or(|halls| halls.iter().any(|name| name == hall))
 }
 
-/// Where the value of one key came from.
+/// Origin of the value of one key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Source {
-    /// The key.
+    /// Key of the value.
     pub key: Key,
-    /// The value in force, as it would stand in a file.
+    /// Value in force, as it would be written in a file.
     pub value: serde_json::Value,
-    /// The level that set it; `None` for the documented default.
+    /// Level that sets the value, or `None` for the documented default.
     pub level: Option<Path>,
 }
 
-/// Returns for each key what is in force at `path` and which level set it.
+/// Returns for each key the value in force at `path` and the level that sets it.
 pub fn sources(tree: &Tree, path: &str) -> Vec<Source> {
     let service = Service::resolve(tree, path);
     Key::ALL
@@ -172,6 +172,6 @@
         .map(str::to_owned)
 }
 
-fn lowest<T>(tree: &Tree, path: &str, value: impl Fn(&Node) -> Option<T>) -> Option<T> {
+fn lowest_set<T>(tree: &Tree, path: &str, value: impl Fn(&Node) -> Option<T>) -> Option<T> {
     Tree::levels(path).find_map(|level| tree.nodes.get(level).and_then(&value))
 }
--- a/crates/settings/src/tree.rs
+++ b/crates/settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! The whole tree, flat by path, and the difference between two trees.
+//! Settings tree, stored by path, and the difference between two trees.
 
 use crate::node::Node;
 use serde::{Deserialize, Serialize};
@@ -7,10 +7,10 @@
 /// Path of a level: `place`, `place/pool` or `place/pool/service`.
 pub type Path = String;
 
-/// Every level that is set, by path.
+/// Settings of all levels that are set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tree {
-    /// The levels.
+    /// Levels by path.
     pub nodes: BTreeMap<Path, Node>,
 }
 
@@ -35,7 +35,7 @@
             .take_while(move |path| path.starts_with(&prefix))
     }
 
-    /// Returns the path and each path above it, the lowest first.
+    /// Returns the path and all paths above it, the lowest first.
     pub fn levels(path: &str) -> impl Iterator<Item = &str> {
         let mut rest = Some(path);
         std::iter::from_fn(move || {
@@ -46,16 +46,16 @@
     }
 }
 
-/// What one path becomes.
+/// Change of one path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The path that changes.
+    /// Path that changes.
     pub path: Path,
-    /// Its new values, or `None` to remove it.
+    /// New values, or `None` to remove the path.
     pub node: Option<Node>,
 }
 
-/// Returns the changes that make `wanted` out of `current`.
+/// Returns the changes that turn `current` into `wanted`.
 pub fn diff(current: &Tree, wanted: &Tree) -> Vec<Change> {
     let mut changes = Vec::new();
     for (path, node) in &wanted.nodes {
@@ -77,7 +77,7 @@
     changes
 }
 
-/// Returns the pool of a service's path.
+/// Returns the path of the pool of a service.
 pub fn pool_of(service: &str) -> &str {
     service.rfind('/').map_or(service, |at| &service[..at])
 }
