--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The tree of settings: findings with places, inheritance, differences.
+//! Settings tree: findings with their positions, inheritance, and differences between trees.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn halls_are_inherited_as_a_whole() {
+fn data_centres_are_inherited_as_a_whole_list() {
     let tree = good();
     assert!(admits_hall(&tree, "place/pool", "hall-1"));
     assert!(!admits_hall(&tree, "place/other", "hall-1"));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn all_findings_come_together_with_their_places() {
+fn all_findings_are_reported_together_with_their_positions() {
     let text = "{\n  \"place\": {\n    \"unavailabel\": \"10%\",\n    \"objective\": 1.5,\n    \
                 \"pools\": { \"Pool\": {}, \"p\": { \"vms\": -1, \"services\": { \"s\": { \
                 \"repeatable\": \"no\" } } } }\n  }\n}";
@@ -97,13 +97,13 @@
     percent = { "{ \"a\": { \"unavailable\": \"120%\" } }", "count of slots or a share" },
     missing_comma = { "{ \"a\": {} \"b\": {} }", "" },
 )]
-fn bad_text_is_a_finding_and_never_a_tree(text: &str, message: &str) {
+fn an_invalid_file_gives_findings_and_no_tree(text: &str, message: &str) {
     let findings = read_tree("f", text).unwrap_err();
     assert!(findings.to_string().contains(message), "{findings}");
 }
 
 #[test]
-fn a_difference_leads_from_one_tree_to_the_other() {
+fn the_changes_turn_one_tree_into_the_other() {
     let (from, to) = (
         good(),
         read_tree("f", "{ \"place\": { \"objective\": 0.9 } }").unwrap(),
@@ -129,13 +129,13 @@
     words = { "many", 80, None },
     below = { "-1", 80, None },
 )]
-fn budgets_are_whole_slots(text: &str, capacity: u32, slots: Option<u32>) {
+fn budgets_are_rounded_down_to_whole_slots(text: &str, capacity: u32, slots: Option<u32>) {
     let budget: Option<Budget> = text.parse().ok();
     assert_eq!(budget.map(|budget| budget.slots(capacity)), slots);
 }
 
 #[test]
-fn names_are_corrected_only_when_one_is_near() {
+fn only_similar_names_are_suggested() {
     let known = ["unavailable", "objective"];
     assert_eq!(nearest("objectiv", known), Some("objective"));
     assert_eq!(nearest("zzz", known), None);
