--- a/crates/havenladder/src/duties/claims.rs
+++ b/crates/havenladder/src/duties/claims.rs
@@ -5,7 +5,7 @@
 use platform::{CallError, Log};
 use protocol::{Offset, RecordId, Slice, encode};
 use serving::{
-    AttemptId, Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, Entry, Event,
+    AttemptId, Claim, ClaimDecision, ClaimItem, ClaimRecord, ClaimRegistry, ClaimState, Event,
     MAX_KEY_AGE, MAX_KEY_AHEAD, RequestId,
 };
 use std::{
@@ -84,7 +84,7 @@
     waiting: HashMap<AttemptId, Waiting>,
     /// Claims that were given up: if the log takes one after all, its key is freed.
     given_up: BTreeMap<AttemptId, (Claim, Instant)>,
-    unsent: Vec<Entry>,
+    unsent: Vec<ClaimItem>,
 }
 
 /// Claims keys in one shard until the process ends.
@@ -141,7 +141,7 @@
                     settle: claim.clone(),
                 };
                 self.waiting.insert(claim.claim, waiting);
-                self.unsent.push(Entry::Claim(claim));
+                self.unsent.push(ClaimItem::Claim(claim));
             }
             ClaimJob::Settle(claim, state) => self.unsent.push(settle(claim, state)),
         }
@@ -231,7 +231,7 @@
 
     /// Settlements that are not in the log yet.
     fn unsettled(&self) -> usize {
-        let is_settlement = |entry: &&Entry| matches!(entry, Entry::Settle { .. });
+        let is_settlement = |entry: &&ClaimItem| matches!(entry, ClaimItem::Settle { .. });
         self.unsent.iter().filter(is_settlement).count()
     }
 
@@ -273,7 +273,7 @@
                 continue;
             };
             self.unsent
-                .retain(|entry| !matches!(entry, Entry::Claim(claim) if claim.claim == id));
+                .retain(|entry| !matches!(entry, ClaimItem::Claim(claim) if claim.claim == id));
             let until = now + self.ctx.config.claims.patience * 2;
             self.given_up.insert(id, (waiting.settle, until));
             self.tell(waiting.request, ClaimDecision::LogDown);
@@ -288,10 +288,10 @@
 }
 
 /// Tells whether a settlement has become pointless: its key is too old to be claimed.
-fn is_over(entry: &Entry, now: SystemTime) -> bool {
+fn is_over(entry: &ClaimItem, now: SystemTime) -> bool {
     match entry {
-        Entry::Settle { key, .. } => key.datetime() + MAX_KEY_AGE < now,
-        Entry::Claim(_) => false,
+        ClaimItem::Settle { key, .. } => key.datetime() + MAX_KEY_AGE < now,
+        ClaimItem::Claim(_) => false,
     }
 }
 
@@ -300,8 +300,8 @@
     SystemTime::now() - MAX_KEY_AGE - MAX_KEY_AHEAD
 }
 
-fn settle(claim: Claim, state: ClaimState) -> Entry {
-    Entry::Settle {
+fn settle(claim: Claim, state: ClaimState) -> ClaimItem {
+    ClaimItem::Settle {
         service: claim.service,
         key: claim.key,
         claim: claim.claim,
--- a/crates/serving/src/claim.rs
+++ b/crates/serving/src/claim.rs
@@ -60,12 +60,12 @@
     /// Entry that appended the record.
     pub by: EntryId,
     /// Contents of the record.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ClaimItem>,
 }
 
 /// Item of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum ClaimItem {
     /// Claim on a key.
     Claim(Claim),
     /// Result of the request whose claim won.
@@ -163,8 +163,10 @@
         let mut decisions = Vec::new();
         for entry in claims.entries {
             match entry {
-                Entry::Claim(claim) => decisions.push(self.decide(claim, &claims.by, record.at)),
-                Entry::Settle {
+                ClaimItem::Claim(claim) => {
+                    decisions.push(self.decide(claim, &claims.by, record.at))
+                }
+                ClaimItem::Settle {
                     service,
                     key,
                     claim,
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use burn::{Burn, WINDOWS, Window, burn_rate};
 pub use claim::{
-    Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, ClaimVerdict, Entry, Key,
+    Claim, ClaimDecision, ClaimItem, ClaimRecord, ClaimRegistry, ClaimState, ClaimVerdict, Key,
     KeyError, MAX_KEY_AGE, MAX_KEY_AHEAD, read_key,
 };
 pub use estimate::Estimate;
--- a/crates/serving/tests/claims.rs
+++ b/crates/serving/tests/claims.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
 use havenladder_serving::{
-    AttemptId, Burn, Claim, ClaimDecision, ClaimRecord, ClaimRegistry, ClaimState, Entry, Key,
+    AttemptId, Burn, Claim, ClaimDecision, ClaimItem, ClaimRecord, ClaimRegistry, ClaimState, Key,
     KeyError, MAX_KEY_AGE, burn_rate, read_key,
 };
 use protocol::{LogRecord, Loss, RecordId, encode};
@@ -29,7 +29,7 @@
         Key::from_datetime(self.at)
     }
 
-    fn append(&mut self, by: &str, entries: Vec<Entry>) -> Vec<ClaimDecision> {
+    fn append(&mut self, by: &str, entries: Vec<ClaimItem>) -> Vec<ClaimDecision> {
         let record = ClaimRecord {
             id: RecordId::new(),
             by: by.into(),
@@ -51,7 +51,7 @@
     fn claim(&mut self, by: &str, key: Key, digest: u64) -> (AttemptId, ClaimDecision) {
         let claim = AttemptId::new();
         let expires = self.at + Duration::from_secs(5);
-        let entry = Entry::Claim(Claim {
+        let entry = ClaimItem::Claim(Claim {
             service: "s".into(),
             key,
             claim,
@@ -64,7 +64,7 @@
     fn settle(&mut self, by: &str, key: Key, claim: AttemptId, state: ClaimState) {
         self.append(
             by,
-            vec![Entry::Settle {
+            vec![ClaimItem::Settle {
                 service: "s".into(),
                 key,
                 claim,
@@ -80,7 +80,7 @@
     let key = stream.key();
     let claim = AttemptId::new();
     let expires = stream.at + Duration::from_secs(5);
-    let entry = Entry::Claim(Claim {
+    let entry = ClaimItem::Claim(Claim {
         service: "s".into(),
         key,
         claim,
@@ -149,7 +149,7 @@
     let key = stream.key();
     let claim = AttemptId::new();
     let expires = stream.at - Duration::from_secs(1);
-    let late = Entry::Claim(Claim {
+    let late = ClaimItem::Claim(Claim {
         service: "s".into(),
         key,
         claim,
