--- a/crates/havenladder/src/entry/vm_orders.rs
+++ b/crates/havenladder/src/entry/vm_orders.rs
@@ -69,7 +69,7 @@
     let cloud = &owner.node.cloud;
     let outcome = match &order.errand {
         Errand::Move(pool) => cloud.move_vm(&order.vm, pool, owner.epoch).await,
-        Errand::Upkeep(wave) => cloud.upkeep(&order.vm, *wave, owner.epoch).await,
+        Errand::Upkeep(wave) => cloud.order_maintenance(&order.vm, *wave, owner.epoch).await,
     };
     info!(vm = order.vm, errand = ?order.errand, epoch = owner.epoch, ?outcome, "VM ordered");
     outcome.ok()
