--- a/crates/havenladder/src/entry/callers/call.rs
+++ b/crates/havenladder/src/entry/callers/call.rs
@@ -290,7 +290,7 @@
         permits: queue.needs_permit,
         at: wall_ms(),
         stretch: queue.stretch,
-        slack: queue.slack,
+        slack: queue.latency_allowance_ms,
         spec,
         workspace,
     }
