--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -67,7 +67,7 @@
         spec: &spec,
         deadline,
         fence,
-        saved: &saved,
+        checkpoint: &saved,
         ticket: &ticket,
     };
     let outcome = send_start(owner, &info, &order, turn).await;
