--- a/crates/havenladder/src/entry/questions.rs
+++ b/crates/havenladder/src/entry/questions.rs
@@ -78,7 +78,7 @@
     let bare = HoldRequest {
         deadline: None,
         fence: owner.fencing_token(id),
-        noted: 0,
+        acknowledged: 0,
         wait_ms: 0,
     };
     // A question without an answer may extend the lease all the same: a worker that is silent is
@@ -86,7 +86,7 @@
     if last == Answers::Missing {
         return bare;
     }
-    let Some(noted) = noted(owner, id) else {
+    let Some(acknowledged) = noted(owner, id) else {
         return bare;
     };
     // The first question only tells the worker's clock and who owns the cell now.
@@ -95,7 +95,7 @@
     };
     HoldRequest {
         deadline: Some(deadline),
-        noted,
+        acknowledged,
         wait_ms: hold_wait(owner, id).as_millis() as u64,
         ..bare
     }
