--- a/crates/havenladder/src/entry/questions.rs
+++ b/crates/havenladder/src/entry/questions.rs
@@ -77,7 +77,7 @@
 pub fn question(owner: &Owner, id: &str, last: Answers) -> HoldRequest {
     let bare = HoldRequest {
         deadline: None,
-        fence: owner.fencing_token(id),
+        fencing_token: owner.fencing_token(id),
         acknowledged: 0,
         wait_ms: 0,
     };
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -60,13 +60,13 @@
             .refused(worker, task, run, Refusal::Unwell, Instant::now());
         return owner.wake();
     };
-    let fence = owner.fencing_token(worker);
+    let fencing_token = owner.fencing_token(worker);
     let order = StartRequest {
         task: task.to_string(),
         run,
         spec: &spec,
         deadline,
-        fence,
+        fencing_token,
         checkpoint: &saved,
         ticket: &ticket,
     };
@@ -77,7 +77,7 @@
         Err(error) => info!(task = order.task, run, worker, %error, "start failed"),
     }
     let started = outcome.is_ok();
-    settle(owner, worker, task, run, fence, outcome);
+    settle(owner, worker, task, run, fencing_token, outcome);
     if started {
         look_after_quarantine(owner, worker, task, run);
     }
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -79,7 +79,7 @@
                 next
             }
             Err(error) => {
-                let next = take_failure(&owner, &id, hold.fence, error, last);
+                let next = take_failure(&owner, &id, hold.fencing_token, error, last);
                 if next == Watch::Again {
                     time::sleep(HOLD_AGAIN).await;
                 }
