--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -2,9 +2,9 @@
 //! written, its keys, the waves of maintenance, and the data centres to be drained.
 
 use adapter::{
-    operator::{self, CONFIG_KEY, Config, EVACUATE_KEY, Queue, Version, WAVE_KEY, Wave},
-    store::{Keyed, Offset},
-    workspaces::Rows,
+    operator::{self, CONFIG_KEY, Config, DRAIN_KEY_PREFIX, Queue, Version, WAVE_KEY_PREFIX, Wave},
+    store::{KeyedRecord, Offset},
+    workspaces::RowCache,
 };
 use bytes::Bytes;
 use jobs::{HallDrains, HallId, HallOrder, WorkspaceId};
@@ -66,7 +66,7 @@
 pub struct InForce {
     config: Option<Rc<Config>>,
     raw_config: Option<Bytes>,
-    rows: Rows,
+    rows: RowCache,
     keyring: Keyring,
     waves: BTreeMap<u64, Wave>,
     hall_drains: HallDrains,
@@ -122,7 +122,7 @@
         authorization: &Authorization,
     ) -> Result<Caller, Unauthorized> {
         let config = self.config.as_ref();
-        let open = queue.open || config.is_none_or(|config| config.workspaces.is_none());
+        let open = queue.is_public || config.is_none_or(|config| config.workspaces.is_none());
         match authorization {
             _ if open => Ok(Caller::Anyone),
             Authorization::Missing => Err(Unauthorized::Missing),
@@ -141,7 +141,7 @@
 
     /// Replaces the state by the newest record of each key of the operators' topic, which ended at
     /// `end`.
-    pub fn restart(&mut self, newest: Vec<Keyed>, end: Offset) {
+    pub fn restart(&mut self, newest: Vec<KeyedRecord>, end: Offset) {
         let orders = newest.iter().filter_map(|record| self.read_order(record));
         let halls = orders.filter_map(|order| match order {
             HallOrder::Drain(hall) => Some(hall),
@@ -155,7 +155,7 @@
     }
 
     /// Applies the record at an offset of the operators' topic.
-    pub fn apply(&mut self, record: Keyed, offset: Offset) {
+    pub fn apply(&mut self, record: KeyedRecord, offset: Offset) {
         let order = self.read_order(&record);
         if self.hall_drains.apply(order, offset) {
             self.log_hall_drains();
@@ -187,9 +187,9 @@
 
     /// Returns the order about a data centre that a record holds. An order that cannot be read, or
     /// that names a data centre outside the deployment, is logged and has no effect.
-    fn read_order(&self, record: &Keyed) -> Option<HallOrder> {
+    fn read_order(&self, record: &KeyedRecord) -> Option<HallOrder> {
         let key = &record.key;
-        let hall = key.strip_prefix(EVACUATE_KEY)?;
+        let hall = key.strip_prefix(DRAIN_KEY_PREFIX)?;
         let Some(value) = &record.value else {
             return Some(HallOrder::Undrain(hall.to_owned()));
         };
@@ -197,7 +197,7 @@
             warn!(key, halls = ?self.halls, "ignored an order to drain an unknown data centre");
             return None;
         }
-        match operator::read_evacuation(value) {
+        match operator::read_drain(value) {
             Ok(()) => Some(HallOrder::Drain(hall.to_owned())),
             Err(error) => {
                 warn!(%error, key, "cannot decode an order to drain a data centre");
@@ -207,11 +207,11 @@
     }
 
     /// Applies a record that holds a configuration or a wave.
-    fn apply_record(&mut self, record: Keyed) {
+    fn apply_record(&mut self, record: KeyedRecord) {
         let Some(value) = record.value else { return };
         if record.key == CONFIG_KEY {
             self.apply_config(value);
-        } else if record.key.starts_with(WAVE_KEY) {
+        } else if record.key.starts_with(WAVE_KEY_PREFIX) {
             self.add_wave(&record.key, &value);
         }
     }
@@ -251,7 +251,7 @@
     fn add_wave(&mut self, key: &str, value: &Bytes) {
         match operator::read_wave(value) {
             Ok(wave) => {
-                let (number, vms, most) = (wave.number, wave.vms.len(), wave.most);
+                let (number, vms, most) = (wave.number, wave.vms.len(), wave.max_down);
                 info!(wave = number, vms, most, "wave requested");
                 self.waves.entry(number).or_insert(wave);
             }
--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -6,7 +6,7 @@
     owner::Predecessor,
     store_calls,
 };
-use adapter::store::{Appended, Offset, Read};
+use adapter::store::{AppendResponse, Offset, ReadResponse};
 use bytes::Bytes;
 use clock::Instant;
 use fleet::{Election, FirstSent};
@@ -63,16 +63,16 @@
         node.update_reach(|reach| reach.on_store_response(Instant::now()));
     }
     match read {
-        Ok(Read::Records(_, records)) if records.is_empty() => ReadOutcome::Nothing,
-        Ok(Read::Records(_, records)) => {
+        Ok(ReadResponse::Records(_, records)) if records.is_empty() => ReadOutcome::Nothing,
+        Ok(ReadResponse::Records(_, records)) => {
             apply_records(node, log, &records);
             ReadOutcome::Records
         }
-        Ok(Read::Gone(first)) => {
+        Ok(ReadResponse::Gone(first)) => {
             log.end = first;
             ReadOutcome::Records
         }
-        Ok(Read::Busy) | Err(_) => {
+        Ok(ReadResponse::Busy) | Err(_) => {
             let now = Instant::now();
             log.election.on_store_trouble(now);
             log.last_outage = Some(now);
@@ -192,12 +192,12 @@
     let offset = log.end;
     log.first_sent = Some(FirstSent::record(log.first_sent, offset, Instant::now()));
     match append(node, offset, &lease).await {
-        Some(Appended::Done(end)) => {
+        Some(AppendResponse::Done(end)) => {
             log.end = end;
             apply_lease(node, log, lease, Instant::now());
             WriteOutcome::Done
         }
-        Some(Appended::Moved(_)) => {
+        Some(AppendResponse::Moved(_)) => {
             read(node, log, Duration::ZERO).await;
             if log.end == offset + 1 && is_own(node) {
                 WriteOutcome::AlreadyWritten
--- a/crates/havenladder/src/entry/maintenance.rs
+++ b/crates/havenladder/src/entry/maintenance.rs
@@ -9,7 +9,7 @@
     wave_status::publish,
 };
 use adapter::{
-    cloud::{Ordered, VmState},
+    cloud::{OrderOutcome, VmState},
     operator::{Wave, WaveState},
 };
 use clock::Instant;
@@ -234,7 +234,7 @@
         Some(VmState::Up) if owner.has_unconfirmed_order(name) => WaveVmState::Unconfirmed,
         Some(VmState::Up | VmState::Moving) | None => WaveVmState::Up,
     };
-    wave_headroom(wave.most, wave.vms.iter().map(whereabouts))
+    wave_headroom(wave.max_down, wave.vms.iter().map(whereabouts))
 }
 
 /// Starts to drain the VMs that go down next: those with the least weight, as many as the bound allows and one more.
@@ -279,7 +279,7 @@
 fn may_defer(owner: &Owner, wave: &Wave, progress: &Progress, vm: &Vm) -> bool {
     let early = progress
         .started_at
-        .is_some_and(|started| started.elapsed() < wave.span().mul_f64(DEFERRAL_SHARE));
+        .is_some_and(|started| started.elapsed() < wave.time_limit().mul_f64(DEFERRAL_SHARE));
     early && owner.cell.borrow().demand(&vm.pool).waiting != Need::default()
 }
 
@@ -376,10 +376,10 @@
     wave: &Wave,
     progress: &mut Progress,
     vm: &Vm,
-    outcome: Option<Ordered>,
+    outcome: Option<OrderOutcome>,
 ) {
     match outcome {
-        Some(Ordered::Done) => {
+        Some(OrderOutcome::Done) => {
             progress.done.insert(vm.name.clone());
             owner
                 .cell
@@ -390,8 +390,8 @@
                 down.answered = Some(Instant::now());
             }
         }
-        Some(Ordered::Fenced) => owner.end("a newer owner gave orders for a VM"),
-        Some(Ordered::Busy | Ordered::Later | Ordered::Rejected) => {
+        Some(OrderOutcome::Fenced) => owner.end("a newer owner gave orders for a VM"),
+        Some(OrderOutcome::Busy | OrderOutcome::Later | OrderOutcome::Rejected) => {
             progress.down.remove(&vm.name);
             if let Some(id) = &vm.worker {
                 let mut cell = owner.cell.borrow_mut();
--- a/crates/havenladder/src/entry/moves/mod.rs
+++ b/crates/havenladder/src/entry/moves/mod.rs
@@ -10,7 +10,7 @@
     owner::Owner,
     vm_orders::{self, VmOperation, VmOrder},
 };
-use adapter::cloud::{Ordered, VmState};
+use adapter::cloud::{OrderOutcome, VmState};
 use clock::Instant;
 use fleet::{PoolDemand, SizingLimits, VmMove, lacks_vms, resize};
 use jobs::{Disruption, Loss, Need, WorkerId};
@@ -201,14 +201,14 @@
     }
 
     /// Applies what the response to an order shows about the move.
-    fn apply_outcome(&mut self, owner: &Owner, vm: &Vm, outcome: Option<Ordered>) {
+    fn apply_outcome(&mut self, owner: &Owner, vm: &Vm, outcome: Option<OrderOutcome>) {
         match outcome {
             // Without a response the order may be carried out at any time; the list will show it.
-            Some(Ordered::Done) | None => {}
-            Some(Ordered::Fenced) => owner.end("a newer owner gave orders for a VM"),
-            Some(refused @ (Ordered::Busy | Ordered::Later | Ordered::Rejected)) => {
+            Some(OrderOutcome::Done) | None => {}
+            Some(OrderOutcome::Fenced) => owner.end("a newer owner gave orders for a VM"),
+            Some(refused @ (OrderOutcome::Busy | OrderOutcome::Later | OrderOutcome::Rejected)) => {
                 let moving = self.moving.remove(&vm.name);
-                if refused == Ordered::Rejected {
+                if refused == OrderOutcome::Rejected {
                     let rejected = moving.map(|moving| (vm.pool.clone(), moving.to));
                     self.rejected.extend(rejected);
                 }
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -6,8 +6,8 @@
     in_force::InForce, metrics::Metrics, owner::Owner, reach::Directory, replication::Replication,
 };
 use adapter::{
-    advice::Advice, cloud::Cloud, http::Client, operator::Config, settings::Settings, store::Store,
-    workers::Workers,
+    advice::AdviceClient, cloud::Cloud, http::Client, operator::Config, settings::Settings,
+    store::Store, workers::WorkerClient,
 };
 use clock::Instant;
 use fleet::{Reach, ResponseTime};
@@ -36,13 +36,13 @@
     /// Response times of the store.
     pub store_times: Cell<ResponseTime>,
     /// Client of the workers.
-    pub workers: Workers,
+    pub workers: WorkerClient,
     /// Client of the platform's VM service.
     pub cloud: Cloud,
     /// Response times of the VM list.
     pub list_times: Cell<ResponseTime>,
     /// Client of the service that tells which workers may run a step, if there is one.
-    pub advice: Option<Advice>,
+    pub advice: Option<AdviceClient>,
     /// Settings and orders of operators that are in force.
     pub in_force: RefCell<InForce>,
     /// How recently this entry's configuration was known to be the newest one.
@@ -87,21 +87,21 @@
     /// Creates the state of an entry that has just started.
     pub fn new(settings: Settings) -> Rc<Self> {
         let client = Client::default();
-        let patience = settings.patience;
+        let patience = settings.max_config_age;
         let in_force = RefCell::new(InForce::new(settings.halls.clone()));
         Rc::new(Node {
             incarnation: rand::random(),
             began: Instant::now(),
             metrics: Rc::new(Metrics::new()),
-            store: Store::new(client.clone(), &settings.store),
+            store: Store::new(client.clone(), &settings.store_address),
             store_times: Cell::default(),
-            workers: Workers::new(client.clone()),
+            workers: WorkerClient::new(client.clone()),
             advice: settings
-                .advice
+                .advice_address
                 .as_ref()
-                .map(|at| Advice::new(client.clone(), at)),
+                .map(|at| AdviceClient::new(client.clone(), at)),
             list_times: Cell::default(),
-            cloud: Cloud::new(client.clone(), &settings.cloud, &settings.node),
+            cloud: Cloud::new(client.clone(), &settings.cloud_address, &settings.node),
             client,
             settings,
             in_force,
@@ -128,13 +128,13 @@
 
     /// Returns the address on which this entry serves other entries.
     pub fn peer_address(&self) -> String {
-        format!("{}:{}", self.settings.ip, self.settings.inner_port)
+        format!("{}:{}", self.settings.ip, self.settings.peer_port)
     }
 
     /// Returns the addresses of other entries that can be asked: the owner's first, then those of
     /// the seeds.
     pub fn peers(&self) -> Vec<String> {
-        let port = self.settings.inner_port;
+        let port = self.settings.peer_port;
         let lease = self.lease.borrow();
         let owner = lease.iter().map(|lease| lease.address.clone());
         let seeds = self.settings.seeds.iter().map(|ip| format!("{ip}:{port}"));
--- a/crates/havenladder/src/entry/operator_topic.rs
+++ b/crates/havenladder/src/entry/operator_topic.rs
@@ -9,7 +9,7 @@
 };
 use adapter::{
     operator::TOPIC,
-    store::{Keyed, Offset, Read, split_keyed},
+    store::{KeyedRecord, Offset, ReadResponse, decode_keyed},
 };
 use bytes::Bytes;
 use clock::{Instant, timer};
@@ -71,7 +71,7 @@
 }
 
 /// Applies the newest record of each key of the topic, which ended at `end`.
-pub fn apply_newest(node: &Node, newest: Vec<Keyed>, end: Offset) {
+pub fn apply_newest(node: &Node, newest: Vec<KeyedRecord>, end: Offset) {
     node.replication.recent.borrow_mut().restart(&newest, end);
     node.in_force.borrow_mut().restart(newest, end);
     node.replication.updated.notify_waiters();
@@ -82,11 +82,11 @@
 async fn read_from(node: &Node, from: Offset) -> bool {
     let sent = Instant::now();
     match store_calls::read(node, TOPIC, from, READ_HOLD).await {
-        Ok(Read::Records(_, records)) => {
+        Ok(ReadResponse::Records(_, records)) => {
             apply_read(node, from, &records, sent, READ_HOLD);
             true
         }
-        Ok(Read::Gone(first)) => {
+        Ok(ReadResponse::Gone(first)) => {
             info!(
                 from,
                 first, "records of operators were removed from the log; reading the newest ones"
@@ -94,7 +94,7 @@
             node.replication.recent.borrow_mut().clear();
             true
         }
-        Ok(Read::Busy) | Err(_) => false,
+        Ok(ReadResponse::Busy) | Err(_) => false,
     }
 }
 
@@ -120,7 +120,7 @@
     let mut recent = node.replication.recent.borrow_mut();
     for (offset, record) in (from..).zip(records) {
         recent.append(offset, record);
-        if let Some(record) = split_keyed(record.clone()) {
+        if let Some(record) = decode_keyed(record.clone()) {
             in_force.apply(record, offset);
         }
     }
@@ -230,7 +230,8 @@
     let sent = Instant::now();
     let known = node.replication.recent.borrow().end();
     if let Some(from) = known
-        && let Ok(Read::Records(_, records)) = store_calls::read_once(node, TOPIC, from).await
+        && let Ok(ReadResponse::Records(_, records)) =
+            store_calls::read_once(node, TOPIC, from).await
     {
         apply_read(node, from, &records, sent, Duration::ZERO);
         return true;
--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -62,7 +62,7 @@
     let mut contacts = owner.contacts.borrow_mut();
     let contact = contacts.get_mut(worker)?;
     let (clock, read) = contact.clock?;
-    let lease = WORKER_LEASE_DURATION.min(owner.node.settings.hold);
+    let lease = WORKER_LEASE_DURATION.min(owner.node.settings.max_worker_lease);
     contact.lease_until = contact.lease_until.max(now + max_lease_duration(lease));
     Some(clock + (now - read + lease).as_millis() as ClockMs)
 }
@@ -109,11 +109,11 @@
         let workers = &owner.node.workers;
         workers.stop(info, task, run, fence, connection)
     };
-    let mut first = pin!(stop(Connection::Kept));
+    let mut first = pin!(stop(Connection::Pooled));
     if let Some(outcome) = unless_overdue(first.as_mut(), RESEND_DELAY).await {
         return outcome;
     }
-    let mut second = pin!(stop(Connection::Fresh));
+    let mut second = pin!(stop(Connection::New));
     tokio::select! {
         outcome = first.as_mut() => match outcome {
             Err(WorkerError::Call(_)) => second.await,
@@ -144,7 +144,7 @@
 /// Asks the external permit service which of the given workers may run a step.
 async fn request_permits(owner: &Rc<Owner>, task: TaskId, workers: &[WorkerId]) {
     let response = match &owner.node.advice {
-        Some(advice) => advice.ask(task, workers).await,
+        Some(advice) => advice.request_permits(task, workers).await,
         None => Ok(None),
     };
     let good = response.unwrap_or_else(|error| {
--- a/crates/havenladder/src/entry/polls.rs
+++ b/crates/havenladder/src/entry/polls.rs
@@ -3,7 +3,7 @@
 use super::{orders, owner::Owner, resend::unless_overdue};
 use adapter::{
     http::Connection,
-    workers::{Hold, Told, WorkerError},
+    workers::{HoldRequest, WorkerError, WorkerResponse},
 };
 use clock::Instant;
 use jobs::{Report, WorkerInfo};
@@ -39,7 +39,7 @@
     /// When the poll was sent.
     pub sent_at: Instant,
     /// The worker's response.
-    pub response: Told<Report>,
+    pub response: WorkerResponse<Report>,
 }
 
 /// Polls a worker. If the response is overdue, sends a second poll that neither waits for a run to end nor extends
@@ -51,18 +51,18 @@
 pub async fn poll_worker(
     owner: &Owner,
     info: &WorkerInfo,
-    hold: Hold,
+    hold: HoldRequest,
 ) -> Result<PollResponse, WorkerError> {
     let workers = &owner.node.workers;
     let sent_at = Instant::now();
-    let mut first = pin!(workers.hold(info, hold, Connection::Kept));
-    let wait = Duration::from_millis(hold.wait) + RESEND_DELAY;
+    let mut first = pin!(workers.hold(info, hold, Connection::Pooled));
+    let wait = Duration::from_millis(hold.wait_ms) + RESEND_DELAY;
     if let Some(outcome) = unless_overdue(first.as_mut(), wait).await {
         return outcome.map(|response| PollResponse { sent_at, response });
     }
     let resent_at = Instant::now();
     let second = next_poll(owner, &info.id, LastPoll::Unanswered);
-    let mut second = pin!(workers.hold(info, second, Connection::Fresh));
+    let mut second = pin!(workers.hold(info, second, Connection::New));
     tokio::select! {
         // The first poll reaches its timeout last: the worker is silent.
         outcome = first.as_mut() => outcome.map(|response| PollResponse { sent_at, response }),
@@ -74,12 +74,12 @@
 }
 
 /// Returns the next poll to send to a worker.
-pub fn next_poll(owner: &Owner, id: &str, last: LastPoll) -> Hold {
-    let without_lease = Hold {
+pub fn next_poll(owner: &Owner, id: &str, last: LastPoll) -> HoldRequest {
+    let without_lease = HoldRequest {
         deadline: None,
-        fence: owner.fencing_token(id),
-        noted: 0,
-        wait: 0,
+        fencing_token: owner.fencing_token(id),
+        acknowledged: 0,
+        wait_ms: 0,
     };
     // Even a poll without a response may extend the lease. A silent worker is polled without a deadline, so that its
     // lease can expire.
@@ -93,10 +93,10 @@
     let Some(deadline) = orders::lease_end(owner, id) else {
         return without_lease;
     };
-    Hold {
+    HoldRequest {
         deadline: Some(deadline),
-        noted: acknowledged,
-        wait: poll_wait(owner, id).as_millis() as u64,
+        acknowledged,
+        wait_ms: poll_wait(owner, id).as_millis() as u64,
         ..without_lease
     }
 }
--- a/crates/havenladder/src/entry/replication/recent.rs
+++ b/crates/havenladder/src/entry/replication/recent.rs
@@ -1,6 +1,6 @@
 //! The records of operators that an entry has applied, kept for its followers.
 
-use adapter::store::{Keyed, Offset, join_keyed, split_keyed};
+use adapter::store::{KeyedRecord, Offset, decode_keyed, encode_keyed};
 use bytes::Bytes;
 use clock::Instant;
 use std::{
@@ -53,12 +53,12 @@
     }
 
     /// Starts over with the newest record of each key of a topic that ended at `end`.
-    pub fn restart(&mut self, newest: &[Keyed], end: Offset) {
+    pub fn restart(&mut self, newest: &[KeyedRecord], end: Offset) {
         let newest = newest.iter();
         *self = Recent {
             end: Some(end),
             newest: newest
-                .map(|record| (record.key.clone(), join_keyed(record)))
+                .map(|record| (record.key.clone(), encode_keyed(record)))
                 .collect(),
             ..Recent::default()
         };
@@ -78,7 +78,7 @@
             Some(_) => return self.clear(),
             None => return,
         }
-        if let Some(Keyed { key, value }) = split_keyed(record.clone()) {
+        if let Some(KeyedRecord { key, value }) = decode_keyed(record.clone()) {
             match value {
                 Some(_) => self.newest.insert(key, record.clone()),
                 None => self.newest.remove(&key),
--- a/crates/havenladder/src/entry/replication_client.rs
+++ b/crates/havenladder/src/entry/replication_client.rs
@@ -7,7 +7,7 @@
     peer::{self, PeerRequest, PeerResponse},
     replication::{MAX_HOLD, Request, Response, Update},
 };
-use adapter::store::{Offset, split_keyed};
+use adapter::store::{Offset, decode_keyed};
 use clock::Instant;
 use fleet::{Address, FollowerInfo, STALE_AGE, Source};
 use std::{rc::Rc, time::Duration};
@@ -37,7 +37,7 @@
     FollowerInfo {
         address: node.peer_address(),
         hall: node.settings.hall.clone(),
-        cpu: node.settings.cpu,
+        cpu: node.settings.cpu_millis,
         age: age.unwrap_or(UNKNOWN_AGE),
     }
 }
@@ -48,7 +48,7 @@
     let seeds = &node.settings.seeds;
     if !node.settings.is_seed && !seeds.is_empty() {
         let seed = &seeds[rand::random_range(0..seeds.len())];
-        let address = format!("{seed}:{}", node.settings.inner_port);
+        let address = format!("{seed}:{}", node.settings.peer_port);
         follow_from(&node, address).await;
         node.replication.set_source(None);
     }
@@ -130,7 +130,7 @@
     }
     match update.newest {
         Some(end) => {
-            let newest = records.into_iter().filter_map(split_keyed).collect();
+            let newest = records.into_iter().filter_map(decode_keyed).collect();
             operator_topic::apply_newest(node, newest, end);
         }
         None => operator_topic::apply_records(node, from.unwrap_or_default(), &records),
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -10,7 +10,7 @@
 };
 use adapter::{
     http::{CallError, Connection},
-    workers::{Start, Told, WorkerError},
+    workers::{StartRequest, WorkerError, WorkerResponse},
 };
 use clock::Instant;
 use jobs::{Loss, Refusal, RunId, TaskId, WorkerId, WorkerInfo};
@@ -60,14 +60,14 @@
             .start_refused(worker, task, run, Refusal::Unwell, Instant::now());
         return owner.wake();
     };
-    let fence = owner.fencing_token(worker);
-    let order = Start {
+    let fencing_token = owner.fencing_token(worker);
+    let order = StartRequest {
         task: task.to_string(),
         run,
         spec: &spec,
         deadline,
-        fence,
-        saved: &saved,
+        fencing_token,
+        checkpoint: &saved,
         ticket: &ticket,
     };
     let outcome = send_start(owner, &info, &order, turn).await;
@@ -77,7 +77,7 @@
         Err(error) => info!(task = order.task, run, worker, %error, "start failed"),
     }
     let started = outcome.is_ok();
-    apply_outcome(owner, worker, task, run, fence, outcome);
+    apply_outcome(owner, worker, task, run, fencing_token, outcome);
     if started {
         poll_after_quarantine(owner, worker, task, run);
     }
@@ -131,11 +131,11 @@
 async fn send_start(
     owner: &Rc<Owner>,
     info: &WorkerInfo,
-    order: &Start<'_>,
+    order: &StartRequest<'_>,
     turn: Option<OwnedSemaphorePermit>,
-) -> Result<Told<()>, WorkerError> {
+) -> Result<WorkerResponse<()>, WorkerError> {
     let workers = &owner.node.workers;
-    let mut first = pin!(workers.start(info, order, Connection::Kept));
+    let mut first = pin!(workers.start(info, order, Connection::Pooled));
     if let Some(outcome) = unless_overdue(first.as_mut(), RESEND_DELAY).await {
         return outcome;
     }
@@ -145,7 +145,7 @@
         worker = %info.id,
         "start resent"
     );
-    let second = workers.start(info, order, Connection::Fresh);
+    let second = workers.start(info, order, Connection::New);
     let mut both = pin!(first_decisive(first, second));
     if let Ok(outcome) = time::timeout(START_TIMEOUT - RESEND_DELAY, both.as_mut()).await {
         return outcome;
@@ -160,7 +160,7 @@
 }
 
 /// The outcome of a start.
-type Outcome = Result<Told<()>, WorkerError>;
+type Outcome = Result<WorkerResponse<()>, WorkerError>;
 
 /// Returns the outcome of a start that was sent twice. A worker runs a start only once, however often it receives it,
 /// so one response may also decide the outcome of the other call.
@@ -200,7 +200,7 @@
     let has_no_effect = |outcome: &Outcome| match outcome {
         Err(WorkerError::Refused(why)) => *why != Refusal::Old,
         Err(WorkerError::Call(error)) => error.is_unsent(),
-        Ok(_) | Err(WorkerError::Replaced | WorkerError::Odd(_)) => false,
+        Ok(_) | Err(WorkerError::Replaced | WorkerError::UnexpectedStatus(_)) => false,
     };
     if has_no_effect(&early) && has_no_effect(&late) {
         return early;
@@ -222,7 +222,7 @@
         Err(WorkerError::Refused(_)) => "refused",
         Err(WorkerError::Replaced) => "replaced",
         Err(WorkerError::Call(error)) if error.is_unsent() => "not-sent",
-        Err(WorkerError::Call(_) | WorkerError::Odd(_)) => "unknown",
+        Err(WorkerError::Call(_) | WorkerError::UnexpectedStatus(_)) => "unknown",
     }
 }
 
@@ -233,7 +233,7 @@
     task: TaskId,
     run: RunId,
     fence: FencingToken,
-    outcome: Result<Told<()>, WorkerError>,
+    outcome: Result<WorkerResponse<()>, WorkerError>,
 ) {
     let now = Instant::now();
     let raised = owner.has_raised_token(worker, fence);
@@ -256,7 +256,7 @@
             cell.mark_silent(worker, now);
             cell.start_refused(worker, task, run, Refusal::Unwell, now);
         }
-        Err(WorkerError::Call(CallError::Unanswered) | WorkerError::Odd(_)) => {
+        Err(WorkerError::Call(CallError::Unanswered) | WorkerError::UnexpectedStatus(_)) => {
             cell.unacked(worker, task, run);
         }
     }
--- a/crates/havenladder/src/entry/store_calls.rs
+++ b/crates/havenladder/src/entry/store_calls.rs
@@ -11,7 +11,7 @@
 };
 use adapter::{
     http::{CallError, Connection},
-    store::{Append, Appended, Condition, Newest, Offset, Read},
+    store::{Append, AppendResponse, Condition, NewestRecords, Offset, ReadResponse},
 };
 use bytes::Bytes;
 use clock::Instant;
@@ -66,11 +66,11 @@
     topic: &str,
     condition: Condition<'_>,
     body: Bytes,
-) -> Result<Appended, CallError> {
+) -> Result<AppendResponse, CallError> {
     let began = Instant::now();
     let append = Append::new(topic, condition, body);
     let send = |connection| {
-        let (store, append) = (node.store.over(connection), append.clone());
+        let (store, append) = (node.store.with_connection(connection), append.clone());
         async move { store.append(append).await }
     };
     let answered = until_answered(&node.store_times, APPEND_TIMEOUTS, send).await;
@@ -88,12 +88,12 @@
     topic: &'static str,
     from: Offset,
     hold: Duration,
-) -> Result<Read, CallError> {
+) -> Result<ReadResponse, CallError> {
     let send = |connection| {
-        let store = node.store.over(connection);
+        let store = node.store.with_connection(connection);
         let wait = match connection {
-            Connection::Kept => hold,
-            Connection::Fresh => Duration::ZERO,
+            Connection::Pooled => hold,
+            Connection::New => Duration::ZERO,
         };
         async move { store.read(topic, from, wait).await }
     };
@@ -109,9 +109,13 @@
 /// # Errors
 ///
 /// Fails if the store does not answer.
-pub async fn read_once(node: &Node, topic: &'static str, from: Offset) -> Result<Read, CallError> {
+pub async fn read_once(
+    node: &Node,
+    topic: &'static str,
+    from: Offset,
+) -> Result<ReadResponse, CallError> {
     node.metrics.read(topic);
-    let store = node.store.over(Connection::Kept);
+    let store = node.store.with_connection(Connection::Pooled);
     store.read(topic, from, Duration::ZERO).await
 }
 
@@ -120,13 +124,13 @@
 /// # Errors
 ///
 /// Fails if the store does not answer.
-pub async fn newest(node: &Node, topic: &'static str) -> Result<Option<Newest>, CallError> {
-    let mut newest = Newest::default();
+pub async fn newest(node: &Node, topic: &'static str) -> Result<Option<NewestRecords>, CallError> {
+    let mut newest = NewestRecords::default();
     loop {
         let after = newest.next.take();
         node.metrics.read(topic);
         let send = |connection| {
-            let (store, after) = (node.store.over(connection), after.clone());
+            let (store, after) = (node.store.with_connection(connection), after.clone());
             async move { store.newest(topic, after.as_deref()).await }
         };
         let answered = until_answered(&node.store_times, APPEND_TIMEOUTS, send).await;
@@ -141,7 +145,12 @@
 }
 
 /// Counts an append, and logs it if it was resent, was slow or has no response.
-fn record_append(node: &Node, kind: AppendKind, answered: &Answered<Appended>, took: Duration) {
+fn record_append(
+    node: &Node,
+    kind: AppendKind,
+    answered: &Answered<AppendResponse>,
+    took: Duration,
+) {
     let Answered { outcome, calls } = answered;
     let resends = u64::from(calls - 1);
     node.metrics
@@ -153,10 +162,10 @@
 }
 
 /// Returns the name of an outcome in the metrics.
-fn outcome_name(outcome: &Result<Appended, CallError>) -> &'static str {
+fn outcome_name(outcome: &Result<AppendResponse, CallError>) -> &'static str {
     match outcome {
-        Ok(Appended::Done(_)) => "done",
-        Ok(Appended::Busy) => "busy",
+        Ok(AppendResponse::Done(_)) => "done",
+        Ok(AppendResponse::Busy) => "busy",
         Ok(_) => "refused",
         Err(error) if error.is_unsent() => "unsent",
         Err(_) => "unanswered",
--- a/crates/havenladder/src/entry/vm_orders.rs
+++ b/crates/havenladder/src/entry/vm_orders.rs
@@ -1,7 +1,7 @@
 //! Sends orders about VMs concurrently, within the platform's rate limit.
 
 use super::owner::Owner;
-use adapter::cloud::Ordered;
+use adapter::cloud::OrderOutcome;
 use clock::Instant;
 use std::rc::Rc;
 use tokio::task;
@@ -43,7 +43,7 @@
 /// Sends orders concurrently and returns their outcomes in the same order. An outcome is `None` if the platform did
 /// not respond, so the order may still be carried out. If the owner is no longer allowed to send orders, the outcome
 /// is [`Ordered::Later`].
-pub async fn send_all(owner: &Rc<Owner>, orders: Vec<VmOrder>) -> Vec<Option<Ordered>> {
+pub async fn send_all(owner: &Rc<Owner>, orders: Vec<VmOrder>) -> Vec<Option<OrderOutcome>> {
     let calls: Vec<_> = orders
         .into_iter()
         .map(|order| {
@@ -60,16 +60,16 @@
 }
 
 /// Sends one order.
-async fn send(owner: &Owner, order: &VmOrder) -> Option<Ordered> {
+async fn send(owner: &Owner, order: &VmOrder) -> Option<OrderOutcome> {
     if !owner.is_certain() {
-        return Some(Ordered::Later);
+        return Some(OrderOutcome::Later);
     }
     owner.vm_rate.borrow_mut().take();
     owner.node.metrics.ordered_vm(order.operation.name());
     let cloud = &owner.node.cloud;
     let outcome = match &order.operation {
         VmOperation::Move(pool) => cloud.move_vm(&order.vm, pool, owner.epoch).await,
-        VmOperation::Upkeep(wave) => cloud.upkeep(&order.vm, *wave, owner.epoch).await,
+        VmOperation::Upkeep(wave) => cloud.order_maintenance(&order.vm, *wave, owner.epoch).await,
     };
     info!(vm = order.vm, errand = ?order.operation, epoch = owner.epoch, ?outcome, "VM order sent");
     outcome.ok()
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -79,7 +79,7 @@
                 next
             }
             Err(error) => {
-                let next = apply_failure(&owner, &id, hold.fence, error, last);
+                let next = apply_failure(&owner, &id, hold.fencing_token, error, last);
                 if next == PollOutcome::Retry {
                     time::sleep(POLL_RETRY_INTERVAL).await;
                 }
@@ -134,10 +134,11 @@
 fn apply_response(owner: &Rc<Owner>, id: &WorkerId, polled: &PollResponse) -> PollOutcome {
     let now = Instant::now();
     let PollResponse { sent_at, response } = polled;
-    let attribution = owner
-        .cell
-        .borrow_mut()
-        .record_response(id, response.born, *sent_at, now);
+    let attribution =
+        owner
+            .cell
+            .borrow_mut()
+            .record_response(id, response.started_at, *sent_at, now);
     match attribution {
         AnswerOutcome::Same { restarted } => {
             if restarted {
@@ -168,7 +169,7 @@
 fn record_restart(owner: &Owner, id: &WorkerId, now: Instant) {
     info!(worker = %id, "worker has restarted");
     owner.node.metrics.restarted_worker();
-    let leased = now + max_lease_duration(owner.node.settings.hold);
+    let leased = now + max_lease_duration(owner.node.settings.max_worker_lease);
     if let Some(contact) = owner.contacts.borrow_mut().get_mut(id) {
         contact.lease_until = contact.lease_until.max(leased);
     }
@@ -218,7 +219,7 @@
                 .borrow_mut()
                 .record_refused_connection(id, Instant::now());
         }
-        WorkerError::Refused(_) | WorkerError::Call(_) | WorkerError::Odd(_) => {}
+        WorkerError::Refused(_) | WorkerError::Call(_) | WorkerError::UnexpectedStatus(_) => {}
     }
     if last == LastPoll::Answered {
         info!(worker = %id, %error, "worker does not answer");
--- a/crates/havenladder/src/entry/wave_status.rs
+++ b/crates/havenladder/src/entry/wave_status.rs
@@ -5,8 +5,8 @@
     store_calls::{self, AppendKind},
 };
 use adapter::{
-    operator::{STATUS_TOPIC, WAVE_KEY, WaveState, write_wave},
-    store::{Appended, Condition, frame_keyed},
+    operator::{STATUS_TOPIC, WAVE_KEY_PREFIX, WaveState, write_wave},
+    store::{AppendResponse, Condition, frame_keyed},
 };
 use tracing::{info, warn};
 
@@ -16,7 +16,7 @@
 
 /// Publishes the state of a wave. Returns false if that failed; the caller retries in the next round.
 pub async fn publish(owner: &Owner, wave: u64, state: WaveState) -> bool {
-    let key = format!("{WAVE_KEY}{wave}");
+    let key = format!("{WAVE_KEY_PREFIX}{wave}");
     let value = write_wave(state);
     let body = frame_keyed([(key.as_str(), Some(value.as_ref()))]);
     for _ in 0..MAX_ATTEMPTS {
@@ -29,14 +29,14 @@
             body.clone(),
         );
         match call.await {
-            Ok(Appended::Done(end)) => {
+            Ok(AppendResponse::Done(end)) => {
                 owner.status_end.set(end);
                 info!(wave, ?state, "wave status published");
                 return true;
             }
             // Other writers append here too, or this record was already appended, in which case repeating it is
             // harmless.
-            Ok(Appended::Moved(end)) => owner.status_end.set(end),
+            Ok(AppendResponse::Moved(end)) => owner.status_end.set(end),
             outcome => {
                 warn!(wave, ?state, ?outcome, "wave status not published");
                 return false;
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -7,7 +7,7 @@
     watch::watch,
 };
 use adapter::{
-    store::{Keyed, Offset, Read, split_keyed},
+    store::{KeyedRecord, Offset, ReadResponse, decode_keyed},
     workers::{self, EntryError},
 };
 use clock::{Instant, timer};
@@ -58,23 +58,23 @@
 async fn follow_list(owner: &Rc<Owner>, mut from: Offset) {
     while owner.is_alive() {
         match store_calls::read(&owner.node, workers::TOPIC, from, LIST_WAIT).await {
-            Ok(Read::Records(_, records)) => {
+            Ok(ReadResponse::Records(_, records)) => {
                 from += records.len() as Offset;
                 records
                     .into_iter()
-                    .filter_map(split_keyed)
+                    .filter_map(decode_keyed)
                     .for_each(|r| apply(owner, r));
                 owner.wake();
                 time::sleep(MIN_LIST_INTERVAL).await;
             }
-            Ok(Read::Gone(_)) => return,
-            Ok(Read::Busy) | Err(_) => time::sleep(LIST_RETRY_INTERVAL).await,
+            Ok(ReadResponse::Gone(_)) => return,
+            Ok(ReadResponse::Busy) | Err(_) => time::sleep(LIST_RETRY_INTERVAL).await,
         }
     }
 }
 
 /// Applies one record of the list, and starts a watch for an incarnation that is new.
-fn apply(owner: &Rc<Owner>, record: Keyed) {
+fn apply(owner: &Rc<Owner>, record: KeyedRecord) {
     let Some(value) = record.value else {
         return unlist(owner, &record.key);
     };
--- a/crates/havenladder/src/outcome.rs
+++ b/crates/havenladder/src/outcome.rs
@@ -3,7 +3,7 @@
 use crate::problem::Problem;
 use hyper::StatusCode;
 use protocol::Loss;
-use serving::{AttemptEnd, ClaimState, NotRun, Outcome, Settled, Why};
+use serving::{AttemptEnd, ClaimDecision, ClaimState, NotRun, NotRunReason, Outcome};
 use std::time::{Duration, Instant};
 
 /// Time after which a caller may retry a request whose key is in progress.
@@ -25,11 +25,11 @@
     match outcome {
         Outcome::Done(_) if in_time => Some(None),
         Outcome::Done(_) => Some(Some(Loss::Late)),
-        Outcome::NotRun(refusal) => match refusal.why {
-            Why::Overload | Why::Refused => Some(Some(Loss::Overload)),
-            Why::NoWorker | Why::Stopping => Some(Some(Loss::NoWorker)),
-            Why::LogDown => Some(Some(Loss::LogDown)),
-            Why::DeadlinePast | Why::Cancelled => None,
+        Outcome::NotRun(refusal) => match refusal.reason {
+            NotRunReason::Overload | NotRunReason::Refused => Some(Some(Loss::Overload)),
+            NotRunReason::NoWorker | NotRunReason::Stopping => Some(Some(Loss::NoWorker)),
+            NotRunReason::LogDown => Some(Some(Loss::LogDown)),
+            NotRunReason::DeadlinePast | NotRunReason::Cancelled => None,
         },
         Outcome::Unknown(AttemptEnd::Failed) => Some(Some(Loss::WorkerFailed)),
         Outcome::Unknown(_) => Some(Some(Loss::Unknown)),
@@ -47,14 +47,14 @@
 }
 
 fn not_run(refusal: &NotRun) -> Problem {
-    let (status, kind, detail) = match refusal.why {
-        Why::Overload => (503, "overload", "it could not be done in time"),
-        Why::DeadlinePast => (504, "deadline-past", "its deadline is past"),
-        Why::NoWorker => (503, "no-worker", "no worker of its pool takes work"),
-        Why::Refused => (503, "refused", "every worker that was tried refused it"),
-        Why::LogDown => (503, "log-down", "the log for claims cannot be reached"),
-        Why::Cancelled => (499, "cancelled", "its caller went away"),
-        Why::Stopping => (503, "stopping", "this entry is about to stop"),
+    let (status, kind, detail) = match refusal.reason {
+        NotRunReason::Overload => (503, "overload", "it could not be done in time"),
+        NotRunReason::DeadlinePast => (504, "deadline-past", "its deadline is past"),
+        NotRunReason::NoWorker => (503, "no-worker", "no worker of its pool takes work"),
+        NotRunReason::Refused => (503, "refused", "every worker that was tried refused it"),
+        NotRunReason::LogDown => (503, "log-down", "the log for claims cannot be reached"),
+        NotRunReason::Cancelled => (499, "cancelled", "its caller went away"),
+        NotRunReason::Stopping => (503, "stopping", "this entry is about to stop"),
     };
     Problem {
         status: StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE),
@@ -62,11 +62,11 @@
         detail: format!("the request was not run: {detail}"),
         field: None,
         outcome: "not-run",
-        retry_after: Some(refusal.back.saturating_duration_since(Instant::now())),
+        retry_after: Some(refusal.retry_at.saturating_duration_since(Instant::now())),
     }
 }
 
-fn claimed(settled: Settled) -> Problem {
+fn claimed(settled: ClaimDecision) -> Problem {
     let conflict = |kind, detail: &str, outcome, retry_after| Problem {
         status: StatusCode::CONFLICT,
         kind,
@@ -76,25 +76,25 @@
         retry_after,
     };
     match settled {
-        Settled::Done => conflict(
+        ClaimDecision::Done => conflict(
             "already-done",
             "a request with this key ran to its end and its caller was answered",
             "done",
             None,
         ),
-        Settled::Held(ClaimState::Open) => conflict(
+        ClaimDecision::Held(ClaimState::Open) => conflict(
             "in-progress",
             "a request with this key is in progress, or its entry was lost with it",
             "in-progress",
             Some(IN_PROGRESS_RETRY_AFTER),
         ),
-        Settled::Held(_) => conflict(
+        ClaimDecision::Held(_) => conflict(
             "claimed",
             "a request with this key was sent and nobody can tell whether it ran",
             "unknown",
             None,
         ),
-        Settled::Mismatch => Problem {
+        ClaimDecision::Mismatch => Problem {
             status: StatusCode::UNPROCESSABLE_ENTITY,
             ..conflict(
                 "key-reused",
@@ -103,11 +103,13 @@
                 None,
             )
         },
-        Settled::TooOld => Problem {
+        ClaimDecision::TooOld => Problem {
             status: StatusCode::BAD_REQUEST,
             ..conflict("key-too-old", "the key is too old", "not-run", None)
         },
-        Settled::Won | Settled::LogDown => conflict("claimed", "claimed", "unknown", None),
+        ClaimDecision::Won | ClaimDecision::LogDown => {
+            conflict("claimed", "claimed", "unknown", None)
+        }
     }
 }
 
--- a/crates/havenladder/src/threads/claims.rs
+++ b/crates/havenladder/src/threads/claims.rs
@@ -6,8 +6,8 @@
 use platform::{CallError, Log};
 use protocol::{LogSlice, Offset, RecordId, encode};
 use serving::{
-    AttemptId, Claim, ClaimBook, ClaimRecord, ClaimState, Entry, Event, KEY_AGE, KEY_AHEAD,
-    RequestId, Settled,
+    AttemptId, Claim, ClaimDecision, ClaimItem, ClaimRecord, ClaimRegistry, ClaimState, Event,
+    MAX_KEY_AGE, MAX_KEY_AHEAD, RequestId,
 };
 use std::{
     collections::{BTreeMap, HashMap},
@@ -80,7 +80,7 @@
 struct Shard<'c> {
     ctx: &'c Context,
     stream: String,
-    book: ClaimBook,
+    book: ClaimRegistry,
     next: Option<Offset>,
     /// Time from which on every record of the stream has been read.
     complete_since: SystemTime,
@@ -88,7 +88,7 @@
     /// Claims whose requests were refused because the log did not decide them in time, each with
     /// the time until which it is kept. If the log accepts one later, its key is released.
     abandoned: BTreeMap<AttemptId, (Claim, Instant)>,
-    unsent: Vec<Entry>,
+    unsent: Vec<ClaimItem>,
 }
 
 /// Claims keys in one shard until the process ends.
@@ -96,7 +96,7 @@
     let mut shard = Shard {
         ctx,
         stream: format!("claims-{shard}"),
-        book: ClaimBook::default(),
+        book: ClaimRegistry::default(),
         next: None,
         complete_since: SystemTime::UNIX_EPOCH,
         pending: HashMap::new(),
@@ -105,7 +105,7 @@
     };
     loop {
         if shard.is_idle() {
-            match messages.recv_timeout(KEY_AGE) {
+            match messages.recv_timeout(MAX_KEY_AGE) {
                 Ok(message) => shard.accept(message),
                 Err(RecvTimeoutError::Timeout) => {
                     shard.reset();
@@ -146,7 +146,7 @@
                     claim: claim.clone(),
                 };
                 self.pending.insert(claim.claim, pending);
-                self.unsent.push(Entry::Claim(claim));
+                self.unsent.push(ClaimItem::Claim(claim));
             }
             ClaimMessage::Settle(claim, state) => self.unsent.push(settlement(claim, state)),
         }
@@ -156,7 +156,7 @@
     /// stream from a recent offset is then faster than catching up.
     fn reset(&mut self) {
         self.next = None;
-        self.book = ClaimBook::default();
+        self.book = ClaimRegistry::default();
     }
 
     /// Reads new records of the stream and applies them. The first read begins at the time at
@@ -182,7 +182,7 @@
             self.next = Some(read_from + slice.records.len() as Offset);
             for record in &slice.records {
                 for verdict in self.book.apply(record) {
-                    self.apply_verdict(verdict.claim, verdict.settled);
+                    self.apply_verdict(verdict.claim, verdict.decision);
                 }
             }
             if self.next >= Some(slice.next) {
@@ -192,21 +192,21 @@
     }
 
     fn start_offset(&self) -> Result<Offset, CallError> {
-        let oldest = SystemTime::now() - KEY_AGE - MAX_CLOCK_SKEW;
+        let oldest = SystemTime::now() - MAX_KEY_AGE - MAX_CLOCK_SKEW;
         self.ctx.platform.offset_at(&self.stream, oldest)
     }
 
     /// Records the time from which on the stream is known completely. If the log retains records
     /// for a shorter time than keys are valid, claims on older keys cannot be decided.
     fn record_complete_since(&mut self, slice: &LogSlice) {
-        let oldest = SystemTime::now() - KEY_AGE - MAX_CLOCK_SKEW;
+        let oldest = SystemTime::now() - MAX_KEY_AGE - MAX_CLOCK_SKEW;
         let first = slice.records.first().filter(|_| slice.oldest > 0);
         self.complete_since = first.map_or(oldest, |record| record.at.max(oldest));
     }
 
     /// Returns whether the key is so old that the log may no longer hold an earlier claim on it.
     fn is_undecidable(&self, claim: &Claim) -> bool {
-        claim.key.datetime() < self.complete_since + KEY_AHEAD
+        claim.key.datetime() < self.complete_since + MAX_KEY_AHEAD
             && self.complete_since > oldest_valid_issue()
     }
 
@@ -239,15 +239,15 @@
 
     /// Returns the number of settlements that are not in the log yet.
     fn unsettled(&self) -> usize {
-        let is_settlement = |entry: &&Entry| matches!(entry, Entry::Settle { .. });
+        let is_settlement = |entry: &&ClaimItem| matches!(entry, ClaimItem::Settle { .. });
         self.unsent.iter().filter(is_settlement).count()
     }
 
-    fn apply_verdict(&mut self, claim: AttemptId, settled: Settled) {
+    fn apply_verdict(&mut self, claim: AttemptId, settled: ClaimDecision) {
         if let Some(pending) = self.pending.remove(&claim) {
-            if settled == Settled::Won && self.is_undecidable(&pending.claim) {
+            if settled == ClaimDecision::Won && self.is_undecidable(&pending.claim) {
                 self.release_key(pending.claim);
-                self.notify(pending.request, Settled::TooOld);
+                self.notify(pending.request, ClaimDecision::TooOld);
             } else {
                 self.notify(pending.request, settled);
             }
@@ -256,7 +256,7 @@
         // The request was refused since the log could not be reached, and the log has accepted its
         // claim after all.
         if let Some((claim, _)) = self.abandoned.remove(&claim)
-            && settled == Settled::Won
+            && settled == ClaimDecision::Won
         {
             self.release_key(claim);
         }
@@ -282,36 +282,36 @@
                 continue;
             };
             self.unsent
-                .retain(|entry| !matches!(entry, Entry::Claim(claim) if claim.claim == id));
+                .retain(|entry| !matches!(entry, ClaimItem::Claim(claim) if claim.claim == id));
             let keep_until = now + self.ctx.config.claims.patience * 2;
             self.abandoned.insert(id, (pending.claim, keep_until));
-            self.notify(pending.request, Settled::LogDown);
+            self.notify(pending.request, ClaimDecision::LogDown);
         }
         self.abandoned
             .retain(|_, (_, keep_until)| now < *keep_until);
     }
 
-    fn notify(&self, request: RequestId, settled: Settled) {
+    fn notify(&self, request: RequestId, settled: ClaimDecision) {
         let event = Event::Claimed(request, settled);
         self.ctx.placement.notify(Message::Event(event));
     }
 }
 
 /// Returns whether an entry is obsolete: a settlement whose key is too old to be claimed.
-fn is_expired(entry: &Entry, now: SystemTime) -> bool {
+fn is_expired(entry: &ClaimItem, now: SystemTime) -> bool {
     match entry {
-        Entry::Settle { key, .. } => key.datetime() + KEY_AGE < now,
-        Entry::Claim(_) => false,
+        ClaimItem::Settle { key, .. } => key.datetime() + MAX_KEY_AGE < now,
+        ClaimItem::Claim(_) => false,
     }
 }
 
 /// Returns the issue time before which every key is refused.
 fn oldest_valid_issue() -> SystemTime {
-    SystemTime::now() - KEY_AGE - KEY_AHEAD
+    SystemTime::now() - MAX_KEY_AGE - MAX_KEY_AHEAD
 }
 
-fn settlement(claim: Claim, state: ClaimState) -> Entry {
-    Entry::Settle {
+fn settlement(claim: Claim, state: ClaimState) -> ClaimItem {
+    ClaimItem::Settle {
         service: claim.service,
         key: claim.key,
         claim: claim.claim,
--- a/crates/havenladder/src/threads/editors.rs
+++ b/crates/havenladder/src/threads/editors.rs
@@ -28,7 +28,7 @@
     service::service_fn,
 };
 use hyper_util::rt::{TokioIo, TokioTimer};
-use serving::{Event, NotRun, Outcome, RequestId, Why};
+use serving::{Event, NotRun, NotRunReason, Outcome, RequestId};
 use std::{
     convert::Infallible,
     net::TcpListener as StdListener,
@@ -218,9 +218,9 @@
     let forwarded = checked.forwarded;
     let deadline = checked.deadline;
     let Some(_in_progress) = InProgress::take(ctx, checked.length) else {
-        let back = started + OVERLOAD_RETRY_AFTER;
-        let why = Why::Overload;
-        let outcome = Outcome::NotRun(NotRun { why, back });
+        let retry_at = started + OVERLOAD_RETRY_AFTER;
+        let reason = NotRunReason::Overload;
+        let outcome = Outcome::NotRun(NotRun { reason, retry_at });
         return respond(
             ctx,
             name,
@@ -249,8 +249,8 @@
     cancel_on_drop.replied = true;
     let reply = reply.unwrap_or(Reply {
         outcome: Outcome::NotRun(NotRun {
-            why: Why::Overload,
-            back: Instant::now() + OVERLOAD_RETRY_AFTER,
+            reason: NotRunReason::Overload,
+            retry_at: Instant::now() + OVERLOAD_RETRY_AFTER,
         }),
         response: None,
     });
--- a/crates/havenladder/src/threads/peers.rs
+++ b/crates/havenladder/src/threads/peers.rs
@@ -132,7 +132,7 @@
             Some(Peer {
                 entry: status.entry,
                 addr: neighbour.editors.to_string(),
-                room: status.capacity,
+                capacity: status.capacity,
             })
         })
         .collect()
--- a/crates/havenladder/src/threads/placement.rs
+++ b/crates/havenladder/src/threads/placement.rs
@@ -9,8 +9,8 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TrySendError, bounded};
 use hyper::header::HeaderValue;
 use serving::{
-    AttemptEnd, AttemptId, Claim, ClaimState, Command, Event, Job, Outcome, RequestId, Scheduler,
-    Settled, Target,
+    AttemptEnd, AttemptId, Claim, ClaimDecision, ClaimState, Command, Event, Job, Outcome,
+    RequestId, Scheduler, Target,
 };
 use std::{
     collections::HashMap,
@@ -174,7 +174,7 @@
             tick = now + placement.tick_interval();
         }
         if now >= next_capacity_update {
-            *lock(&ctx.capacities) = placement.scheduler.rooms(now);
+            *lock(&ctx.capacities) = placement.scheduler.capacity(now);
             next_capacity_update = now + CAPACITY_INTERVAL;
         }
     }
@@ -225,9 +225,9 @@
         self.handle_event(Event::Arrived(arrival.job));
     }
 
-    fn handle_verdict(&mut self, id: RequestId, settled: Settled) {
+    fn handle_verdict(&mut self, id: RequestId, settled: ClaimDecision) {
         if let Some((_, won)) = self.claims.get_mut(&id) {
-            *won = settled == Settled::Won;
+            *won = settled == ClaimDecision::Won;
         }
         self.handle_event(Event::Claimed(id, settled));
     }
@@ -250,7 +250,7 @@
                 deadline,
             } => self.send(request, attempt, &target, addr, pool, deadline),
             Command::Stop(attempt) => self.dispatch(Dispatch::Stop(attempt)),
-            Command::SetAside(vm, until) => {
+            Command::Eject(vm, until) => {
                 let seconds = until
                     .saturating_duration_since(Instant::now())
                     .as_secs_f64();
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decisions about requests: admission, placement, retries, claims and worker health.
 //!
-//! Nothing in here knows a socket or a clock; events come in with the time, commands go out.
+//! The crate uses neither sockets nor clocks. Events come in with the current time, and commands go out.
 
 mod admit;
 mod burn;
@@ -16,12 +16,12 @@
 
 pub use burn::{Burn, WINDOWS, Window, burn_rate};
 pub use claim::{
-    Claim, ClaimBook, ClaimRecord, ClaimState, ClaimVerdict, Entry, KEY_AGE, KEY_AHEAD, Key,
-    KeyError, Settled, read_key,
+    Claim, ClaimDecision, ClaimItem, ClaimRecord, ClaimRegistry, ClaimState, ClaimVerdict, Key,
+    KeyError, MAX_KEY_AGE, MAX_KEY_AHEAD, read_key,
 };
 pub use estimate::Estimate;
 pub use job::{
-    AttemptEnd, AttemptId, Command, Event, Job, NotRun, Outcome, RequestId, Target, Why,
+    AttemptEnd, AttemptId, Command, Event, Job, NotRun, NotRunReason, Outcome, RequestId, Target,
 };
 pub use scheduler::Scheduler;
 pub use worker::{Peer, WorkerInfo};
--- a/crates/serving/tests/claims.rs
+++ b/crates/serving/tests/claims.rs
@@ -1,17 +1,17 @@
-//! The fold of claims: the first one wins, in every reader alike.
+//! Claims on keys: the first one wins, and every reader of the stream comes to the same decision.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
 use havenladder_serving::{
-    AttemptId, Burn, Claim, ClaimBook, ClaimRecord, ClaimState, Entry, KEY_AGE, Key, KeyError,
-    Settled, burn_rate, read_key,
+    AttemptId, Burn, Claim, ClaimDecision, ClaimItem, ClaimRecord, ClaimRegistry, ClaimState, Key,
+    KeyError, MAX_KEY_AGE, burn_rate, read_key,
 };
 use protocol::{LogRecord, Loss, RecordId, encode};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A stream of claims that one book reads.
+/// Stream of claims that one registry reads.
 struct Stream {
-    book: ClaimBook,
+    registry: ClaimRegistry,
     next: u64,
     at: SystemTime,
 }
@@ -19,7 +19,7 @@
 impl Stream {
     fn new() -> Self {
         Self {
-            book: ClaimBook::default(),
+            registry: ClaimRegistry::default(),
             next: 0,
             at: UNIX_EPOCH + Duration::from_secs(1_000_000),
         }
@@ -29,7 +29,7 @@
         Key::from_datetime(self.at)
     }
 
-    fn append(&mut self, by: &str, entries: Vec<Entry>) -> Vec<Settled> {
+    fn append(&mut self, by: &str, entries: Vec<ClaimItem>) -> Vec<ClaimDecision> {
         let record = ClaimRecord {
             id: RecordId::new(),
             by: by.into(),
@@ -41,17 +41,17 @@
             data: encode(&record).unwrap(),
         };
         self.next += 1;
-        self.book
+        self.registry
             .apply(&record)
             .into_iter()
-            .map(|verdict| verdict.settled)
+            .map(|verdict| verdict.decision)
             .collect()
     }
 
-    fn claim(&mut self, by: &str, key: Key, digest: u64) -> (AttemptId, Settled) {
+    fn claim(&mut self, by: &str, key: Key, digest: u64) -> (AttemptId, ClaimDecision) {
         let claim = AttemptId::new();
         let expires = self.at + Duration::from_secs(5);
-        let entry = Entry::Claim(Claim {
+        let entry = ClaimItem::Claim(Claim {
             service: "s".into(),
             key,
             claim,
@@ -64,7 +64,7 @@
     fn settle(&mut self, by: &str, key: Key, claim: AttemptId, state: ClaimState) {
         self.append(
             by,
-            vec![Entry::Settle {
+            vec![ClaimItem::Settle {
                 service: "s".into(),
                 key,
                 claim,
@@ -75,30 +75,39 @@
 }
 
 #[test]
-fn the_first_claim_wins_and_a_copy_of_it_still_does() {
+fn the_first_claim_wins_and_so_does_its_copy() {
     let mut stream = Stream::new();
     let key = stream.key();
     let claim = AttemptId::new();
     let expires = stream.at + Duration::from_secs(5);
-    let entry = Entry::Claim(Claim {
+    let entry = ClaimItem::Claim(Claim {
         service: "s".into(),
         key,
         claim,
         digest: 1,
         expires,
     });
-    assert_eq!(stream.append("a", vec![entry.clone()]), [Settled::Won]);
-    assert_eq!(stream.append("a", vec![entry]), [Settled::Won]);
-    assert_eq!(stream.claim("b", key, 1).1, Settled::Held(ClaimState::Open));
-    assert_eq!(stream.claim("b", key, 2).1, Settled::Mismatch);
+    assert_eq!(
+        stream.append("a", vec![entry.clone()]),
+        [ClaimDecision::Won]
+    );
+    assert_eq!(stream.append("a", vec![entry]), [ClaimDecision::Won]);
+    assert_eq!(
+        stream.claim("b", key, 1).1,
+        ClaimDecision::Held(ClaimState::Open)
+    );
+    assert_eq!(stream.claim("b", key, 2).1, ClaimDecision::Mismatch);
 }
 
 #[yare::parameterized(
-    done = { ClaimState::Done, Settled::Done },
-    unknown = { ClaimState::Unknown, Settled::Held(ClaimState::Unknown) },
-    not_run = { ClaimState::NotRun, Settled::Won },
+    done = { ClaimState::Done, ClaimDecision::Done },
+    unknown = { ClaimState::Unknown, ClaimDecision::Held(ClaimState::Unknown) },
+    not_run = { ClaimState::NotRun, ClaimDecision::Won },
 )]
-fn what_became_of_the_first_decides_about_the_second(state: ClaimState, second: Settled) {
+fn the_state_of_the_first_request_decides_the_second_claim(
+    state: ClaimState,
+    second: ClaimDecision,
+) {
     let mut stream = Stream::new();
     let key = stream.key();
     let (claim, _) = stream.claim("a", key, 1);
@@ -107,51 +116,57 @@
 }
 
 #[test]
-fn only_the_holder_settles() {
+fn only_the_holder_settles_its_key() {
     let mut stream = Stream::new();
     let key = stream.key();
     stream.claim("a", key, 1);
     let (loser, _) = stream.claim("b", key, 1);
     stream.settle("b", key, loser, ClaimState::NotRun);
-    assert_eq!(stream.claim("b", key, 1).1, Settled::Held(ClaimState::Open));
+    assert_eq!(
+        stream.claim("b", key, 1).1,
+        ClaimDecision::Held(ClaimState::Open)
+    );
 }
 
 #[test]
-fn a_key_that_is_too_old_never_wins_once_it_is_forgotten() {
+fn a_key_that_is_too_old_never_wins_after_it_was_dropped() {
     let mut stream = Stream::new();
     let key = stream.key();
     stream.claim("a", key, 1);
-    stream.at += KEY_AGE;
-    assert_eq!(stream.claim("b", key, 1).1, Settled::Held(ClaimState::Open));
+    stream.at += MAX_KEY_AGE;
+    assert_eq!(
+        stream.claim("b", key, 1).1,
+        ClaimDecision::Held(ClaimState::Open)
+    );
     stream.at += Duration::from_secs(1);
-    assert_eq!(stream.claim("b", key, 1).1, Settled::TooOld);
-    assert!(stream.book.is_empty());
+    assert_eq!(stream.claim("b", key, 1).1, ClaimDecision::TooOld);
+    assert!(stream.registry.is_empty());
 }
 
 #[test]
-fn a_claim_that_the_log_took_too_late_does_not_hold_the_key() {
+fn a_claim_that_the_log_accepted_too_late_does_not_hold_the_key() {
     let mut stream = Stream::new();
     let key = stream.key();
     let claim = AttemptId::new();
     let expires = stream.at - Duration::from_secs(1);
-    let late = Entry::Claim(Claim {
+    let late = ClaimItem::Claim(Claim {
         service: "s".into(),
         key,
         claim,
         digest: 1,
         expires,
     });
-    assert_eq!(stream.append("a", vec![late]), [Settled::LogDown]);
-    assert_eq!(stream.claim("b", key, 1).1, Settled::Won);
+    assert_eq!(stream.append("a", vec![late]), [ClaimDecision::LogDown]);
+    assert_eq!(stream.claim("b", key, 1).1, ClaimDecision::Won);
 }
 
 #[test]
-fn keys_are_read_with_their_times() {
+fn keys_are_checked_for_their_time_of_issue() {
     let now = UNIX_EPOCH + Duration::from_secs(1_000_000);
     let text = |time: SystemTime| Key::from_datetime(time).to_string();
     assert!(read_key(&text(now), now).is_ok());
     assert_eq!(read_key("x", now), Err(KeyError::Malformed));
-    let old = now - KEY_AGE - Duration::from_secs(1);
+    let old = now - MAX_KEY_AGE - Duration::from_secs(1);
     assert_eq!(read_key(&text(old), now), Err(KeyError::TooOld));
     assert_eq!(
         read_key(&text(now + Duration::from_secs(120)), now),
