--- a/crates/havenladder/tests/drained_worker.rs
+++ b/crates/havenladder/tests/drained_worker.rs
@@ -1,7 +1,7 @@
-//! A worker that says that it is about to leave, with entries as processes of their own.
+//! A worker that announces that it is about to leave, with entries as processes of their own.
 //!
-//! What a hunted day showed: an owner started tasks on workers that had said so 5.3 s before. The owner's read of the list
-//! waited for 5 s on a connection that had fallen silent.
+//! Guards against an owner that starts tasks on a worker long after the announcement. On one test day it did so 5.3 s
+//! later, since its read of the list of workers waited for 5 s on a connection that had fallen silent.
 
 mod entries;
 
@@ -13,30 +13,30 @@
 
 const SEED: u64 = 5_950;
 
-/// Long enough for an owner to be found and its workers to be met.
-const BEGIN: Duration = Duration::from_secs(4);
+/// Time for an entry to become owner of the cell and to contact its workers.
+const STARTUP_TIME: Duration = Duration::from_secs(4);
 
-/// The time after which a worker that drains gets nothing new, by the shortest bound that there is.
-const DRAINED: Duration = Duration::from_millis(2_000);
+/// Time after which a draining worker must get no new tasks, by the strictest bound that applies.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A job that keeps all four VMs at work until the next one comes.
-const BODY: &str =
+/// A job that keeps all four VMs busy until the next one is submitted.
+const JOB_BODY: &str =
     r#"{"spec":"300","steps":[{"count":30,"cpu":1000,"mem-mb":10,"estimated-ms":300}]}"#;
 
-/// Hands in jobs for a time.
-async fn work(site: &Site, first: u64, span: Duration) {
+/// Submits jobs for as long as `span`, with ids from `first` on.
+async fn submit_jobs(site: &Site, first: u64, span: Duration) {
     let began = Instant::now();
     for id in first.. {
         if began.elapsed() >= span {
             return;
         }
-        hand_in(site, id, BODY).await;
+        hand_in(site, id, JOB_BODY).await;
         time::sleep(Duration::from_millis(350)).await;
     }
 }
 
-/// How many runs began on a VM's worker since a moment.
-fn begun(site: &Site, vm: &str, since: Instant) -> usize {
+/// Counts the runs that started on the worker of a VM after `since`.
+fn count_starts(site: &Site, vm: &str, since: Instant) -> usize {
     let events = site.events.all();
     let starts = events
         .iter()
@@ -47,20 +47,26 @@
 }
 
 #[test]
-fn nothing_begins_on_a_worker_that_drains_also_where_the_owners_connections_are_silent() {
+fn nothing_starts_on_a_draining_worker_while_the_owners_connections_are_silent() {
     block_on(async {
         let (name, seed) = ("drained", SEED);
         let site = entries::start(name, seed, 4).await;
-        time::sleep(BEGIN).await;
+        time::sleep(STARTUP_TIME).await;
         let began = Instant::now();
-        work(&site, 1, Duration::from_secs(2)).await;
-        assert!(begun(&site, "vm-0", began) > 0, "it is in use");
+        submit_jobs(&site, 1, Duration::from_secs(2)).await;
+        assert!(
+            count_starts(&site, "vm-0", began) > 0,
+            "the VM is in use before it drains"
+        );
         site.links[owner(name, seed, 3)].hush();
         site.cloud.announce_end("vm-0");
-        work(&site, 100, DRAINED).await;
+        submit_jobs(&site, 100, DRAIN_TIMEOUT).await;
         let drained = Instant::now();
-        work(&site, 200, Duration::from_secs(3)).await;
-        assert_eq!(begun(&site, "vm-0", drained), 0);
-        assert!(begun(&site, "vm-1", drained) > 0, "the others work on");
+        submit_jobs(&site, 200, Duration::from_secs(3)).await;
+        assert_eq!(count_starts(&site, "vm-0", drained), 0);
+        assert!(
+            count_starts(&site, "vm-1", drained) > 0,
+            "the other VMs stay in use"
+        );
     });
 }
