--- a/crates/havenladder/tests/lost_starts.rs
+++ b/crates/havenladder/tests/lost_starts.rs
@@ -1,16 +1,14 @@
-//! Workers carry out what they are told, and their answers are lost.
+//! Workers carry out what they are ordered to, but their responses are lost.
 //!
-//! What users saw: with one order in twenty left unanswered, two fifths of what was owed was not earned. What happened:
-//! a start without an answer was waited for up to a second, its run was then stopped, though it worked, and its task
-//! began anew elsewhere once a later report no longer listed the run.
+//! Guards against a lost response being taken for an unavailable worker, though the same start is answered within
+//! milliseconds when it is resent, and a worker has a run once however often it is ordered to start it. The owner
+//! waited for up to a second, stopped the run though it worked, and started the task elsewhere once a later report no
+//! longer listed the run. Polls had the same fault: a worker was not polled again for half a second after its
+//! response was due, and got no new tasks meanwhile. With one order in twenty unanswered, two fifths of what was owed
+//! was not earned.
 //!
-//! The cause: a lost answer was taken for a worker that is away, though the same start, sent again, is answered in
-//! ms, and a worker has a run once however often it is told to start it. Questions to workers met the same: a worker
-//! was not asked again for half a second after its answer was due, and got nothing new meanwhile.
-//!
-//! The evidence: a day with nothing but this fault for 30 s, one order in twenty without an answer. With starts sent
-//! once more, queues that earned 0.54 and 0.58 of what was owed earned 0.75 and 0.73; with questions as well, 0.91
-//! and 0.90.
+//! Seen on a day with only this fault for 30 s: queues earned 0.54 and 0.58 of what was owed; with starts resent once,
+//! 0.75 and 0.73; with polls resent as well, 0.91 and 0.90.
 
 mod entries;
 
@@ -21,102 +19,107 @@
 use std::time::Duration;
 use tokio::time;
 
-/// Long enough for a run that is stopped to be started anew.
-const SETTLED: Duration = Duration::from_secs(6);
+/// Time in which a run that is stopped would be started again.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
 
-/// Two tasks of a second and a half: longer than a start was waited for.
-const BODY: &str =
+/// Body of a job of two tasks of 1.5 s, which is longer than the owner waited for the response to a start.
+const JOB_BODY: &str =
     r#"{"spec":"1500","steps":[{"count":2,"cpu":1000,"mem-mb":100,"estimated-ms":1500}]}"#;
 
-/// For how long entries stand still: longer than an answer may be overdue, shorter than a lease; and for how long
-/// they run between.
-const PAUSE: Duration = Duration::from_millis(700);
+/// Time for which entries are stopped, and for which they run in between: longer than a response may be overdue,
+/// shorter than a lease.
+const PAUSE_DURATION: Duration = Duration::from_millis(700);
 
-/// How often they do.
-const PAUSES: usize = 4;
+/// Number of times that entries are stopped.
+const PAUSE_COUNT: usize = 4;
 
-/// Connections that may be made meanwhile: half of one for each of 8 workers and each pause. An owner that asks
-/// again before it reads makes 32; one that reads first makes 6.
-const FEW: u64 = 16;
+/// Maximum number of connections made during the pauses: half of one for each of 8 workers and each pause. An owner
+/// that polls again before it reads makes 32; one that reads first makes 6.
+const MAX_CONNECTIONS: u64 = 16;
 
-/// What an owner logs of a worker that gets nothing new until it answers.
-const SILENT: &str = "worker does not answer";
+/// Message that an owner logs about a worker that gets no new tasks until it responds.
+const SILENT_MESSAGE: &str = "worker does not answer";
 
-/// How often something happened to runs.
-fn count(site: &Site, what: RunEvent) -> usize {
+/// Counts the events of one kind.
+fn count_events(site: &Site, what: RunEvent) -> usize {
     let events = site.events.all();
     events.iter().filter(|event| event.what == what).count()
 }
 
-async fn run_once() {
+async fn resend_starts() {
     let site = entries::start("lost-starts", 941, 2).await;
     time::sleep(Duration::from_secs(4)).await;
-    // A first job leaves a kept connection for starts to each worker.
-    let answer = ask(site.entries[0].address, &request("POST", 0xc1, BODY)).await;
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    time::sleep(SETTLED).await;
-    assert_eq!(count(&site, RunEvent::Done), 2);
+    // A first job leaves an open connection for starts to each worker.
+    let response = ask(site.entries[0].address, &request("POST", 0xc1, JOB_BODY)).await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    time::sleep(SETTLE_TIME).await;
+    assert_eq!(count_events(&site, RunEvent::Done), 2);
     for name in site.cloud.names() {
         let link = site.cloud.link(&name).expect("a VM of the site");
         link.hush();
     }
-    let answer = ask(site.entries[0].address, &request("POST", 0xc2, BODY)).await;
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    time::sleep(SETTLED).await;
-    assert_eq!(count(&site, RunEvent::Ended), 0, "{:?}", site.events.all());
-    assert_eq!(count(&site, RunEvent::Done), 4);
+    let response = ask(site.entries[0].address, &request("POST", 0xc2, JOB_BODY)).await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    time::sleep(SETTLE_TIME).await;
+    assert_eq!(
+        count_events(&site, RunEvent::Ended),
+        0,
+        "{:?}",
+        site.events.all()
+    );
+    assert_eq!(count_events(&site, RunEvent::Done), 4);
 }
 
-async fn ask_again() {
+async fn resend_polls() {
     let (name, seed) = ("lost-reports", 942);
     let site = entries::start(name, seed, 2).await;
     time::sleep(Duration::from_secs(4)).await;
-    let before = count_lines(name, seed, SILENT);
+    let before = count_lines(name, seed, SILENT_MESSAGE);
     for name in site.cloud.names() {
         let link = site.cloud.link(&name).expect("a VM of the site");
         link.hush();
     }
-    time::sleep(SETTLED).await;
-    assert_eq!(count_lines(name, seed, SILENT), before);
+    time::sleep(SETTLE_TIME).await;
+    assert_eq!(count_lines(name, seed, SILENT_MESSAGE), before);
 }
 
-/// Connections to workers that were made so far.
-fn connections(site: &Site) -> u64 {
+/// Returns the number of connections to workers made so far.
+fn count_connections(site: &Site) -> u64 {
     let names = site.cloud.names();
     let links = names.iter().filter_map(|name| site.cloud.link(name));
     links.map(|link| link.connections()).sum()
 }
 
-/// Lets all entries stand still for a moment, several times; how many connections to workers that makes.
-async fn stand_still(seed: u64) -> u64 {
-    let mut site = entries::start("stood-still", seed, 8).await;
+/// Stops and continues all entries several times. Returns the number of connections to workers made meanwhile.
+async fn pause_entries(seed: u64) -> u64 {
+    let mut site = entries::start("paused-entries", seed, 8).await;
     time::sleep(Duration::from_secs(4)).await;
-    let before = connections(&site);
-    for _ in 0..PAUSES {
+    let before = count_connections(&site);
+    for _ in 0..PAUSE_COUNT {
         for signal in [Signal::STOP, Signal::CONT] {
             site.entries.iter_mut().for_each(|e| e.signal(signal));
-            time::sleep(PAUSE).await;
+            time::sleep(PAUSE_DURATION).await;
         }
     }
-    connections(&site) - before
+    count_connections(&site) - before
 }
 
-async fn ask_once() {
-    let made = stand_still(943).await;
-    assert!(made <= FEW, "{made}");
+async fn read_before_polling() {
+    let count = pause_entries(943).await;
+    assert!(count <= MAX_CONNECTIONS, "{count}");
 }
 
 #[test]
-fn an_owner_that_stood_still_reads_what_was_answered_before_it_asks_again() {
-    block_on(ask_once());
+fn an_owner_that_was_paused_reads_responses_before_it_polls_again() {
+    block_on(read_before_polling());
 }
 
 #[test]
-fn a_run_whose_start_has_no_answer_works_on() {
-    block_on(run_once());
+fn a_run_whose_start_has_no_response_goes_on() {
+    block_on(resend_starts());
 }
 
 #[test]
-fn a_worker_whose_answer_is_lost_is_asked_once_more() {
-    block_on(ask_again());
+fn a_worker_whose_response_is_lost_is_polled_again() {
+    block_on(resend_polls());
 }
