--- a/crates/havenladder/tests/crashing_tasks.rs
+++ b/crates/havenladder/tests/crashing_tasks.rs
@@ -1,14 +1,12 @@
-//! A task ends each worker that starts it; the owner is killed meanwhile.
+//! A task that ends every worker that starts it, with and without a change of owner.
 //!
-//! What users saw: one such task took workers down for as long as its job lived, and with each of them a dozen runs of
-//! other jobs, which ended late or not at all. What happened, in this order: the worker answered the start and ended
-//! 10 ms later; its VM came back with another worker; the owner put the task back when it saw that, and the next
-//! worker ended 10 ms after it had got the task. A new owner read records that said nothing of it.
+//! Guards against a worker's crash being attributed to none of the tasks that it ran. The worker answered the start
+//! and ended 10 ms later, its VM came back with another worker, the owner put the task back, and the next worker
+//! ended 10 ms after it had got the task. Nothing of this was recorded for a new owner. Workers were lost for as long
+//! as the job existed, and with each of them a dozen runs of other jobs, which ended late or not at all.
 //!
-//! The cause: the end of a worker without notice counted against none of the tasks that it ran.
-//!
-//! The evidence: the line `worker lost` with the ending `crashed`, each time with the same task first among the
-//! youngest runs, and a run number that rose by one each time.
+//! In the logs, each line `worker lost` with the ending `crashed` listed the same task first among the youngest runs,
+//! with a run number that rose by one each time.
 
 mod entries;
 
@@ -19,36 +17,36 @@
 use std::time::{Duration, Instant};
 use tokio::time;
 
-/// Long enough for an owner to be found and its workers to be met.
-const BEGIN: Duration = Duration::from_secs(4);
+/// Time for an entry to become owner of the cell and to contact its workers.
+const STARTUP_TIME: Duration = Duration::from_secs(4);
 
-/// Within this all must be over: two ends of workers, each known after 1.5 s, a change of owner of 4 s at the most, and
-/// the work itself, several times over.
-const OVER: Duration = Duration::from_secs(40);
+/// Time within which all jobs must have ended. It is several times what is needed: two crashes of workers, each
+/// detected after 1.5 s, a change of owner of at most 4 s, and the work itself.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Without a start for so long, the task is given up: three times as long as until the end of a worker is known and its
-/// tasks are started again.
-const CEASED: Duration = Duration::from_secs(6);
+/// Time without a start after which the task counts as failed: three times as long as it takes to detect the end of a
+/// worker and to start its tasks again.
+const QUIET_PERIOD: Duration = Duration::from_secs(6);
 
-/// How often the task may be started: three ends of workers are proof enough, and one start may be under way when the
-/// third is found.
-const STARTS: usize = 5;
+/// Maximum number of starts of the task: the owner fails it after three crashes of workers, and one more start may be
+/// under way when the third is detected.
+const MAX_STARTS: usize = 5;
 
-/// The job whose task ends its workers.
-const FATAL: u64 = 999;
+/// Id of the job whose task crashes its workers.
+const CRASHING_JOB: u64 = 999;
 
-/// How many other jobs there are.
-const JOBS: u64 = 24;
+/// Number of other jobs.
+const OTHER_JOBS: u64 = 24;
 
-/// A job of so many tasks with this text.
-fn body(text: &str, tasks: u32) -> String {
+/// Returns the body of a job of `tasks` tasks whose specification is `text`.
+fn job_body(text: &str, tasks: u32) -> String {
     format!(
         r#"{{"spec":"{text}","steps":[{{"count":{tasks},"cpu":1000,"mem-mb":10,"estimated-ms":1000}}]}}"#
     )
 }
 
-/// How often a job's first task was started.
-fn starts(site: &Site, id: u64) -> usize {
+/// Counts the starts of a job's first task.
+fn count_starts(site: &Site, id: u64) -> usize {
     let task = format!("{id:016x}.0.0.0");
     let events = site.events.all();
     let started = events
@@ -57,8 +55,8 @@
     started.count()
 }
 
-/// How many tasks of a job have ended well.
-fn done(site: &Site, id: u64) -> usize {
+/// Counts the tasks of a job that have succeeded.
+fn count_done(site: &Site, id: u64) -> usize {
     let job = format!("{id:016x}.");
     let events = site.events.all();
     let done = events
@@ -67,36 +65,39 @@
     done.count()
 }
 
-/// Waits until the starts of the task have ended, and all other jobs are done.
-async fn end(site: &Site) {
-    let until = Instant::now() + OVER;
-    while (1..=JOBS).any(|id| done(site, id) < 4) {
-        assert!(Instant::now() < until, "other jobs are not done");
-        assert!(starts(site, FATAL) <= STARTS, "started again and again");
+/// Waits until all other jobs are done and the crashing task is no longer started.
+async fn wait_for_end(site: &Site) {
+    let until = Instant::now() + COMPLETION_TIMEOUT;
+    while (1..=OTHER_JOBS).any(|id| count_done(site, id) < 4) {
+        assert!(Instant::now() < until, "other jobs are not done in time");
+        assert!(
+            count_starts(site, CRASHING_JOB) <= MAX_STARTS,
+            "the task is started too often"
+        );
         time::sleep(Duration::from_millis(100)).await;
     }
     loop {
-        let before = starts(site, FATAL);
-        time::sleep(CEASED).await;
-        if starts(site, FATAL) == before {
+        let before = count_starts(site, CRASHING_JOB);
+        time::sleep(QUIET_PERIOD).await;
+        if count_starts(site, CRASHING_JOB) == before {
             return;
         }
-        assert!(before < STARTS, "started again and again");
-        assert!(Instant::now() < until, "it is still started");
+        assert!(before < MAX_STARTS, "the task is started too often");
+        assert!(Instant::now() < until, "the task is still started");
     }
 }
 
-/// Plays it; the owner, and all others with it, is killed after `kill` starts of the task.
-async fn play(seed: u64, kill: Option<usize>) {
+/// Submits the jobs and waits for their end. With `kill_after`, kills all entries after that many starts of the task.
+async fn run_scenario(seed: u64, kill_after: Option<usize>) {
     let mut site = entries::start("crashing-tasks", seed, 6).await;
-    time::sleep(BEGIN).await;
-    for id in 1..=JOBS / 2 {
-        hand_in(&site, id, &body("1000", 4)).await;
+    time::sleep(STARTUP_TIME).await;
+    for id in 1..=OTHER_JOBS / 2 {
+        hand_in(&site, id, &job_body("1000", 4)).await;
     }
-    hand_in(&site, FATAL, &body(ENDS_WORKER, 1)).await;
-    if let Some(count) = kill {
-        let until = Instant::now() + OVER;
-        while starts(&site, FATAL) < count && Instant::now() < until {
+    hand_in(&site, CRASHING_JOB, &job_body(ENDS_WORKER, 1)).await;
+    if let Some(count) = kill_after {
+        let until = Instant::now() + COMPLETION_TIMEOUT;
+        while count_starts(&site, CRASHING_JOB) < count && Instant::now() < until {
             time::sleep(Duration::from_millis(5)).await;
         }
         for entry in &mut site.entries {
@@ -105,29 +106,29 @@
         time::sleep(Duration::from_millis(200)).await;
         site.heal().expect("processes can be started");
     }
-    for id in JOBS / 2 + 1..=JOBS {
-        hand_in(&site, id, &body("1000", 4)).await;
+    for id in OTHER_JOBS / 2 + 1..=OTHER_JOBS {
+        hand_in(&site, id, &job_body("1000", 4)).await;
     }
-    end(&site).await;
+    wait_for_end(&site).await;
 }
 
 #[test]
-fn a_task_that_ends_its_workers_is_given_up_by_one_owner() {
-    block_on(play(981, None));
+fn a_task_that_crashes_workers_fails_under_one_owner() {
+    block_on(run_scenario(981, None));
 }
 
-/// From this seed on the stand-in's workers are back under their ids.
+/// From this seed on, the stand-in's workers restart under their previous ids.
 #[test]
-fn a_task_that_ends_its_workers_is_given_up_where_these_start_again_under_their_ids() {
-    block_on(play(9_983, None));
+fn a_task_that_crashes_workers_fails_where_workers_restart_under_their_ids() {
+    block_on(run_scenario(9_983, None));
 }
 
 #[test]
-fn a_task_that_ends_its_workers_is_given_up_where_ids_stay_and_owners_change() {
-    block_on(play(9_984, Some(1)));
+fn a_task_that_crashes_workers_fails_where_ids_stay_and_the_owner_changes() {
+    block_on(run_scenario(9_984, Some(1)));
 }
 
 #[test]
-fn a_task_that_ends_its_workers_is_given_up_across_owners() {
-    block_on(play(982, Some(1)));
+fn a_task_that_crashes_workers_fails_across_owners() {
+    block_on(run_scenario(982, Some(1)));
 }
--- a/crates/havenladder/tests/foreign_entries.rs
+++ b/crates/havenladder/tests/foreign_entries.rs
@@ -1,8 +1,7 @@
-//! Another writer leaves entries in the list of workers, and overwrites those of workers that live.
+//! Another writer adds entries to the list of workers and overwrites those of workers that are running.
 //!
-//! What users would see: starts at workers whose entries say nothing that can be read any more, or a state that no page
-//! names. The cause: every state but one counted as ready, and an entry that could not be read left the one before in
-//! force.
+//! Guards against starts at workers whose entries are unreadable or have an undefined state. Every state but one
+//! counted as ready, and an entry that could not be read left the previous one in force.
 
 mod entries;
 
@@ -14,26 +13,26 @@
 use tokio::time;
 use yare::parameterized;
 
-/// Long enough for an owner to be found and its workers to be met.
-const BEGIN: Duration = Duration::from_secs(4);
+/// Time for an entry to become owner of the cell and to contact its workers.
+const STARTUP_TIME: Duration = Duration::from_secs(4);
 
-/// Long enough for the list to be read again, and for a job of one short task.
-const SOON: Duration = Duration::from_secs(2);
+/// Time for the list of workers to be refreshed, and for a job of one short task to end.
+const REFRESH_TIME: Duration = Duration::from_secs(2);
 
-/// The topic with the workers' entries.
-const WORKERS: &str = "keyed.servers";
+/// Topic with the entries of the workers.
+const WORKER_TOPIC: &str = "keyed.servers";
 
-/// A job of one short task.
-const BODY: &str =
+/// Body of a job of one short task.
+const JOB_BODY: &str =
     r#"{"spec":"100","steps":[{"count":1,"cpu":1000,"mem-mb":10,"estimated-ms":100}]}"#;
 
-/// Hands jobs in, and returns the workers that have run them.
+/// Submits jobs and returns the workers that have run them.
 async fn run_jobs(site: &Site, ids: std::ops::Range<u64>) -> BTreeSet<String> {
     for id in ids.clone() {
-        let head = ask(site.entries[0].address, &request("POST", id, BODY)).await;
+        let head = ask(site.entries[0].address, &request("POST", id, JOB_BODY)).await;
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     }
-    time::sleep(SOON).await;
+    time::sleep(REFRESH_TIME).await;
     let jobs: Vec<String> = ids.map(|id| format!("{id:016x}.")).collect();
     let events = site.events.all();
     let started = events
@@ -43,97 +42,101 @@
     started.map(|event| event.worker.clone()).collect()
 }
 
-/// The newest entries of the workers.
-fn listed(site: &Site) -> Vec<(String, Bytes)> {
-    let newest = site.log.records(WORKERS).into_iter();
+/// Returns the newest entry of each listed worker.
+fn worker_entries(site: &Site) -> Vec<(String, Bytes)> {
+    let newest = site.log.records(WORKER_TOPIC).into_iter();
     newest.filter(|(_, value)| !value.is_empty()).collect()
 }
 
-/// Its own entry, in a state that no page names.
-fn in_another_state(entry: &Bytes) -> Vec<u8> {
+/// Returns the entry with a state that the documentation does not define.
+fn with_unknown_state(entry: &Bytes) -> Vec<u8> {
     String::from_utf8_lossy(entry)
         .replace("\"ready\"", "\"resting\"")
         .into()
 }
 
-/// Bytes that are no text.
-fn no_text(_: &Bytes) -> Vec<u8> {
+/// Returns bytes that are not valid UTF-8.
+fn non_utf8(_: &Bytes) -> Vec<u8> {
     vec![0xff, 0x00, 0xfe]
 }
 
-/// An object whose fields are of other types.
-fn of_another_type(_: &Bytes) -> Vec<u8> {
+/// Returns an object whose fields have the wrong types.
+fn with_wrong_types(_: &Bytes) -> Vec<u8> {
     br#"{"service":7,"state":["ready"]}"#.to_vec()
 }
 
-async fn overwrite(seed: u64, foreign: fn(&Bytes) -> Vec<u8>) {
+async fn overwrite_entries(seed: u64, foreign: fn(&Bytes) -> Vec<u8>) {
     let name = "foreign-entries";
     let site = entries::start(name, seed, 3).await;
-    time::sleep(BEGIN).await;
-    let before = listed(&site);
-    let (kept, others) = before.split_last().expect("there are workers");
+    time::sleep(STARTUP_TIME).await;
+    let before = worker_entries(&site);
+    let (intact, others) = before.split_last().expect("there are workers");
     for (id, value) in others {
-        site.log.put(WORKERS, id, &foreign(value));
+        site.log.put(WORKER_TOPIC, id, &foreign(value));
     }
-    // Such as name no worker at all.
-    site.log.put(WORKERS, "i-of-nobody", &foreign(&kept.1));
-    time::sleep(SOON).await;
+    // An entry under an id that no worker has.
+    site.log
+        .put(WORKER_TOPIC, "i-of-nobody", &foreign(&intact.1));
+    time::sleep(REFRESH_TIME).await;
     let used = run_jobs(&site, 1..9).await;
-    assert_eq!(used, BTreeSet::from([kept.0.clone()]));
+    assert_eq!(used, BTreeSet::from([intact.0.clone()]));
     let unreadable = count_lines(name, seed, "\"entry names no worker to use\"");
     for (id, value) in others {
-        site.log.put(WORKERS, id, &foreign(value));
+        site.log.put(WORKER_TOPIC, id, &foreign(value));
     }
-    time::sleep(SOON).await;
-    let again = count_lines(name, seed, "\"entry names no worker to use\"");
-    assert_eq!(again, unreadable, "one line a change");
+    time::sleep(REFRESH_TIME).await;
+    let unreadable_after = count_lines(name, seed, "\"entry names no worker to use\"");
+    assert_eq!(
+        unreadable_after, unreadable,
+        "one log line per change of an entry"
+    );
     for (id, value) in others {
-        site.log.put(WORKERS, id, value);
+        site.log.put(WORKER_TOPIC, id, value);
     }
-    site.log.put(WORKERS, &kept.0, b"{}");
-    time::sleep(SOON).await;
+    site.log.put(WORKER_TOPIC, &intact.0, b"{}");
+    time::sleep(REFRESH_TIME).await;
     let used = run_jobs(&site, 9..17).await;
-    assert!(!used.contains(&kept.0) && !used.is_empty(), "{used:?}");
+    assert!(!used.contains(&intact.0) && !used.is_empty(), "{used:?}");
 }
 
 #[parameterized(
-    state = { 971, in_another_state },
-    bytes = { 972, no_text },
-    type_of_fields = { 973, of_another_type },
+    unknown_state = { 971, with_unknown_state },
+    invalid_utf8 = { 972, non_utf8 },
+    wrong_types = { 973, with_wrong_types },
 )]
-fn entries_of_another_writer_name_no_worker_and_the_others_hold(
+fn workers_with_unusable_entries_get_no_tasks_and_the_others_work_on(
     seed: u64,
     foreign: fn(&Bytes) -> Vec<u8>,
 ) {
-    block_on(overwrite(seed, foreign));
+    block_on(overwrite_entries(seed, foreign));
 }
 
-/// Entries of a worker that there is not, at the address of one that lives, written again and again.
-async fn haunt(seed: u64) {
+/// Writes entries of workers that do not exist, several times, at the address of one that does.
+async fn write_ghost_entries(seed: u64) {
     let name = "foreign-address";
     let site = entries::start(name, seed, 3).await;
-    time::sleep(BEGIN).await;
-    let (_, entry) = listed(&site).remove(0);
+    time::sleep(STARTUP_TIME).await;
+    let (_, entry) = worker_entries(&site).remove(0);
     for id in ["i-ghost", "i-gone"] {
-        site.log.put(WORKERS, id, &entry);
+        site.log.put(WORKER_TOPIC, id, &entry);
     }
-    time::sleep(SOON).await;
+    time::sleep(REFRESH_TIME).await;
     let before = count_lines(name, seed, "\"worker\":\"i-ghost");
-    assert!(before > 0, "it was looked at");
+    assert!(before > 0, "the entry was checked");
     let unknown = count_lines(name, seed, "i-nobody");
     for _ in 0..5 {
-        site.log.put(WORKERS, "i-ghost", &entry);
-        site.log.put(WORKERS, "i-nobody", b"");
-        time::sleep(SOON / 4).await;
+        site.log.put(WORKER_TOPIC, "i-ghost", &entry);
+        site.log.put(WORKER_TOPIC, "i-nobody", b"");
+        time::sleep(REFRESH_TIME / 4).await;
     }
     let after = count_lines(name, seed, "\"worker\":\"i-ghost");
-    assert_eq!(after, before, "one look is enough");
+    assert_eq!(after, before, "the entry is checked only once");
     assert_eq!(count_lines(name, seed, "i-nobody"), unknown);
     let used = run_jobs(&site, 1..9).await;
-    assert!(!used.is_empty(), "the others hold");
+    assert!(!used.is_empty(), "the other workers stay in use");
 }
 
 #[test]
-fn an_entry_at_the_address_of_another_worker_is_looked_at_once() {
-    block_on(haunt(974));
+fn an_entry_at_the_address_of_another_worker_is_checked_once() {
+    block_on(write_ghost_entries(974));
 }
