--- a/crates/havenladder/tests/readiness.rs
+++ b/crates/havenladder/tests/readiness.rs
@@ -1,5 +1,5 @@
-//! An entry that is cut off says that it is not ready and refuses at once; one that only shares an outage of
-//! the store with all others stays ready.
+//! An entry that is isolated reports that it is not ready and refuses calls at once. An entry that only shares an
+//! outage of the store with all others stays ready.
 
 mod entries;
 
@@ -12,20 +12,20 @@
 };
 use tokio::time;
 
-/// Limit of every wait; generous, so that a busy machine changes no verdict.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Limit of every wait. It is generous, so that no test fails because the machine is busy.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Much longer than an entry takes to find out that it is cut off.
-const LONG: Duration = Duration::from_secs(3);
+/// Much longer than an entry takes to detect that it is isolated.
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// Time between two polls of the readiness.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Entries 0 and 2 are in one data centre, entry 1 in another. They learn of each other before this returns.
+/// Starts a site with entries 0 and 2 in one data centre and entry 1 in another, and waits until they know each other.
 async fn start(seed: u64) -> Site {
     let site = entries::start("readiness", seed, 2).await;
-    wait_ready(&site).await;
-    time::sleep(LONG).await;
+    wait_until_all_ready(&site).await;
+    time::sleep(DETECTION_TIMEOUT).await;
     site
 }
 
@@ -35,43 +35,43 @@
     ask(ready, request).await.starts_with("HTTP/1.1 200")
 }
 
-async fn wait_ready(site: &Site) {
+async fn wait_until_all_ready(site: &Site) {
     for entry in &site.entries {
-        wait_until(entry.address, true).await;
+        wait_for_readiness(entry.address, true).await;
     }
 }
 
-/// Waits until an entry says that it is ready, or that it is not.
-async fn wait_until(callers: SocketAddr, ready: bool) {
-    let limit = Instant::now() + LIMIT;
+/// Waits until an entry reports that it is ready, or that it is not.
+async fn wait_for_readiness(callers: SocketAddr, ready: bool) {
+    let limit = Instant::now() + WAIT_TIMEOUT;
     while is_ready(callers).await != ready {
         assert!(Instant::now() < limit, "{callers} is not ready: {ready}");
-        time::sleep(LOOK).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn refuse_while_cut_off() {
+async fn refuse_while_isolated() {
     let mut site = start(901).await;
-    let cut_off = [0, 2].map(|number: usize| site.entries[number].address);
+    let isolated = [0, 2].map(|number: usize| site.entries[number].address);
     site.links[0].mute(true, true);
     site.links[2].mute(true, true);
     site.entries[1].signal(Signal::STOP);
-    for entry in cut_off {
-        wait_until(entry, false).await;
+    for entry in isolated {
+        wait_for_readiness(entry, false).await;
     }
     let request = format!("GET {PREFIX}00000000000000a1 HTTP/1.1\r\nhost: {HOST}\r\n\r\n");
     let mut refusals = 0;
-    for entry in cut_off {
+    for entry in isolated {
         let began = Instant::now();
-        let answer = ask(entry, &request).await;
-        let closes = answer.contains("connection: close");
-        refusals += usize::from(answer.starts_with("HTTP/1.1 503") && closes);
-        assert!(began.elapsed() < LONG, "{answer}");
+        let response = ask(entry, &request).await;
+        let closes = response.contains("connection: close");
+        refusals += usize::from(response.starts_with("HTTP/1.1 503") && closes);
+        assert!(began.elapsed() < DETECTION_TIMEOUT, "{response}");
     }
-    // One of them may own the cell, and answers by itself.
+    // One of the two may own the cell and respond by itself.
     assert!(refusals >= 1);
     site.heal().expect("processes start");
-    wait_ready(&site).await;
+    wait_until_all_ready(&site).await;
 }
 
 async fn stay_ready_in_an_outage() {
@@ -79,21 +79,21 @@
     for link in &site.links {
         link.mute(true, true);
     }
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + DETECTION_TIMEOUT;
     while Instant::now() < until {
         for entry in &site.entries {
             assert!(is_ready(entry.address).await, "{}", entry.address);
         }
-        time::sleep(LOOK).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
 #[test]
-fn entries_that_hear_nothing_from_outside_are_not_ready_and_refuse_at_once() {
-    block_on(refuse_while_cut_off());
+fn isolated_entries_are_not_ready_and_refuse_at_once() {
+    block_on(refuse_while_isolated());
 }
 
 #[test]
-fn entries_that_reach_each_other_stay_ready_while_the_store_is_away_for_all() {
+fn entries_that_reach_each_other_stay_ready_in_a_store_outage() {
     block_on(stay_ready_in_an_outage());
 }
--- a/crates/havenladder/tests/released.rs
+++ b/crates/havenladder/tests/released.rs
@@ -1,14 +1,12 @@
-//! An owner is told to stop while the log is away.
+//! An owner is stopped while the log is unavailable.
 //!
-//! What users saw: tasks that had ended were started again by the next owner. What happened: the owner's release, which
-//! tells of runs that it started without a record, did not reach the log; the same process then owned the cell anew,
-//! knew nothing of those runs, and released it without a word of them once the log was back; the next owner started
-//! what waited without looking for them.
+//! Guards against an owner that abandons its release when the append has no response. Only that record tells the next
+//! owner about runs that were started without a record. The same process became owner again, knew nothing of those
+//! runs, and released the cell without listing them once the log was back; the next owner then started tasks again
+//! that had already ended.
 //!
-//! The cause: a release without an answer was given up, though only its record tells the next owner.
-//!
-//! The evidence: the process logged three times within a second that it owns the cell and that it stops, with one
-//! epoch, while the log was away.
+//! In the logs, the process reported three times within a second, under one epoch, that it owns the cell and that it
+//! stops, while the log was unavailable.
 
 mod entries;
 
@@ -17,30 +15,30 @@
 use std::time::Duration;
 use tokio::time;
 
-/// What an entry logs that comes to own the cell.
-const OWNS: &str = "\"owns the cell\"";
+/// Message that an entry logs when it becomes owner of the cell.
+const OWNER_MESSAGE: &str = "\"owns the cell\"";
 
-/// Long enough for an owner to be found, and for several renewals.
-const BEGIN: Duration = Duration::from_secs(4);
+/// Time for an entry to become owner of the cell and to renew its lease several times.
+const STARTUP_TIME: Duration = Duration::from_secs(4);
 
-/// Longer than the 0.4 s between two renewals, shorter than the time in which a process must end.
-const AWAY: Duration = Duration::from_millis(2_000);
+/// Longer than the 0.4 s between two renewals, and shorter than the time within which a process must end.
+const OUTAGE_DURATION: Duration = Duration::from_millis(2_000);
 
-async fn stop_while_the_log_is_away() {
+async fn stop_during_log_outage() {
     let (name, seed) = ("released", 951);
     let mut site = entries::start(name, seed, 2).await;
-    time::sleep(BEGIN).await;
-    let before = count_lines(name, seed, OWNS);
+    time::sleep(STARTUP_TIME).await;
+    let before = count_lines(name, seed, OWNER_MESSAGE);
     site.links.iter().for_each(|link| link.cut(true));
     time::sleep(Duration::from_millis(200)).await;
     for entry in &mut site.entries {
         entry.signal(Signal::TERM);
     }
-    time::sleep(AWAY).await;
-    assert_eq!(count_lines(name, seed, OWNS), before);
+    time::sleep(OUTAGE_DURATION).await;
+    assert_eq!(count_lines(name, seed, OWNER_MESSAGE), before);
 }
 
 #[test]
-fn an_owner_that_stops_while_the_log_is_away_does_not_own_the_cell_anew() {
-    block_on(stop_while_the_log_is_away());
+fn an_owner_that_stops_during_a_log_outage_does_not_become_owner_again() {
+    block_on(stop_during_log_outage());
 }
--- a/crates/havenladder/tests/slow_store.rs
+++ b/crates/havenladder/tests/slow_store.rs
@@ -1,5 +1,7 @@
-//! Orders about VMs while the users' log is slow: they go out once a renewal of the lease has told of them,
-//! and the next owner spares all VMs for as long as such orders matter.
+//! Orders about VMs while the users' log is slow.
+//!
+//! They are sent once a renewal of the lease has announced them, and the next owner skips all VMs for as long as such
+//! orders may take effect.
 
 mod entries;
 
@@ -9,27 +11,27 @@
 use std::time::{Duration, Instant};
 use tokio::time;
 
-/// By how much each call to the log takes longer, one way; both ways it is what a log that is some 90 times
-/// slower takes for an append.
-const SLOW: Duration = Duration::from_millis(270);
+/// Delay of each call to the log, one way. Both ways together make an append as slow as with a log that is some 90
+/// times slower.
+const CALL_DELAY: Duration = Duration::from_millis(270);
 
-/// How long a wave of [`VMS`] VMs may take; one at a time, each away for 0.8 s.
-const WAVE: Duration = Duration::from_secs(30);
+/// Time within which a wave of [`VMS`] VMs must end; one VM at a time, each of them away for 0.8 s.
+const WAVE_TIMEOUT: Duration = Duration::from_secs(30);
 
 const VMS: usize = 4;
 
-/// The time in which two owners must not give orders about one VM in turn, as the entries' settings say.
-const TURN: Duration = Duration::from_millis(3_000);
+/// Minimum time between orders of two owners about the same VM, as the entries' settings say.
+const ORDER_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// Starts a site and lets it find an owner.
+/// Starts a site and waits until an entry owns the cell.
 async fn start(seed: u64) -> Site {
     let site = entries::start("slow-store", seed, VMS).await;
     time::sleep(Duration::from_secs(4)).await;
     site
 }
 
-/// Waits until orders about so many VMs have been taken; false if they have not in time.
-async fn wait_orders(site: &Site, count: usize, within: Duration) -> bool {
+/// Waits until orders about `count` VMs have been received. Returns false if they have not been `within` that time.
+async fn wait_for_orders(site: &Site, count: usize, within: Duration) -> bool {
     let until = Instant::now() + within;
     while Instant::now() < until {
         let mut vms: Vec<String> = site.cloud.orders().into_iter().map(|o| o.vm).collect();
@@ -43,27 +45,27 @@
     false
 }
 
-async fn finish_a_wave_slowly() {
+async fn finish_wave_with_slow_log() {
     let mut site = start(911).await;
     site.ask_wave();
     for link in &site.links {
-        link.delay(SLOW);
+        link.delay(CALL_DELAY);
     }
     assert!(
-        wait_orders(&site, VMS, WAVE).await,
+        wait_for_orders(&site, VMS, WAVE_TIMEOUT).await,
         "{:?}",
         site.cloud.orders()
     );
 }
 
-async fn spare_unrecorded_vms() {
+async fn skip_unrecorded_vms() {
     let mut site = start(912).await;
     for link in &site.links {
-        link.delay(SLOW);
+        link.delay(CALL_DELAY);
     }
     site.ask_wave();
-    // The second order follows on the renewal for the first one, while its own record is on the way.
-    assert!(wait_orders(&site, 2, WAVE).await);
+    // The second order follows the renewal that announces the first one, while its own record is still being appended.
+    assert!(wait_for_orders(&site, 2, WAVE_TIMEOUT).await);
     for link in &site.links {
         link.cut(true);
     }
@@ -72,23 +74,23 @@
     }
     time::sleep(Duration::from_millis(200)).await;
     site.heal().expect("processes start");
-    assert!(wait_orders(&site, VMS, WAVE).await);
+    assert!(wait_for_orders(&site, VMS, WAVE_TIMEOUT).await);
     let orders = site.cloud.orders();
-    for (place, later) in orders.iter().enumerate() {
-        let earlier = orders[..place].iter().filter(|o| o.vm == later.vm);
+    for (index, later) in orders.iter().enumerate() {
+        let earlier = orders[..index].iter().filter(|o| o.vm == later.vm);
         for earlier in earlier.filter(|o| o.fence != later.fence) {
             let apart = later.at - earlier.at;
-            assert!(apart >= TURN, "{earlier:?} {later:?}");
+            assert!(apart >= ORDER_INTERVAL, "{earlier:?} {later:?}");
         }
     }
 }
 
 #[test]
 fn a_wave_goes_on_while_the_log_is_slow() {
-    block_on(finish_a_wave_slowly());
+    block_on(finish_wave_with_slow_log());
 }
 
 #[test]
-fn the_next_owner_spares_vms_that_may_have_been_ordered_without_a_record() {
-    block_on(spare_unrecorded_vms());
+fn the_next_owner_skips_vms_that_may_have_unrecorded_orders() {
+    block_on(skip_unrecorded_vms());
 }
--- a/crates/havenladder/tests/strict_revocation.rs
+++ b/crates/havenladder/tests/strict_revocation.rs
@@ -1,5 +1,5 @@
-//! Strict revocation: an entry that cannot make sure of its configuration for long takes no calls, since keys may have been
-//! taken away meanwhile.
+//! Strict revocation: an entry that has been unable to confirm its configuration for too long refuses calls, since
+//! keys may have been revoked meanwhile.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -14,24 +14,24 @@
 };
 use tokio::time;
 
-/// Seeds from here on have workspaces.
+/// From this seed on, sites have workspaces.
 const SEED: u64 = 10_950;
 
-/// For how long an entry may go on without being sure, in ms, as its settings say.
+/// Time in ms for which an entry may accept calls with an unconfirmed configuration, as its settings say.
 const REVOKE_MS: u64 = 1_500;
 
-/// By how much later it may refuse: a look at the store that is under way as it goes away, and one more.
-const SLACK: Duration = Duration::from_millis(1_000);
+/// Additional time until an entry refuses calls: a poll that is under way as the store's outage begins, and one more.
+const DETECTION_SLACK: Duration = Duration::from_millis(1_000);
 
-/// Limit of a wait; generous, so that a busy machine changes no verdict.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Limit of every wait. It is generous, so that no test fails because the machine is busy.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A job of one short task.
-const BODY: &str =
+/// Body of a job of one short task.
+const JOB_BODY: &str =
     r#"{"spec":"50","steps":[{"count":1,"cpu":1000,"mem-mb":10,"estimated-ms":50}]}"#;
 
-/// A call about the first job.
-fn call(method: &str, body: &str) -> String {
+/// Returns a request about the first job.
+fn job_request(method: &str, body: &str) -> String {
     let token = key(WORKSPACES[0], 0);
     format!(
         "{method} {PREFIX}{:016x} HTTP/1.1\r\nhost: {HOST}\r\nauthorization: Token {token}\r\n\
@@ -41,23 +41,26 @@
     )
 }
 
-/// The status of an entry's answer.
+/// Returns the status code of an entry's response.
 async fn status(site: &Site, entry: usize, call: &str) -> String {
     let head = ask(site.entries[entry].address, call).await;
     head.get(9..12).unwrap_or("none").to_owned()
 }
 
-/// Waits until an entry answers a call so; how long that took.
-async fn wait_for(site: &Site, entry: usize, call: &str, wanted: &str) -> Duration {
+/// Waits until an entry responds to a call with the expected status. Returns how long that took.
+async fn wait_for_status(site: &Site, entry: usize, call: &str, expected: &str) -> Duration {
     let began = Instant::now();
-    while status(site, entry, call).await != wanted {
-        assert!(began.elapsed() < LIMIT, "entry {entry} never says {wanted}");
+    while status(site, entry, call).await != expected {
+        assert!(
+            began.elapsed() < WAIT_TIMEOUT,
+            "entry {entry} never responds {expected}"
+        );
         time::sleep(Duration::from_millis(20)).await;
     }
     began.elapsed()
 }
 
-/// Starts a site of which every entry has started anew with these settings.
+/// Starts a site and restarts each of its entries with these bounds in its settings.
 async fn start(name: &str, seed: u64, bounds: &str) -> Site {
     let mut site = entries::start(name, seed, 4).await;
     for (number, entry) in site.entries.iter_mut().enumerate() {
@@ -68,45 +71,45 @@
         entry.signal(Signal::KILL);
     }
     for entry in &mut site.entries {
-        // One that has not ended yet would not be started anew.
+        // An entry that has not ended yet would not be restarted.
         while entry.is_running() {
             time::sleep(Duration::from_millis(10)).await;
         }
         entry.revive().unwrap();
     }
     for entry in 0..site.entries.len() {
-        wait_for(&site, entry, &call("POST", BODY), "200").await;
+        wait_for_status(&site, entry, &job_request("POST", JOB_BODY), "200").await;
     }
     site
 }
 
 #[test]
-fn an_entry_that_cannot_make_sure_for_long_takes_no_calls() {
+fn an_entry_with_an_unconfirmed_configuration_refuses_calls() {
     block_on(async {
         let bounds = format!("strict-revocation = true\nrevoke-ms = {REVOKE_MS}\n");
         let site = start("strict", SEED, &bounds).await;
         site.links.iter().for_each(|link| link.mute(true, true));
-        let most = Duration::from_millis(REVOKE_MS) + SLACK;
-        time::sleep(most).await;
+        let max_wait = Duration::from_millis(REVOKE_MS) + DETECTION_SLACK;
+        time::sleep(max_wait).await;
         for entry in 0..site.entries.len() {
-            assert_eq!(status(&site, entry, &call("GET", "")).await, "503");
+            assert_eq!(status(&site, entry, &job_request("GET", "")).await, "503");
         }
         site.links.iter().for_each(|link| link.mute(false, false));
         for entry in 0..site.entries.len() {
-            wait_for(&site, entry, &call("GET", ""), "200").await;
+            wait_for_status(&site, entry, &job_request("GET", ""), "200").await;
         }
     });
 }
 
 #[test]
-fn an_entry_that_need_not_make_sure_goes_on() {
+fn an_entry_without_strict_revocation_keeps_accepting_calls() {
     block_on(async {
         let bounds = format!("strict-revocation = false\nrevoke-ms = {REVOKE_MS}\n");
         let site = start("not-strict", SEED + 1, &bounds).await;
         site.links.iter().for_each(|link| link.mute(true, true));
-        time::sleep(Duration::from_millis(REVOKE_MS) + SLACK).await;
+        time::sleep(Duration::from_millis(REVOKE_MS) + DETECTION_SLACK).await;
         for entry in 0..site.entries.len() {
-            assert_eq!(status(&site, entry, &call("GET", "")).await, "200");
+            assert_eq!(status(&site, entry, &job_request("GET", "")).await, "200");
         }
     });
 }
--- a/crates/havenladder/tests/suspended.rs
+++ b/crates/havenladder/tests/suspended.rs
@@ -1,10 +1,10 @@
 //! The machines of the entries are suspended for seconds.
 //!
-//! What users would see: callers who had given up long ago were answered late; an owner went on as if it still had its
-//! lease. The cause: all times were measured by the steady clock, which stands still while a machine is suspended.
+//! Guards against times that are measured by the steady clock, which stands still while a machine is suspended:
+//! callers that had timed out long ago would get late responses, and an owner would act as if it still held its lease.
 //!
-//! A test cannot suspend its machine. The entries take from a file by how much their clock is to be put forward, while
-//! their timers, which stand on the steady clock, are left as they are: that is what a process sees as it wakes.
+//! A test cannot suspend its machine. Instead, the entries read from a file how far to put their clock forward, while
+//! their timers stay on the steady clock: this is what a process observes when its machine resumes.
 
 mod entries;
 
@@ -14,21 +14,22 @@
 use tokio::{task, time};
 use yare::parameterized;
 
-/// Long enough for an owner to be found and its workers to be met.
-const BEGIN: Duration = Duration::from_secs(4);
+/// Time for an entry to become owner of the cell and to contact its workers.
+const STARTUP_TIME: Duration = Duration::from_secs(4);
 
-/// How long a call waits for an entry before the suspension. It would be answered after 1.2 s by the steady clock.
-const WAITED: Duration = Duration::from_millis(200);
+/// Time for which a call waits before the suspension. By the steady clock it would get its response after 1.2 s.
+const CALL_WAIT: Duration = Duration::from_millis(200);
 
-/// Within this a call is answered whose time has passed meanwhile: half of what the steady clock leaves it.
-const AT_ONCE: Duration = Duration::from_millis(500);
+/// Time within which a call whose deadline passed in the suspension must get its response: half of what the steady
+/// clock leaves it.
+const MAX_RESPONSE_TIME: Duration = Duration::from_millis(500);
 
-/// A job of one short task.
-const BODY: &str =
+/// Body of a job of one short task.
+const JOB_BODY: &str =
     r#"{"spec":"100","steps":[{"count":1,"cpu":100,"mem-mb":10,"estimated-ms":100}]}"#;
 
-/// What an entry logs that has noticed a suspension.
-const WOKE: &str = "\"the machine was suspended\"";
+/// Message that an entry logs when it has detected a suspension.
+const SUSPENSION_MESSAGE: &str = "\"the machine was suspended\"";
 
 /// Suspends the machines of all entries.
 fn suspend_all(site: &mut Site, span: Duration) {
@@ -37,40 +38,43 @@
     }
 }
 
-async fn answer_at_once(seed: u64, span: Duration) {
+async fn respond_at_once(seed: u64, span: Duration) {
     let mut site = entries::start("suspended-callers", seed, 2).await;
-    time::sleep(BEGIN).await;
-    // Nothing can be recorded, so that the call waits.
+    time::sleep(STARTUP_TIME).await;
+    // Nothing can be recorded while the log is silent, so the call waits.
     site.links.iter().for_each(|link| link.mute(true, true));
     let callers = site.entries[0].address;
-    let call = task::spawn(async move { ask(callers, &request("POST", 1, BODY)).await });
-    time::sleep(WAITED).await;
-    let woke = Instant::now();
+    let call = task::spawn(async move { ask(callers, &request("POST", 1, JOB_BODY)).await });
+    time::sleep(CALL_WAIT).await;
+    let resumed_at = Instant::now();
     suspend_all(&mut site, span);
-    let answer = call.await.unwrap_or_default();
-    let took = woke.elapsed();
-    assert!(answer.starts_with("HTTP/1.1 50"), "{answer}");
-    assert!(took < AT_ONCE, "answered after {took:?}");
+    let response = call.await.unwrap_or_default();
+    let elapsed = resumed_at.elapsed();
+    assert!(response.starts_with("HTTP/1.1 50"), "{response}");
+    assert!(elapsed < MAX_RESPONSE_TIME, "response after {elapsed:?}");
 }
 
-async fn go_on(seed: u64, span: Duration) {
+async fn keep_serving(seed: u64, span: Duration) {
     let name = "suspended-owner";
     let mut site = entries::start(name, seed, 2).await;
-    time::sleep(BEGIN).await;
-    let before = count_lines(name, seed, WOKE);
+    time::sleep(STARTUP_TIME).await;
+    let before = count_lines(name, seed, SUSPENSION_MESSAGE);
     suspend_all(&mut site, span);
-    time::sleep(BEGIN).await;
-    assert_eq!(count_lines(name, seed, WOKE), before + site.entries.len());
-    let answer = ask(site.entries[0].address, &request("POST", 2, BODY)).await;
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    time::sleep(STARTUP_TIME).await;
+    assert_eq!(
+        count_lines(name, seed, SUSPENSION_MESSAGE),
+        before + site.entries.len()
+    );
+    let response = ask(site.entries[0].address, &request("POST", 2, JOB_BODY)).await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 #[parameterized(
     three_seconds = { 991, 3_000 },
     thirty_seconds = { 992, 30_000 },
 )]
-fn callers_whose_time_passed_in_a_suspension_are_answered_at_once(seed: u64, ms: u64) {
-    block_on(answer_at_once(seed, Duration::from_millis(ms)));
+fn callers_whose_deadline_passed_in_a_suspension_get_a_response_at_once(seed: u64, ms: u64) {
+    block_on(respond_at_once(seed, Duration::from_millis(ms)));
 }
 
 #[parameterized(
@@ -78,6 +82,6 @@
     three_seconds = { 994, 3_000 },
     thirty_seconds = { 995, 30_000 },
 )]
-fn entries_notice_a_suspension_and_go_on(seed: u64, ms: u64) {
-    block_on(go_on(seed, Duration::from_millis(ms)));
+fn entries_detect_a_suspension_and_keep_serving(seed: u64, ms: u64) {
+    block_on(keep_serving(seed, Duration::from_millis(ms)));
 }
