--- a/crates/havenladder/tests/cut_off.rs
+++ b/crates/havenladder/tests/cut_off.rs
@@ -1,4 +1,4 @@
-//! Halls that are cut off from the platform, from each other, or from both.
+//! Data centres that are cut off from the platform, from each other, or from both.
 
 mod site;
 
@@ -8,7 +8,8 @@
 const PREVIEW: &str = "place/works/preview";
 const ORDER: &str = "place/works/order";
 
-/// One pool for both services, so that each hall has workers for both whoever joined first.
+/// Returns settings with one pool for both services, so that each data centre has workers for both, whichever worker
+/// joined first.
 fn settings(timeout: u32) -> String {
     format!(
         r#"{{ "place": {{ "unavailable": "50%", "pools": {{ "works": {{ "vms": 8, "services": {{
@@ -18,11 +19,11 @@
     )
 }
 
-fn two_halls() -> Site {
+fn start_two_halls() -> Site {
     Site::start(plan(2, 4), &["hall-1", "hall-2"], &settings(5_000))
 }
 
-fn timeout(site: &Site, index: usize) -> u64 {
+fn read_timeout(site: &Site, index: usize) -> u64 {
     let state = site.state(index);
     state["tree"]["nodes"][PREVIEW]["timeout_ms"]
         .as_u64()
@@ -31,11 +32,11 @@
 
 #[test]
 fn a_hall_cut_off_from_the_platform_follows_its_peers_and_refuses_orders() {
-    let site = two_halls();
+    let site = start_two_halls();
     site.log_links[1].cut(true);
     let began = Instant::now();
     site.publish(&settings(4_321));
-    site.wait("the relay", || timeout(&site, 1) == 4_321);
+    site.wait("the relayed settings", || read_timeout(&site, 1) == 4_321);
     assert!(
         began.elapsed() < Duration::from_secs(4),
         "{:?}",
@@ -52,8 +53,8 @@
 }
 
 #[test]
-fn a_hall_cut_off_from_everybody_serves_with_what_it_knows() {
-    let site = two_halls();
+fn a_hall_cut_off_from_everything_serves_with_its_last_configuration() {
+    let site = start_two_halls();
     site.log_links[1].cut(true);
     site.cut_peers(0, 1, true);
     for _ in 0..20 {
@@ -61,13 +62,13 @@
     }
     let reply = site.post(1, ORDER, "run=1 tag=alone", &[("idempotency-key", &key())]);
     assert_eq!(reply.outcome, "not-run", "{reply:?}");
-    // The others go on without it, and it catches up once the links are mended.
+    // The other data centre keeps serving, and the isolated one catches up once the links are restored.
     assert_eq!(site.post(0, PREVIEW, "run=1", &[]).status, 200);
     site.log_links[1].cut(false);
     site.cut_peers(0, 1, false);
     site.publish(&settings(4_444));
-    site.wait("the hall to catch up", || timeout(&site, 1) == 4_444);
-    site.wait("orders", || {
+    site.wait("its new settings", || read_timeout(&site, 1) == 4_444);
+    site.wait("orders to be accepted", || {
         site.post(1, ORDER, "run=1", &[("idempotency-key", &key())])
             .status
             == 200
@@ -75,12 +76,12 @@
 }
 
 #[test]
-fn a_hall_without_workers_spills_to_a_peer_and_says_so_when_cut_off() {
-    let site = two_halls();
+fn a_hall_without_workers_forwards_to_a_peer_and_answers_not_run_when_cut_off() {
+    let site = start_two_halls();
     for rack in ["hall-1-rack-1", "hall-1-rack-2"] {
         site.fault(&format!("rack/{rack}?down_ms=600000"));
     }
-    site.wait("spilling", || {
+    site.wait("calls to be forwarded to the peer", || {
         site.post(0, PREVIEW, "run=1", &[]).status == 200
     });
     for round in 0..10 {
@@ -95,7 +96,7 @@
         assert_eq!(site.runs(&tag).len(), 1);
     }
     site.cut_peers(0, 1, true);
-    site.wait("the peer to be missed", || {
+    site.wait("the peer to be found unreachable", || {
         let began = Instant::now();
         let reply = site.post(0, PREVIEW, "run=1", &[]);
         reply.outcome == "not-run" && began.elapsed() < Duration::from_millis(500)
--- a/crates/havenladder/tests/day.rs
+++ b/crates/havenladder/tests/day.rs
@@ -1,4 +1,4 @@
-//! `havenladder day`: what it draws from the logs of entries.
+//! `havenladder day`: the summary that it computes from the logs of entries.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -19,7 +19,7 @@
 "#;
 
 #[test]
-fn pools_owners_and_refusals_are_told_by_second() {
+fn pools_owners_and_refusals_are_reported_by_second() {
     let file = std::env::temp_dir().join(format!("day-{}.log", ulid::Ulid::new()));
     fs::write(&file, LOGS).unwrap();
     let output = Command::new(env!("CARGO_BIN_EXE_havenladder"))
@@ -33,7 +33,7 @@
     assert_eq!(
         day["pools"].as_array().unwrap().len(),
         1,
-        "the last of a second counts"
+        "only the last line of a second counts"
     );
     assert_eq!(
         (row["vms"].as_u64(), row["busy"].as_f64()),
@@ -55,12 +55,12 @@
     assert_eq!(
         (cuts["begun"].as_u64(), cuts["ended"].as_u64()),
         (Some(2), Some(1)),
-        "entries are counted, not listed"
+        "entries are counted, not listed one by one"
     );
 }
 
 #[test]
-fn only_the_seconds_in_which_the_owner_was_full_are_shown() {
+fn only_seconds_in_which_the_owner_was_overloaded_are_shown() {
     let file = std::env::temp_dir().join(format!("day-{}.log", ulid::Ulid::new()));
     fs::write(&file, LOGS).unwrap();
     let output = Command::new(env!("CARGO_BIN_EXE_havenladder"))
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn a_missing_file_is_named_in_the_error() {
     let output = Command::new(env!("CARGO_BIN_EXE_havenladder"))
         .args(["day", "no-such.log"])
         .output()
