--- a/crates/jobs/tests/capacity.rs
+++ b/crates/jobs/tests/capacity.rs
@@ -2,11 +2,11 @@
 
 mod fixture;
 #[expect(dead_code, reason = "only starts and reports are looked at here")]
-mod world;
+mod harness;
 
 use fixture::{job, step, worker};
+use harness::{Harness, task};
 use havenladder_jobs::{Need, Order, Step, WorkerInfo};
-use world::{World, task};
 use yare::parameterized;
 
 /// The same worker with so many cores.
@@ -28,54 +28,61 @@
     to_more = { 6, 6 },
 )]
 fn a_room_that_has_changed_is_used_as_it_is(cores: u64, count: usize) {
-    let mut world = World::new(&["a1"]);
-    world.cell.upsert_worker(with_cores("a1", cores), world.now);
-    world.cell.accept(job(1, vec![step(8)]));
-    assert_eq!(world.run().len(), count);
+    let mut harness = Harness::new(&["a1"]);
+    harness
+        .cell
+        .upsert_worker(with_cores("a1", cores), harness.now);
+    harness.cell.accept(job(1, vec![step(8)]));
+    assert_eq!(harness.start_tasks().len(), count);
 }
 
 #[test]
 fn what_is_being_stopped_fills_a_room_that_has_shrunk() {
-    let mut world = World::new(&["a1"]);
-    world.cell.accept(job(1, vec![step(2)]));
-    assert_eq!(world.run().len(), 2);
-    world.cell.cancel(1);
-    world.cell.upsert_worker(with_cores("a1", 2), world.now);
-    world.cell.accept(job(2, vec![step(1)]));
-    assert!(world.run().is_empty(), "two runs are being stopped there");
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.accept(job(1, vec![step(2)]));
+    assert_eq!(harness.start_tasks().len(), 2);
+    harness.cell.cancel(1);
+    harness.cell.upsert_worker(with_cores("a1", 2), harness.now);
+    harness.cell.accept(job(2, vec![step(1)]));
+    assert!(
+        harness.start_tasks().is_empty(),
+        "two runs are being stopped there"
+    );
 }
 
 #[test]
 fn a_room_is_not_overfilled_by_a_start_that_waits_for_its_record() {
-    let mut world = World::new(&["a1"]);
-    world.cell.accept(job(1, vec![step(4)]));
-    world.cell.schedule(world.now);
-    let batch = world.cell.take_batch();
-    world.cell.confirm(&batch);
-    world.cell.upsert_worker(with_cores("a1", 3), world.now);
-    let now = world.now;
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.accept(job(1, vec![step(4)]));
+    harness.cell.schedule(harness.now);
+    let batch = harness.cell.take_batch();
+    harness.cell.confirm(&batch);
+    harness.cell.upsert_worker(with_cores("a1", 3), harness.now);
+    let now = harness.now;
     let mut confirmed = 0;
     for order in batch.starts {
         if let Order::Start { worker, task, run } = order {
-            confirmed += usize::from(world.cell.prepare_start(&worker, task, run, now));
+            confirmed += usize::from(harness.cell.prepare_start(&worker, task, run, now));
         }
     }
     assert_eq!(confirmed, 3);
-    let back = world.cell.jobs[&1].task(0, 0, 0).map(|state| &state.phase);
+    let back = harness.cell.jobs[&1]
+        .task(0, 0, 0)
+        .map(|state| &state.phase);
     assert!(back.is_some());
-    world.join("b1");
-    assert_eq!(world.run().len(), 1, "it starts elsewhere");
+    harness.add_worker("b1");
+    assert_eq!(harness.start_tasks().len(), 1, "it starts elsewhere");
 }
 
 #[test]
 fn a_new_owner_uses_the_room_that_the_list_names() {
-    let mut world = World::new(&["a1"]);
-    world.cell.accept(job(1, vec![step(2)]));
-    world.run();
-    world.take_over();
-    world.cell.upsert_worker(with_cores("a1", 2), world.now);
-    world.cell.accept(job(2, vec![step(1)]));
-    assert!(world.run().is_empty(), "two runs may be there");
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.accept(job(1, vec![step(2)]));
+    harness.start_tasks();
+    harness.take_over();
+    harness.cell.upsert_worker(with_cores("a1", 2), harness.now);
+    harness.cell.accept(job(2, vec![step(1)]));
+    assert!(harness.start_tasks().is_empty(), "two runs may be there");
 }
 
 #[parameterized(
@@ -85,13 +92,13 @@
     all = { Need { cpu: u64::MAX, memory: u64::MAX, gpu: u64::MAX } },
 )]
 fn a_room_is_not_overfilled_by_a_need_that_makes_no_sense(need: Need) {
-    let mut world = World::new(&["a1"]);
-    world.cell.accept(job(1, vec![step(1)]));
-    assert_eq!(world.run().len(), 1);
-    world.cell.accept(job(2, vec![Step { need, ..step(2) }]));
-    world.cell.accept(job(3, vec![step(1)]));
-    let started = world.run();
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.accept(job(1, vec![step(1)]));
+    assert_eq!(harness.start_tasks().len(), 1);
+    harness.cell.accept(job(2, vec![Step { need, ..step(2) }]));
+    harness.cell.accept(job(3, vec![step(1)]));
+    let started = harness.start_tasks();
     assert_eq!(started.len(), 1);
     assert_eq!(started[0].1, task(3, 0, 0));
-    assert!(world.cell.demand("s").waiting.cpu > 0);
+    assert!(harness.cell.demand("s").waiting.cpu > 0);
 }
--- a/crates/jobs/tests/data_locality.rs
+++ b/crates/jobs/tests/data_locality.rs
@@ -2,11 +2,11 @@
 
 mod fixture;
 #[expect(dead_code, reason = "stops and takeovers are not looked at here")]
-mod world;
+mod harness;
 
 use fixture::{job, step};
+use harness::{Harness, task};
 use havenladder_jobs::{RunOutcome, Step};
-use world::{World, task};
 use yare::parameterized;
 
 /// A step whose data lies in the rack of the worker `a1`.
@@ -19,21 +19,21 @@
 }
 
 /// A world where four runs of 400 ms fill the worker `a1`, and the others are empty.
-fn full_near() -> World {
-    let mut world = World::new(&["a1", "b1", "c1"]);
-    world.cell.accept(job(1, vec![near(4, 400)]));
-    let started = world.run();
+fn full_near() -> Harness {
+    let mut harness = Harness::new(&["a1", "b1", "c1"]);
+    harness.cell.accept(job(1, vec![near(4, 400)]));
+    let started = harness.start_tasks();
     assert!(started.iter().all(|(worker, ..)| worker == "a1"));
-    world
+    harness
 }
 
 #[test]
 fn a_task_waits_for_room_near_its_data_where_that_is_sooner_done() {
-    let mut world = full_near();
-    world.cell.accept(job(2, vec![near(1, 1_000)]));
-    assert!(world.run().is_empty());
-    world.end("a1", 1, task(1, 0, 0), 1, RunOutcome::Done);
-    let started = world.run();
+    let mut harness = full_near();
+    harness.cell.accept(job(2, vec![near(1, 1_000)]));
+    assert!(harness.start_tasks().is_empty());
+    harness.report_end("a1", 1, task(1, 0, 0), 1, RunOutcome::Done);
+    let started = harness.start_tasks();
     assert_eq!(started, [("a1".into(), task(2, 0, 0), 1)]);
 }
 
@@ -42,42 +42,42 @@
     no_estimate = { 0 },
 )]
 fn a_task_runs_elsewhere_where_the_wait_would_cost_more(estimate: u64) {
-    let mut world = full_near();
-    world.cell.accept(job(2, vec![near(1, estimate)]));
-    assert_eq!(world.run().len(), 1);
+    let mut harness = full_near();
+    harness.cell.accept(job(2, vec![near(1, estimate)]));
+    assert_eq!(harness.start_tasks().len(), 1);
 }
 
 #[test]
 fn tasks_that_wait_for_a_rack_count_in_the_wait_of_the_next() {
-    let mut world = full_near();
-    world.cell.accept(job(2, vec![near(12, 1_000)]));
+    let mut harness = full_near();
+    harness.cell.accept(job(2, vec![near(12, 1_000)]));
     // The rack's four cores take 250 ms for each task that waits; far away, it takes 1 s longer.
-    let started = world.run();
+    let started = harness.start_tasks();
     assert!((1..12).contains(&started.len()), "{started:?}");
 }
 
 #[test]
 fn no_task_waits_for_long() {
-    let mut world = full_near();
-    world.cell.accept(job(2, vec![near(1, 5_000)]));
-    assert!(world.run().is_empty());
-    world.pass(1_600);
-    assert_eq!(world.run().len(), 1);
+    let mut harness = full_near();
+    harness.cell.accept(job(2, vec![near(1, 5_000)]));
+    assert!(harness.start_tasks().is_empty());
+    harness.advance(1_600);
+    assert_eq!(harness.start_tasks().len(), 1);
 }
 
 #[test]
 fn tasks_that_wait_for_a_rack_hold_up_no_others() {
-    let mut world = full_near();
-    world.cell.accept(job(2, vec![near(1, 5_000)]));
-    world.cell.accept(job(3, vec![step(2)]));
-    let started = world.run();
+    let mut harness = full_near();
+    harness.cell.accept(job(2, vec![near(1, 5_000)]));
+    harness.cell.accept(job(3, vec![step(2)]));
+    let started = harness.start_tasks();
     assert!(started.iter().all(|(_, task, _)| task.job == 3));
     assert_eq!(started.len(), 2);
 }
 
 #[test]
 fn a_task_whose_rack_has_no_worker_runs_elsewhere_at_once() {
-    let mut world = World::new(&["b1"]);
-    world.cell.accept(job(1, vec![near(1, 1_000)]));
-    assert_eq!(world.run().len(), 1);
+    let mut harness = Harness::new(&["b1"]);
+    harness.cell.accept(job(1, vec![near(1, 1_000)]));
+    assert_eq!(harness.start_tasks().len(), 1);
 }
--- a/crates/jobs/tests/demand.rs
+++ b/crates/jobs/tests/demand.rs
@@ -3,11 +3,11 @@
 
 mod fixture;
 #[expect(dead_code, reason = "ends, stops and takeovers are not looked at here")]
-mod world;
+mod harness;
 
 use fixture::{job, step, worker};
+use harness::Harness;
 use havenladder_jobs::{Need, Resource, Step};
-use world::World;
 use yare::parameterized;
 
 /// The part of a worker's memory, in hundredths, that a lasting task takes here: one fits, two do not.
@@ -30,10 +30,10 @@
 
 #[test]
 fn memory_counts_where_it_is_what_tasks_fill() {
-    let mut world = World::new(&["a1", "b1"]);
-    world.cell.accept(job(1, vec![lasting(2, LARGE)]));
-    world.run();
-    let demand = world.cell.demand("s");
+    let mut harness = Harness::new(&["a1", "b1"]);
+    harness.cell.accept(job(1, vec![lasting(2, LARGE)]));
+    harness.start_tasks();
+    let demand = harness.cell.demand("s");
     let room = worker("a1").capacity;
     assert_eq!(demand.busy.scarcest(room), Resource::Memory);
     assert_eq!(demand.busy.workers_of(Resource::Memory, room), 1.1);
@@ -41,28 +41,28 @@
 
 #[test]
 fn lasting_tasks_without_room_ask_for_workers_however_much_is_free_in_sum() {
-    let mut world = World::new(&["a1", "b1"]);
-    world.cell.accept(job(1, vec![lasting(3, LARGE)]));
-    assert_eq!(world.run().len(), 2);
-    let demand = world.cell.demand("s");
+    let mut harness = Harness::new(&["a1", "b1"]);
+    harness.cell.accept(job(1, vec![lasting(3, LARGE)]));
+    assert_eq!(harness.start_tasks().len(), 2);
+    let demand = harness.cell.demand("s");
     // Nine tenths of a worker are free: less than the two have, more than the third needs.
     assert_eq!(demand.unschedulable.workers(worker("a1").capacity), 1);
-    world.join("c1");
-    assert_eq!(world.run().len(), 1);
-    let demand = world.cell.demand("s");
+    harness.add_worker("c1");
+    assert_eq!(harness.start_tasks().len(), 1);
+    let demand = harness.cell.demand("s");
     assert_eq!(demand.unschedulable.workers(worker("a1").capacity), 0);
 }
 
 #[test]
 fn lasting_tasks_that_must_be_apart_ask_for_a_worker_each() {
-    let mut world = World::new(&["a1"]);
+    let mut harness = Harness::new(&["a1"]);
     let apart = Step {
         max_per_worker: Some(1),
         ..lasting(4, 10)
     };
-    world.cell.accept(job(1, vec![apart]));
-    assert_eq!(world.run().len(), 1);
-    let demand = world.cell.demand("s");
+    harness.cell.accept(job(1, vec![apart]));
+    assert_eq!(harness.start_tasks().len(), 1);
+    let demand = harness.cell.demand("s");
     assert_eq!(demand.unschedulable.workers(worker("a1").capacity), 3);
 }
 
@@ -71,79 +71,79 @@
     finite = { Step { long_running: false, ..lasting(3, LARGE) } },
 )]
 fn other_tasks_without_room_do_not(step: Step) {
-    let mut world = World::new(&["a1"]);
-    world.cell.accept(job(1, vec![step]));
-    world.run();
-    let demand = world.cell.demand("s");
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.accept(job(1, vec![step]));
+    harness.start_tasks();
+    let demand = harness.cell.demand("s");
     assert_ne!(demand.waiting, Need::default());
     assert_eq!(demand.unschedulable.workers(worker("a1").capacity), 0);
 }
 
 /// Hands in jobs of eight tasks of one core and one second, one each `gap` ms until `until` ms have passed.
-fn arrive(world: &mut World, first: u64, gap: usize, until: u64) {
+fn arrive(harness: &mut Harness, first: u64, gap: usize, until: u64) {
     for at in (first..until).step_by(gap) {
-        world.cell.mark_due(at);
+        harness.cell.mark_due(at);
         let work = Step {
             estimate_ms: 1_000,
             ..step(8)
         };
-        world.cell.accept(job(at, vec![work]));
+        harness.cell.accept(job(at, vec![work]));
     }
-    world.cell.mark_due(until);
+    harness.cell.mark_due(until);
 }
 
 #[test]
 fn a_peak_of_many_jobs_is_seen_within_a_quarter_of_a_second() {
-    let mut world = World::new(&["a1"]);
-    arrive(&mut world, 10_000, 100, 14_000);
-    let before = world.cell.demand("s").inflow.cpu;
+    let mut harness = Harness::new(&["a1"]);
+    arrive(&mut harness, 10_000, 100, 14_000);
+    let before = harness.cell.demand("s").inflow.cpu;
     assert!((70_000..=90_000).contains(&before), "{before}");
     // Two hundred jobs a second in place of ten: 1,600 cores.
-    arrive(&mut world, 14_000, 5, 14_250);
-    let peak = world.cell.demand("s").inflow.cpu;
+    arrive(&mut harness, 14_000, 5, 14_250);
+    let peak = harness.cell.demand("s").inflow.cpu;
     assert!((1_500_000..=1_700_000).contains(&peak), "{peak}");
     // A second and a half after its end, nothing is left of it.
-    world.cell.mark_due(15_750);
-    assert_eq!(world.cell.demand("s").inflow, Need::default());
+    harness.cell.mark_due(15_750);
+    assert_eq!(harness.cell.demand("s").inflow, Need::default());
 }
 
 #[test]
 fn one_large_job_among_few_is_no_peak() {
-    let mut world = World::new(&["a1"]);
-    arrive(&mut world, 10_000, 100, 14_000);
+    let mut harness = Harness::new(&["a1"]);
+    arrive(&mut harness, 10_000, 100, 14_000);
     let large = Step {
         estimate_ms: 1_000,
         ..step(80)
     };
-    world.cell.accept(job(1, vec![large]));
-    let inflow = world.cell.demand("s").inflow.cpu;
+    harness.cell.accept(job(1, vec![large]));
+    let inflow = harness.cell.demand("s").inflow.cpu;
     // Its 80 cores are spread over 1.2 s, beside the 80 of the others.
     assert!(inflow < 160_000, "{inflow}");
 }
 
 /// Hands jobs of 8 tasks of a second in, whose number a second grows from `from` to `to` between two moments.
-fn grow(world: &mut World, since: u64, until: u64, from: f64, to: f64) {
+fn grow(harness: &mut Harness, since: u64, until: u64, from: f64, to: f64) {
     let mut at = since as f64;
     while at < until as f64 {
         let part = (at - since as f64) / (until - since) as f64;
-        world.cell.mark_due(at as u64);
+        harness.cell.mark_due(at as u64);
         let work = Step {
             estimate_ms: 1_000,
             ..step(8)
         };
-        world.cell.accept(job(at.to_bits(), vec![work]));
+        harness.cell.accept(job(at.to_bits(), vec![work]));
         at += 1_000.0 / (from + (to - from) * part);
     }
-    world.cell.mark_due(until);
+    harness.cell.mark_due(until);
 }
 
 #[test]
 fn what_a_turn_will_ask_for_is_foreseen_as_it_begins() {
     // Of 10 to 1,000 jobs a second within 3 s, 8,000 cores at its height, the first second: at least half of what comes 1.6 s
     // later is foreseen, and no more than a third too much.
-    let mut world = World::new(&["a1"]);
-    grow(&mut world, 10_000, 11_000, 10.0, 340.0);
-    let demand = world.cell.demand("s");
+    let mut harness = Harness::new(&["a1"]);
+    grow(&mut harness, 10_000, 11_000, 10.0, 340.0);
+    let demand = harness.cell.demand("s");
     let then = 8_000.0 * (10.0 + 330.0 * 2.6);
     let foreseen = demand.forecast_inflow.cpu as f64 / then;
     assert!((0.5..1.33).contains(&foreseen), "{foreseen} {demand:?}");
@@ -153,21 +153,21 @@
 
 #[test]
 fn what_comes_as_before_is_not_foreseen_to_grow() {
-    let mut world = World::new(&["a1"]);
-    grow(&mut world, 10_000, 14_000, 100.0, 100.0);
-    let demand = world.cell.demand("s");
+    let mut harness = Harness::new(&["a1"]);
+    grow(&mut harness, 10_000, 14_000, 100.0, 100.0);
+    let demand = harness.cell.demand("s");
     assert_eq!(demand.forecast_inflow, demand.inflow);
-    grow(&mut world, 14_000, 16_000, 100.0, 20.0);
-    let demand = world.cell.demand("s");
+    grow(&mut harness, 14_000, 16_000, 100.0, 20.0);
+    let demand = harness.cell.demand("s");
     assert_eq!(demand.forecast_inflow, demand.inflow, "nor while it falls");
 }
 
 #[test]
 fn a_few_jobs_more_are_no_growth() {
-    let mut world = World::new(&["a1"]);
-    arrive(&mut world, 10_000, 200, 12_000);
-    arrive(&mut world, 12_000, 100, 13_000);
-    let demand = world.cell.demand("s");
+    let mut harness = Harness::new(&["a1"]);
+    arrive(&mut harness, 10_000, 200, 12_000);
+    arrive(&mut harness, 12_000, 100, 13_000);
+    let demand = harness.cell.demand("s");
     assert_eq!(
         demand.forecast_inflow, demand.inflow,
         "ten in place of five may be chance"
@@ -176,22 +176,22 @@
 
 #[test]
 fn a_turn_is_foreseen_to_be_as_high_as_earlier_ones() {
-    let mut world = World::new(&["a1"]);
-    grow(&mut world, 10_000, 12_000, 10.0, 300.0);
-    let first = world.cell.demand("s").inflow.cpu;
-    grow(&mut world, 12_000, 13_000, 300.0, 10.0);
-    grow(&mut world, 13_000, 22_000, 10.0, 10.0);
+    let mut harness = Harness::new(&["a1"]);
+    grow(&mut harness, 10_000, 12_000, 10.0, 300.0);
+    let first = harness.cell.demand("s").inflow.cpu;
+    grow(&mut harness, 12_000, 13_000, 300.0, 10.0);
+    grow(&mut harness, 13_000, 22_000, 10.0, 10.0);
     // The next turn, a second on: the growth alone would foresee three times what comes now.
-    grow(&mut world, 22_000, 23_600, 10.0, 240.0);
-    let demand = world.cell.demand("s");
+    grow(&mut harness, 22_000, 23_600, 10.0, 240.0);
+    let demand = harness.cell.demand("s");
     assert!(demand.forecast_inflow.cpu > demand.inflow.cpu, "{demand:?}");
     assert!(
         demand.forecast_inflow.cpu <= first * 5 / 4,
         "{first} {demand:?}"
     );
     // One that is higher than all before is foreseen as the first was.
-    grow(&mut world, 23_600, 25_000, 240.0, 900.0);
-    let demand = world.cell.demand("s");
+    grow(&mut harness, 23_600, 25_000, 240.0, 900.0);
+    let demand = harness.cell.demand("s");
     assert!(
         demand.forecast_inflow.cpu > first * 5 / 2,
         "{first} {demand:?}"
--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/harness/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// A cell, its clock, and what its log would hold.
-pub struct World {
+pub struct Harness {
     /// The cell.
     pub cell: Cell,
     /// The time.
@@ -41,37 +41,37 @@
     }
 }
 
-impl World {
+impl Harness {
     /// A cell whose workers have all answered.
     pub fn new(workers: &[&str]) -> Self {
-        let mut world = World {
+        let mut harness = Harness {
             cell: Cell::new(Limits::default()),
             now: Instant::now(),
             log: Vec::new(),
         };
-        workers.iter().for_each(|id| world.join(id));
-        world
+        workers.iter().for_each(|id| harness.add_worker(id));
+        harness
     }
 
     /// A worker is listed and answers.
-    pub fn join(&mut self, id: &str) {
+    pub fn add_worker(&mut self, id: &str) {
         self.cell.upsert_worker(worker(id), self.now);
         self.report(id, Report::default());
     }
 
     /// Time passes.
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
     }
 
     /// A worker reports.
     pub fn report(&mut self, id: &str, report: Report) {
-        self.pass(1);
+        self.advance(1);
         self.cell.apply_report(id, &report, self.now, self.now);
     }
 
     /// A worker lists one end.
-    pub fn end(&mut self, id: &str, number: u64, task: TaskId, run: RunId, how: RunOutcome) {
+    pub fn report_end(&mut self, id: &str, number: u64, task: TaskId, run: RunId, how: RunOutcome) {
         let end = EndRow {
             number,
             task,
@@ -79,7 +79,7 @@
             how,
             saved: String::new(),
         };
-        let running = self.rows(id, task, run);
+        let running = self.running_rows(id, task, run);
         self.report(
             id,
             Report {
@@ -90,7 +90,7 @@
     }
 
     /// Rows of all that the cell believes to run on a worker, but for one run.
-    fn rows(&self, id: &str, task: TaskId, run: RunId) -> Vec<RunRow> {
+    fn running_rows(&self, id: &str, task: TaskId, run: RunId) -> Vec<RunRow> {
         let Some(host) = self.cell.workers.get(id) else {
             return Vec::new();
         };
@@ -99,7 +99,7 @@
     }
 
     /// Decides, makes the records durable, and returns the starts that were confirmed and answered.
-    pub fn run(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
+    pub fn start_tasks(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
         self.cell.schedule(self.now);
         let batch: Batch = self.cell.take_batch();
         self.cell.confirm(&batch);
@@ -118,7 +118,7 @@
     }
 
     /// The stops that are to be sent.
-    pub fn stops(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
+    pub fn take_stops(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
         let stop = |order| match order {
             Order::Stop { worker, task, run } => Some((worker, task, run)),
             Order::Start { .. } | Order::Pace { .. } | Order::RequestPermits { .. } => None,
--- a/crates/jobs/tests/invalid_bounds.rs
+++ b/crates/jobs/tests/invalid_bounds.rs
@@ -4,12 +4,12 @@
 
 mod fixture;
 #[expect(dead_code, reason = "stops and ends are not looked at here")]
-mod world;
+mod harness;
 
 use fixture::{job, step, worker};
+use harness::Harness;
 use havenladder_jobs::{Bound, JobId, Need, Report, Step, Submission};
 use std::time::Duration;
-use world::World;
 
 /// The workspace of all jobs here.
 const SCHOOL: &str = "school";
@@ -23,31 +23,39 @@
 
 #[test]
 fn a_bound_that_cannot_be_read_stays_shut_when_the_workspace_is_not_named_any_more() {
-    let mut world = World::new(&["a1"]);
-    world.cell.set_bounds([(SCHOOL.to_owned(), Bound::CLOSED)]);
-    world.cell.accept(job_of_school(1, vec![step(2)]));
-    assert!(world.run().is_empty());
-    world.cell.set_bounds([]);
-    assert!(world.run().is_empty(), "it keeps the bound that it had");
-    world.cell.set_bounds([(SCHOOL.to_owned(), Bound::NONE)]);
-    assert_eq!(world.run().len(), 2);
+    let mut harness = Harness::new(&["a1"]);
+    harness
+        .cell
+        .set_bounds([(SCHOOL.to_owned(), Bound::CLOSED)]);
+    harness.cell.accept(job_of_school(1, vec![step(2)]));
+    assert!(harness.start_tasks().is_empty());
+    harness.cell.set_bounds([]);
+    assert!(
+        harness.start_tasks().is_empty(),
+        "it keeps the bound that it had"
+    );
+    harness.cell.set_bounds([(SCHOOL.to_owned(), Bound::NONE)]);
+    assert_eq!(harness.start_tasks().len(), 2);
 }
 
 #[test]
 fn a_workspace_that_no_configuration_has_named_has_no_bound() {
-    let mut world = World::new(&["a1"]);
-    world.cell.accept(job_of_school(1, vec![step(2)]));
-    assert!(world.run().is_empty(), "its configuration is on its way");
-    world.cell.set_bounds([]);
-    assert_eq!(world.run().len(), 2);
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.accept(job_of_school(1, vec![step(2)]));
+    assert!(
+        harness.start_tasks().is_empty(),
+        "its configuration is on its way"
+    );
+    harness.cell.set_bounds([]);
+    assert_eq!(harness.start_tasks().len(), 2);
 }
 
 #[test]
 fn an_absurd_need_leaves_what_else_is_running_on_the_account() {
-    let mut world = World::new(&["a1"]);
-    world.cell.set_bounds([(SCHOOL.to_owned(), Bound::NONE)]);
-    world.cell.accept(job_of_school(1, vec![step(2)]));
-    assert_eq!(world.run().len(), 2);
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.set_bounds([(SCHOOL.to_owned(), Bound::NONE)]);
+    harness.cell.accept(job_of_school(1, vec![step(2)]));
+    assert_eq!(harness.start_tasks().len(), 2);
     let absurd = Step {
         need: Need {
             cpu: u64::MAX,
@@ -56,30 +64,30 @@
         },
         ..step(3)
     };
-    world.cell.accept(job_of_school(2, vec![absurd]));
-    world.run();
-    world.take_over();
-    let expires = world.now + Duration::from_secs(9);
-    world.cell.raise_takeover_barrier(expires, false);
-    let used = |world: &World| world.cell.account(SCHOOL).unwrap().used();
-    assert_eq!(used(&world).cpu, u64::MAX, "all of it may run");
-    world.cell.upsert_worker(worker("a1"), world.now);
-    world.cell.mark_listed();
-    let runs = (0..2).map(|index| world::row(world::task(1, 0, index), 1, 50));
+    harness.cell.accept(job_of_school(2, vec![absurd]));
+    harness.start_tasks();
+    harness.take_over();
+    let expires = harness.now + Duration::from_secs(9);
+    harness.cell.raise_takeover_barrier(expires, false);
+    let used = |harness: &Harness| harness.cell.account(SCHOOL).unwrap().used();
+    assert_eq!(used(&harness).cpu, u64::MAX, "all of it may run");
+    harness.cell.upsert_worker(worker("a1"), harness.now);
+    harness.cell.mark_listed();
+    let runs = (0..2).map(|index| harness::row(harness::task(1, 0, index), 1, 50));
     let running = runs.collect();
-    world.report(
+    harness.report(
         "a1",
         Report {
             running,
             ended: Vec::new(),
         },
     );
-    world.cell.set_bounds([(SCHOOL.to_owned(), Bound::NONE)]);
-    world.run();
+    harness.cell.set_bounds([(SCHOOL.to_owned(), Bound::NONE)]);
+    harness.start_tasks();
     let two = Need {
         cpu: 2_000,
         memory: 200,
         gpu: 0,
     };
-    assert_eq!(used(&world), two, "the absurd ones are known not to run");
+    assert_eq!(used(&harness), two, "the absurd ones are known not to run");
 }
--- a/crates/jobs/tests/takeover.rs
+++ b/crates/jobs/tests/takeover.rs
@@ -3,113 +3,116 @@
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
 mod fixture;
-mod world;
+mod harness;
 
 use fixture::{job, step, worker};
+use harness::{Harness, row, task};
 use havenladder_jobs::{Cancelled, Loss, Report, RunOutcome};
 use std::time::Duration;
-use world::{World, row, task};
 
 #[test]
 fn a_new_owner_waits_for_the_workers_of_the_earlier_one() {
-    let mut world = World::new(&["a1"]);
-    world.cell.accept(job(1, vec![step(1)]));
-    let (_, first, run) = world.run().remove(0);
-    world.take_over();
-    world.join("b1");
-    assert!(world.run().is_empty(), "it may run on a1");
-    assert_eq!(world.cell.orphaned_workers(), ["a1"]);
-    world.cell.upsert_worker(worker("a1"), world.now);
-    assert!(world.run().is_empty(), "a1 has not answered");
-    world.report(
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.accept(job(1, vec![step(1)]));
+    let (_, first, run) = harness.start_tasks().remove(0);
+    harness.take_over();
+    harness.add_worker("b1");
+    assert!(harness.start_tasks().is_empty(), "it may run on a1");
+    assert_eq!(harness.cell.orphaned_workers(), ["a1"]);
+    harness.cell.upsert_worker(worker("a1"), harness.now);
+    assert!(harness.start_tasks().is_empty(), "a1 has not answered");
+    harness.report(
         "a1",
         Report {
             running: vec![row(first, run, 40)],
             ended: vec![],
         },
     );
-    assert!(world.run().is_empty(), "it runs on a1");
-    world.report("a1", Report::default());
-    assert_eq!(world.run().len(), 1);
+    assert!(harness.start_tasks().is_empty(), "it runs on a1");
+    harness.report("a1", Report::default());
+    assert_eq!(harness.start_tasks().len(), 1);
 }
 
 #[test]
 fn a_job_that_is_cancelled_before_its_worker_is_met_is_stopped_there() {
-    let mut world = World::new(&["a1"]);
-    world.cell.accept(job(1, vec![step(1)]));
-    let (_, first, run) = world.run().remove(0);
-    world.take_over();
-    assert_eq!(world.cell.cancel(1), Cancelled::Done);
-    world.cell.upsert_worker(worker("a1"), world.now);
-    world.report(
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.accept(job(1, vec![step(1)]));
+    let (_, first, run) = harness.start_tasks().remove(0);
+    harness.take_over();
+    assert_eq!(harness.cell.cancel(1), Cancelled::Done);
+    harness.cell.upsert_worker(worker("a1"), harness.now);
+    harness.report(
         "a1",
         Report {
             running: vec![row(first, run, 40)],
             ended: vec![],
         },
     );
-    assert_eq!(world.stops(), [("a1".into(), first, run)]);
+    assert_eq!(harness.take_stops(), [("a1".into(), first, run)]);
 }
 
 #[test]
 fn the_vms_of_a_wave_are_known_to_a_new_owner() {
-    let mut world = World::new(&["a1"]);
-    world.cell.record_maintenance(7, "vm-1");
-    world.run();
-    world.take_over();
-    assert!(world.cell.maintained_vms(7).contains("vm-1"));
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.record_maintenance(7, "vm-1");
+    harness.start_tasks();
+    harness.take_over();
+    assert!(harness.cell.maintained_vms(7).contains("vm-1"));
 }
 
 #[test]
 fn while_the_log_is_away_only_jobs_that_it_holds_go_on() {
-    let mut world = World::new(&["a1"]);
-    world.cell.accept(job(1, vec![step(5)]));
-    let started = world.run();
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.accept(job(1, vec![step(5)]));
+    let started = harness.start_tasks();
     assert_eq!(started.len(), 4);
-    world.cell.accept(job(2, vec![step(1)]));
+    harness.cell.accept(job(2, vec![step(1)]));
     for (number, (id, task, run)) in (1..).zip(started.into_iter().take(2)) {
-        world.end(&id, number, task, run, RunOutcome::Done);
+        harness.report_end(&id, number, task, run, RunOutcome::Done);
     }
-    world.cell.schedule(world.now);
-    let known = world.cell.take_durable_starts();
+    harness.cell.schedule(harness.now);
+    let known = harness.cell.take_durable_starts();
     assert_eq!(known.len(), 1, "job 2 is not durable");
-    assert_eq!(world.run().len(), 1, "it starts once it is");
+    assert_eq!(harness.start_tasks().len(), 1, "it starts once it is");
 }
 
 #[test]
 fn what_waited_under_an_earlier_owner_starts_once_all_workers_have_been_met() {
-    let mut world = World::new(&["a1", "b1"]);
-    world.cell.accept(job(1, vec![step(9)]));
-    assert_eq!(world.run().len(), 8);
-    world.take_over();
-    let expires = world.now + Duration::from_millis(10_000);
-    world.cell.raise_takeover_barrier(expires, false);
-    world.cell.upsert_worker(worker("a1"), world.now);
-    world.cell.upsert_worker(worker("b1"), world.now);
-    world.report("a1", Report::default());
-    assert!(world.run().is_empty(), "the list has not been read");
-    world.cell.mark_listed();
+    let mut harness = Harness::new(&["a1", "b1"]);
+    harness.cell.accept(job(1, vec![step(9)]));
+    assert_eq!(harness.start_tasks().len(), 8);
+    harness.take_over();
+    let expires = harness.now + Duration::from_millis(10_000);
+    harness.cell.raise_takeover_barrier(expires, false);
+    harness.cell.upsert_worker(worker("a1"), harness.now);
+    harness.cell.upsert_worker(worker("b1"), harness.now);
+    harness.report("a1", Report::default());
     assert!(
-        world.run().is_empty(),
+        harness.start_tasks().is_empty(),
+        "the list has not been read"
+    );
+    harness.cell.mark_listed();
+    assert!(
+        harness.start_tasks().is_empty(),
         "b1 may run what was started without a record"
     );
-    world.cell.accept(job(2, vec![step(1)]));
+    harness.cell.accept(job(2, vec![step(1)]));
     assert_eq!(
-        world.run()[0].1,
+        harness.start_tasks()[0].1,
         task(2, 0, 0),
         "a new job cannot run there"
     );
     // The earlier owner had started the last task there after an unrecorded end.
     let unrecorded = row(task(1, 0, 8), 1, 10);
-    world.report(
+    harness.report(
         "b1",
         Report {
             running: vec![unrecorded],
             ended: vec![],
         },
     );
-    let started: Vec<_> = world
-        .run()
+    let started: Vec<_> = harness
+        .start_tasks()
         .into_iter()
         .map(|(_, task, _)| task.index)
         .collect();
@@ -119,17 +122,17 @@
 
 #[test]
 fn while_the_log_is_away_what_ran_on_a_lost_worker_is_not_tried_again() {
-    let mut world = World::new(&["a1", "b1"]);
-    world.cell.accept(job(1, vec![step(1)]));
-    let (lost, ..) = world.run().remove(0);
-    world.cell.abandon_worker(&lost, Loss::Ended, world.now);
-    world.cell.schedule_unrecorded(world.now);
+    let mut harness = Harness::new(&["a1", "b1"]);
+    harness.cell.accept(job(1, vec![step(1)]));
+    let (lost, ..) = harness.start_tasks().remove(0);
+    harness.cell.abandon_worker(&lost, Loss::Ended, harness.now);
+    harness.cell.schedule_unrecorded(harness.now);
     assert!(
-        world.cell.take_durable_starts().is_empty(),
+        harness.cell.take_durable_starts().is_empty(),
         "a newer owner may have met it"
     );
     assert_eq!(
-        world.run().len(),
+        harness.start_tasks().len(),
         1,
         "a record shuts the newer owner out, or fails"
     );
@@ -137,71 +140,77 @@
 
 #[test]
 fn the_numbers_of_runs_rise_beyond_those_that_were_not_recorded() {
-    let mut world = World::new(&[]);
-    world.cell.accept(job(1, vec![step(1)]));
-    assert!(world.run().is_empty());
-    world.take_over();
-    world.join("a1");
+    let mut harness = Harness::new(&[]);
+    harness.cell.accept(job(1, vec![step(1)]));
+    assert!(harness.start_tasks().is_empty());
+    harness.take_over();
+    harness.add_worker("a1");
     // The earlier owner had started the task without a record.
-    world.end("a1", 1, task(1, 0, 0), 1, RunOutcome::Failed);
-    assert_eq!(world.run(), [("a1".into(), task(1, 0, 0), 2)]);
+    harness.report_end("a1", 1, task(1, 0, 0), 1, RunOutcome::Failed);
+    assert_eq!(harness.start_tasks(), [("a1".into(), task(1, 0, 0), 2)]);
 }
 
 #[test]
 fn a_run_that_was_not_recorded_replaces_the_recorded_one() {
-    let mut world = World::new(&["a1", "b1"]);
-    world.cell.accept(job(1, vec![step(1)]));
-    let (first, id, _) = world.run().remove(0);
+    let mut harness = Harness::new(&["a1", "b1"]);
+    harness.cell.accept(job(1, vec![step(1)]));
+    let (first, id, _) = harness.start_tasks().remove(0);
     let second = if first == "a1" { "b1" } else { "a1" };
-    world.take_over();
-    world.cell.upsert_worker(worker("a1"), world.now);
-    world.cell.upsert_worker(worker("b1"), world.now);
-    world.cell.mark_listed();
+    harness.take_over();
+    harness.cell.upsert_worker(worker("a1"), harness.now);
+    harness.cell.upsert_worker(worker("b1"), harness.now);
+    harness.cell.mark_listed();
     // The earlier owner had seen run 1 fail and had started run 2 without a record.
-    world.report(
+    harness.report(
         second,
         Report {
             running: vec![row(id, 2, 30)],
             ended: vec![],
         },
     );
-    world.end(&first, 1, id, 1, RunOutcome::Failed);
-    assert!(world.run().is_empty(), "run 2 goes on");
-    assert!(world.stops().is_empty());
-    assert_eq!(world.cell.jobs[&1].task(0, 0, 0).unwrap().failed, [1]);
+    harness.report_end(&first, 1, id, 1, RunOutcome::Failed);
+    assert!(harness.start_tasks().is_empty(), "run 2 goes on");
+    assert!(harness.take_stops().is_empty());
+    assert_eq!(harness.cell.jobs[&1].task(0, 0, 0).unwrap().failed, [1]);
 }
 
 #[test]
 fn workers_that_the_list_lost_with_the_log_are_known_by_their_vms() {
-    let mut world = World::new(&["a1", "b1"]);
-    world.cell.accept(job(1, vec![step(9)]));
-    assert_eq!(world.run().len(), 8);
-    world.take_over();
-    let expires = world.now + Duration::from_millis(10_000);
-    world.cell.raise_takeover_barrier(expires, true);
-    world.join("a1");
-    world.cell.mark_listed();
-    assert!(world.run().is_empty(), "the list of VMs has not been read");
+    let mut harness = Harness::new(&["a1", "b1"]);
+    harness.cell.accept(job(1, vec![step(9)]));
+    assert_eq!(harness.start_tasks().len(), 8);
+    harness.take_over();
+    let expires = harness.now + Duration::from_millis(10_000);
+    harness.cell.raise_takeover_barrier(expires, true);
+    harness.add_worker("a1");
+    harness.cell.mark_listed();
+    assert!(
+        harness.start_tasks().is_empty(),
+        "the list of VMs has not been read"
+    );
     let on_vms = [
         ("a1".to_owned(), "s".to_owned()),
         ("b1".to_owned(), "s".to_owned()),
     ];
-    world.cell.expect_workers(on_vms);
-    assert!(world.run().is_empty(), "b1 is not listed, but its VM is up");
-    world.pass(10_000);
-    assert!(!world.run().is_empty(), "its lease has run out");
+    harness.cell.expect_workers(on_vms);
+    assert!(
+        harness.start_tasks().is_empty(),
+        "b1 is not listed, but its VM is up"
+    );
+    harness.advance(10_000);
+    assert!(!harness.start_tasks().is_empty(), "its lease has run out");
 }
 
 #[test]
 fn a_record_without_its_counterpart_does_not_stop_a_takeover() {
-    let mut world = World::new(&["a1"]);
-    world.cell.accept(job(1, vec![step(1)]));
-    world.cell.accept(job(2, vec![step(1)]));
-    world.run();
+    let mut harness = Harness::new(&["a1"]);
+    harness.cell.accept(job(1, vec![step(1)]));
+    harness.cell.accept(job(2, vec![step(1)]));
+    harness.start_tasks();
     let id = |number: u64| format!("{number:016x}");
-    world
+    harness
         .log
         .retain(|entry| entry.key != format!("g{}", id(1)) && entry.key != format!("s{}", id(2)));
-    world.take_over();
-    assert!(world.cell.jobs.is_empty());
+    harness.take_over();
+    assert!(harness.cell.jobs.is_empty());
 }
