--- a/crates/jobs/tests/harness/mod.rs
+++ b/crates/jobs/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A cell with a few workers, for tests of single decisions.
+//! A test harness around one cell and a few simulated workers, for tests of single decisions.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -10,17 +10,17 @@
 };
 use std::time::Duration;
 
-/// A cell, its clock, and what its log would hold.
+/// A cell, its simulated clock and the records that its log would hold.
 pub struct Harness {
-    /// The cell.
+    /// The cell under test.
     pub cell: Cell,
-    /// The time.
+    /// The simulated current time.
     pub now: Instant,
-    /// The records, oldest first.
+    /// The records that were appended, oldest first.
     pub log: Vec<Entry>,
 }
 
-/// The first task of a step of a job's first round.
+/// Returns the id of a task in the first round of a job.
 pub fn task(job: JobId, step: u32, index: u32) -> TaskId {
     TaskId {
         job,
@@ -30,7 +30,7 @@
     }
 }
 
-/// A row of a run that goes on.
+/// Returns the row of a report for a run that is still running.
 pub fn row(task: TaskId, run: RunId, percent: u64) -> RunRow {
     RunRow {
         task,
@@ -42,7 +42,7 @@
 }
 
 impl Harness {
-    /// A cell whose workers have all answered.
+    /// Creates a cell in which each of the given workers is listed and has sent a report.
     pub fn new(workers: &[&str]) -> Self {
         let mut harness = Harness {
             cell: Cell::new(Limits::default()),
@@ -53,24 +53,24 @@
         harness
     }
 
-    /// A worker is listed and answers.
+    /// Lists a worker and applies an empty report of it.
     pub fn add_worker(&mut self, id: &str) {
         self.cell.upsert_worker(worker(id), self.now);
         self.report(id, Report::default());
     }
 
-    /// Time passes.
+    /// Advances the clock.
     pub fn advance(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
     }
 
-    /// A worker reports.
+    /// Advances the clock by 1 ms and applies a report of the worker.
     pub fn report(&mut self, id: &str, report: Report) {
         self.advance(1);
         self.cell.apply_report(id, &report, self.now, self.now);
     }
 
-    /// A worker lists one end.
+    /// Applies a report that lists the end of one run and all other runs of the worker as running.
     pub fn report_end(&mut self, id: &str, number: u64, task: TaskId, run: RunId, how: RunOutcome) {
         let end = EndRow {
             number,
@@ -89,7 +89,7 @@
         );
     }
 
-    /// Rows of all that the cell believes to run on a worker, but for one run.
+    /// Returns a row for each run that the cell assigns to the worker, except for one run.
     fn running_rows(&self, id: &str, task: TaskId, run: RunId) -> Vec<RunRow> {
         let Some(host) = self.cell.workers.get(id) else {
             return Vec::new();
@@ -98,7 +98,8 @@
         others.map(|(task, run)| row(*task, *run, 50)).collect()
     }
 
-    /// Decides, makes the records durable, and returns the starts that were confirmed and answered.
+    /// Schedules, makes the records durable and sends the starts. Returns those that the cell still confirmed; the
+    /// worker accepts each of them.
     pub fn start_tasks(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
         self.cell.schedule(self.now);
         let batch: Batch = self.cell.take_batch();
@@ -117,7 +118,7 @@
         started
     }
 
-    /// The stops that are to be sent.
+    /// Takes the urgent orders of the cell and returns the stops among them.
     pub fn take_stops(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
         let stop = |order| match order {
             Order::Stop { worker, task, run } => Some((worker, task, run)),
@@ -130,7 +131,7 @@
             .collect()
     }
 
-    /// A new owner reads the log; it has met no worker.
+    /// Replaces the cell by that of a new owner, which has read the log and has contacted no worker yet.
     pub fn take_over(&mut self) {
         let mut newest: std::collections::BTreeMap<String, Vec<u8>> = Default::default();
         for entry in &self.log {
