--- a/crates/jobs/tests/takeover.rs
+++ b/crates/jobs/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! What a cell decides after an earlier owner, and while the log is away.
+//! Tests of a cell that was taken over from another owner, and of a cell whose log is unavailable.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -11,16 +11,19 @@
 use std::time::Duration;
 
 #[test]
-fn a_new_owner_waits_for_the_workers_of_the_earlier_one() {
+fn a_new_owner_waits_for_the_workers_of_the_earlier_owner() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     let (_, first, run) = harness.start_tasks().remove(0);
     harness.take_over();
     harness.add_worker("b1");
-    assert!(harness.start_tasks().is_empty(), "it may run on a1");
+    assert!(
+        harness.start_tasks().is_empty(),
+        "the task may still run on a1"
+    );
     assert_eq!(harness.cell.orphaned_workers(), ["a1"]);
     harness.cell.upsert_worker(worker("a1"), harness.now);
-    assert!(harness.start_tasks().is_empty(), "a1 has not answered");
+    assert!(harness.start_tasks().is_empty(), "a1 has not responded yet");
     harness.report(
         "a1",
         Report {
@@ -28,13 +31,16 @@
             ended: vec![],
         },
     );
-    assert!(harness.start_tasks().is_empty(), "it runs on a1");
+    assert!(
+        harness.start_tasks().is_empty(),
+        "the task still runs on a1"
+    );
     harness.report("a1", Report::default());
     assert_eq!(harness.start_tasks().len(), 1);
 }
 
 #[test]
-fn a_job_that_is_cancelled_before_its_worker_is_met_is_stopped_there() {
+fn a_job_cancelled_before_its_worker_is_contacted_is_stopped_there() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     let (_, first, run) = harness.start_tasks().remove(0);
@@ -52,7 +58,7 @@
 }
 
 #[test]
-fn the_vms_of_a_wave_are_known_to_a_new_owner() {
+fn a_new_owner_knows_the_vms_of_a_wave() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.record_maintenance(7, "vm-1");
     harness.start_tasks();
@@ -61,7 +67,7 @@
 }
 
 #[test]
-fn while_the_log_is_away_only_jobs_that_it_holds_go_on() {
+fn only_durable_jobs_start_tasks_while_the_log_is_unavailable() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(5)]));
     let started = harness.start_tasks();
@@ -71,13 +77,17 @@
         harness.report_end(&id, number, task, run, RunOutcome::Done);
     }
     harness.cell.schedule(harness.now);
-    let known = harness.cell.take_durable_starts();
-    assert_eq!(known.len(), 1, "job 2 is not durable");
-    assert_eq!(harness.start_tasks().len(), 1, "it starts once it is");
+    let durable = harness.cell.take_durable_starts();
+    assert_eq!(durable.len(), 1, "job 2 is not durable");
+    assert_eq!(
+        harness.start_tasks().len(),
+        1,
+        "job 2 starts once it is durable"
+    );
 }
 
 #[test]
-fn what_waited_under_an_earlier_owner_starts_once_all_workers_have_been_met() {
+fn waiting_tasks_of_the_earlier_owner_start_once_all_workers_are_contacted() {
     let mut harness = Harness::new(&["a1", "b1"]);
     harness.cell.accept(job(1, vec![step(9)]));
     assert_eq!(harness.start_tasks().len(), 8);
@@ -89,20 +99,20 @@
     harness.report("a1", Report::default());
     assert!(
         harness.start_tasks().is_empty(),
-        "the list has not been read"
+        "the list of workers has not been read"
     );
     harness.cell.mark_listed();
     assert!(
         harness.start_tasks().is_empty(),
-        "b1 may run what was started without a record"
+        "b1 may have unrecorded runs"
     );
     harness.cell.accept(job(2, vec![step(1)]));
     assert_eq!(
         harness.start_tasks()[0].1,
         task(2, 0, 0),
-        "a new job cannot run there"
+        "a new job cannot have an unrecorded run on b1"
     );
-    // The earlier owner had started the last task there after an unrecorded end.
+    // The earlier owner had started the last task on b1 after an end that was not recorded.
     let unrecorded = row(task(1, 0, 8), 1, 10);
     harness.report(
         "b1",
@@ -116,12 +126,15 @@
         .into_iter()
         .map(|(_, task, _)| task.index)
         .collect();
-    assert!(!started.contains(&8), "it runs: {started:?}");
+    assert!(
+        !started.contains(&8),
+        "task 8 already runs on b1: {started:?}"
+    );
     assert!(!started.is_empty());
 }
 
 #[test]
-fn while_the_log_is_away_what_ran_on_a_lost_worker_is_not_tried_again() {
+fn runs_of_a_lost_worker_are_not_retried_while_the_log_is_unavailable() {
     let mut harness = Harness::new(&["a1", "b1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     let (lost, ..) = harness.start_tasks().remove(0);
@@ -129,17 +142,17 @@
     harness.cell.schedule_unrecorded(harness.now);
     assert!(
         harness.cell.take_durable_starts().is_empty(),
-        "a newer owner may have met it"
+        "a newer owner may have contacted the worker"
     );
     assert_eq!(
         harness.start_tasks().len(),
         1,
-        "a record shuts the newer owner out, or fails"
+        "a successful append proves that there is no newer owner"
     );
 }
 
 #[test]
-fn the_numbers_of_runs_rise_beyond_those_that_were_not_recorded() {
+fn run_numbers_exceed_those_of_unrecorded_runs() {
     let mut harness = Harness::new(&[]);
     harness.cell.accept(job(1, vec![step(1)]));
     assert!(harness.start_tasks().is_empty());
@@ -151,7 +164,7 @@
 }
 
 #[test]
-fn a_run_that_was_not_recorded_replaces_the_recorded_one() {
+fn an_unrecorded_run_replaces_the_recorded_one() {
     let mut harness = Harness::new(&["a1", "b1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     let (first, id, _) = harness.start_tasks().remove(0);
@@ -160,7 +173,7 @@
     harness.cell.upsert_worker(worker("a1"), harness.now);
     harness.cell.upsert_worker(worker("b1"), harness.now);
     harness.cell.mark_listed();
-    // The earlier owner had seen run 1 fail and had started run 2 without a record.
+    // The earlier owner had received the failure of run 1 and had started run 2 without a record.
     harness.report(
         second,
         Report {
@@ -169,13 +182,13 @@
         },
     );
     harness.report_end(&first, 1, id, 1, RunOutcome::Failed);
-    assert!(harness.start_tasks().is_empty(), "run 2 goes on");
+    assert!(harness.start_tasks().is_empty(), "run 2 is still running");
     assert!(harness.take_stops().is_empty());
     assert_eq!(harness.cell.jobs[&1].task(0, 0, 0).unwrap().failed, [1]);
 }
 
 #[test]
-fn workers_that_the_list_lost_with_the_log_are_known_by_their_vms() {
+fn workers_missing_from_the_list_are_found_by_their_vms() {
     let mut harness = Harness::new(&["a1", "b1"]);
     harness.cell.accept(job(1, vec![step(9)]));
     assert_eq!(harness.start_tasks().len(), 8);
@@ -188,21 +201,24 @@
         harness.start_tasks().is_empty(),
         "the list of VMs has not been read"
     );
-    let on_vms = [
+    let workers_on_vms = [
         ("a1".to_owned(), "s".to_owned()),
         ("b1".to_owned(), "s".to_owned()),
     ];
-    harness.cell.expect_workers(on_vms);
+    harness.cell.expect_workers(workers_on_vms);
     assert!(
         harness.start_tasks().is_empty(),
-        "b1 is not listed, but its VM is up"
+        "b1 is not listed, but its VM is running"
     );
     harness.advance(10_000);
-    assert!(!harness.start_tasks().is_empty(), "its lease has run out");
+    assert!(
+        !harness.start_tasks().is_empty(),
+        "the lease of b1 has expired"
+    );
 }
 
 #[test]
-fn a_record_without_its_counterpart_does_not_stop_a_takeover() {
+fn a_record_without_its_counterpart_does_not_prevent_a_takeover() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     harness.cell.accept(job(2, vec![step(1)]));
