--- a/crates/jobs/tests/demand.rs
+++ b/crates/jobs/tests/demand.rs
@@ -1,8 +1,8 @@
-//! What the jobs of a service ask for: the resource that is scarce decides, and lasting tasks that find no
-//! room ask for workers of their own.
+//! Tests of the demand of a service: it is measured by the scarcest resource, and unschedulable long-running tasks
+//! demand additional workers.
 
 mod fixture;
-#[expect(dead_code, reason = "ends, stops and takeovers are not looked at here")]
+#[expect(dead_code, reason = "ends, stops and takeovers are not tested here")]
 mod harness;
 
 use fixture::{job, step, worker};
@@ -10,15 +10,15 @@
 use havenladder_jobs::{Need, Resource, Step};
 use yare::parameterized;
 
-/// The part of a worker's memory, in hundredths, that a lasting task takes here: one fits, two do not.
-const LARGE: u64 = 55;
+/// Percentage of a worker's memory that a large long-running task needs: one such task fits on a worker, two do not.
+const LARGE_PERCENT: u64 = 55;
 
-/// A step of lasting tasks that need little processor and so many hundredths of a worker's memory.
-fn lasting(count: u32, memory: u64) -> Step {
-    let room = worker("a1").capacity;
+/// Returns a step of long-running tasks that need a tenth of a worker's cores and the given percentage of its memory.
+fn long_running(count: u32, memory: u64) -> Step {
+    let capacity = worker("a1").capacity;
     let need = Need {
-        cpu: room.cpu / 10,
-        memory: room.memory * memory / 100,
+        cpu: capacity.cpu / 10,
+        memory: capacity.memory * memory / 100,
         gpu: 0,
     };
     Step {
@@ -29,23 +29,28 @@
 }
 
 #[test]
-fn memory_counts_where_it_is_what_tasks_fill() {
+fn demand_is_measured_by_the_scarcest_resource() {
     let mut harness = Harness::new(&["a1", "b1"]);
-    harness.cell.accept(job(1, vec![lasting(2, LARGE)]));
+    harness
+        .cell
+        .accept(job(1, vec![long_running(2, LARGE_PERCENT)]));
     harness.start_tasks();
     let demand = harness.cell.demand("s");
-    let room = worker("a1").capacity;
-    assert_eq!(demand.busy.scarcest(room), Resource::Memory);
-    assert_eq!(demand.busy.workers_of(Resource::Memory, room), 1.1);
+    let capacity = worker("a1").capacity;
+    assert_eq!(demand.busy.scarcest(capacity), Resource::Memory);
+    assert_eq!(demand.busy.workers_of(Resource::Memory, capacity), 1.1);
 }
 
 #[test]
-fn lasting_tasks_without_room_ask_for_workers_however_much_is_free_in_sum() {
+fn unschedulable_long_running_tasks_demand_workers_despite_fragmented_capacity() {
     let mut harness = Harness::new(&["a1", "b1"]);
-    harness.cell.accept(job(1, vec![lasting(3, LARGE)]));
+    harness
+        .cell
+        .accept(job(1, vec![long_running(3, LARGE_PERCENT)]));
     assert_eq!(harness.start_tasks().len(), 2);
     let demand = harness.cell.demand("s");
-    // Nine tenths of a worker are free: less than the two have, more than the third needs.
+    // 90 % of a worker's memory is free in total, which is more than the third task needs, but it is split over two
+    // workers.
     assert_eq!(demand.unschedulable.workers(worker("a1").capacity), 1);
     harness.add_worker("c1");
     assert_eq!(harness.start_tasks().len(), 1);
@@ -54,11 +59,11 @@
 }
 
 #[test]
-fn lasting_tasks_that_must_be_apart_ask_for_a_worker_each() {
+fn long_running_tasks_limited_per_worker_demand_a_worker_each() {
     let mut harness = Harness::new(&["a1"]);
     let apart = Step {
         max_per_worker: Some(1),
-        ..lasting(4, 10)
+        ..long_running(4, 10)
     };
     harness.cell.accept(job(1, vec![apart]));
     assert_eq!(harness.start_tasks().len(), 1);
@@ -67,10 +72,10 @@
 }
 
 #[parameterized(
-    label = { Step { label: Some("none-has-it".to_owned()), ..lasting(2, 10) } },
-    finite = { Step { long_running: false, ..lasting(3, LARGE) } },
+    label = { Step { label: Some("none-has-it".to_owned()), ..long_running(2, 10) } },
+    finite = { Step { long_running: false, ..long_running(3, LARGE_PERCENT) } },
 )]
-fn other_tasks_without_room_do_not(step: Step) {
+fn other_waiting_tasks_demand_no_workers_of_their_own(step: Step) {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step]));
     harness.start_tasks();
@@ -79,121 +84,128 @@
     assert_eq!(demand.unschedulable.workers(worker("a1").capacity), 0);
 }
 
-/// Hands in jobs of eight tasks of one core and one second, one each `gap` ms until `until` ms have passed.
-fn arrive(harness: &mut Harness, first: u64, gap: usize, until: u64) {
-    for at in (first..until).step_by(gap) {
+/// Submits a job of eight tasks of one core and one second every `interval` ms, from the time `since` until `until`.
+fn submit_at_interval(harness: &mut Harness, since: u64, interval: usize, until: u64) {
+    for at in (since..until).step_by(interval) {
         harness.cell.mark_due(at);
-        let work = Step {
+        let one = Step {
             estimate_ms: 1_000,
             ..step(8)
         };
-        harness.cell.accept(job(at, vec![work]));
+        harness.cell.accept(job(at, vec![one]));
     }
     harness.cell.mark_due(until);
 }
 
 #[test]
-fn a_peak_of_many_jobs_is_seen_within_a_quarter_of_a_second() {
+fn a_peak_of_many_jobs_is_detected_within_250_ms() {
     let mut harness = Harness::new(&["a1"]);
-    arrive(&mut harness, 10_000, 100, 14_000);
-    let before = harness.cell.demand("s").inflow.cpu;
-    assert!((70_000..=90_000).contains(&before), "{before}");
-    // Two hundred jobs a second in place of ten: 1,600 cores.
-    arrive(&mut harness, 14_000, 5, 14_250);
+    submit_at_interval(&mut harness, 10_000, 100, 14_000);
+    let steady = harness.cell.demand("s").inflow.cpu;
+    assert!((70_000..=90_000).contains(&steady), "{steady}");
+    // The rate rises from 10 to 200 jobs per second, which need 1,600 cores.
+    submit_at_interval(&mut harness, 14_000, 5, 14_250);
     let peak = harness.cell.demand("s").inflow.cpu;
     assert!((1_500_000..=1_700_000).contains(&peak), "{peak}");
-    // A second and a half after its end, nothing is left of it.
+    // 1.5 s after the end of the peak, it no longer counts.
     harness.cell.mark_due(15_750);
     assert_eq!(harness.cell.demand("s").inflow, Need::default());
 }
 
 #[test]
-fn one_large_job_among_few_is_no_peak() {
+fn one_large_job_among_few_is_not_a_peak() {
     let mut harness = Harness::new(&["a1"]);
-    arrive(&mut harness, 10_000, 100, 14_000);
+    submit_at_interval(&mut harness, 10_000, 100, 14_000);
     let large = Step {
         estimate_ms: 1_000,
         ..step(80)
     };
     harness.cell.accept(job(1, vec![large]));
     let inflow = harness.cell.demand("s").inflow.cpu;
-    // Its 80 cores are spread over 1.2 s, beside the 80 of the others.
+    // The 80 cores of the large job are averaged over 1.2 s and add to the 80 cores of the other jobs.
     assert!(inflow < 160_000, "{inflow}");
 }
 
-/// Hands jobs of 8 tasks of a second in, whose number a second grows from `from` to `to` between two moments.
-fn grow(harness: &mut Harness, since: u64, until: u64, from: f64, to: f64) {
+/// Submits jobs of eight tasks of one second between two times, at a rate that changes linearly from `from` to `to`
+/// jobs per second.
+fn submit_at_changing_rate(harness: &mut Harness, since: u64, until: u64, from: f64, to: f64) {
     let mut at = since as f64;
     while at < until as f64 {
         let part = (at - since as f64) / (until - since) as f64;
         harness.cell.mark_due(at as u64);
-        let work = Step {
+        let one = Step {
             estimate_ms: 1_000,
             ..step(8)
         };
-        harness.cell.accept(job(at.to_bits(), vec![work]));
+        harness.cell.accept(job(at.to_bits(), vec![one]));
         at += 1_000.0 / (from + (to - from) * part);
     }
     harness.cell.mark_due(until);
 }
 
 #[test]
-fn what_a_turn_will_ask_for_is_foreseen_as_it_begins() {
-    // Of 10 to 1,000 jobs a second within 3 s, 8,000 cores at its height, the first second: at least half of what comes 1.6 s
-    // later is foreseen, and no more than a third too much.
+fn a_steep_rise_is_forecast_as_it_begins() {
+    // The first second of a rise from 10 to 1,000 jobs per second within 3 s, which needs 8,000 cores at its peak.
+    // The forecast is at least half of the inflow 1.6 s later and exceeds it by at most a third.
     let mut harness = Harness::new(&["a1"]);
-    grow(&mut harness, 10_000, 11_000, 10.0, 340.0);
+    submit_at_changing_rate(&mut harness, 10_000, 11_000, 10.0, 340.0);
     let demand = harness.cell.demand("s");
-    let then = 8_000.0 * (10.0 + 330.0 * 2.6);
-    let foreseen = demand.forecast_inflow.cpu as f64 / then;
-    assert!((0.5..1.33).contains(&foreseen), "{foreseen} {demand:?}");
-    let now = demand.inflow.cpu as f64 / then;
-    assert!(now < 0.5, "what comes now is far less: {now}");
+    let expected = 8_000.0 * (10.0 + 330.0 * 2.6);
+    let forecast_ratio = demand.forecast_inflow.cpu as f64 / expected;
+    assert!(
+        (0.5..1.33).contains(&forecast_ratio),
+        "{forecast_ratio} {demand:?}"
+    );
+    let now = demand.inflow.cpu as f64 / expected;
+    assert!(now < 0.5, "the current inflow is far lower: {now}");
 }
 
 #[test]
-fn what_comes_as_before_is_not_foreseen_to_grow() {
+fn a_steady_or_falling_inflow_is_not_forecast_to_grow() {
     let mut harness = Harness::new(&["a1"]);
-    grow(&mut harness, 10_000, 14_000, 100.0, 100.0);
+    submit_at_changing_rate(&mut harness, 10_000, 14_000, 100.0, 100.0);
     let demand = harness.cell.demand("s");
     assert_eq!(demand.forecast_inflow, demand.inflow);
-    grow(&mut harness, 14_000, 16_000, 100.0, 20.0);
+    submit_at_changing_rate(&mut harness, 14_000, 16_000, 100.0, 20.0);
     let demand = harness.cell.demand("s");
-    assert_eq!(demand.forecast_inflow, demand.inflow, "nor while it falls");
+    assert_eq!(
+        demand.forecast_inflow, demand.inflow,
+        "a falling inflow is not forecast to grow"
+    );
 }
 
 #[test]
-fn a_few_jobs_more_are_no_growth() {
+fn a_few_additional_jobs_are_not_forecast_as_growth() {
     let mut harness = Harness::new(&["a1"]);
-    arrive(&mut harness, 10_000, 200, 12_000);
-    arrive(&mut harness, 12_000, 100, 13_000);
+    submit_at_interval(&mut harness, 10_000, 200, 12_000);
+    submit_at_interval(&mut harness, 12_000, 100, 13_000);
     let demand = harness.cell.demand("s");
     assert_eq!(
         demand.forecast_inflow, demand.inflow,
-        "ten in place of five may be chance"
+        "a rise from five to ten jobs per second may be random"
     );
 }
 
 #[test]
-fn a_turn_is_foreseen_to_be_as_high_as_earlier_ones() {
+fn a_rise_is_forecast_to_be_as_high_as_earlier_ones() {
     let mut harness = Harness::new(&["a1"]);
-    grow(&mut harness, 10_000, 12_000, 10.0, 300.0);
-    let first = harness.cell.demand("s").inflow.cpu;
-    grow(&mut harness, 12_000, 13_000, 300.0, 10.0);
-    grow(&mut harness, 13_000, 22_000, 10.0, 10.0);
-    // The next turn, a second on: the growth alone would foresee three times what comes now.
-    grow(&mut harness, 22_000, 23_600, 10.0, 240.0);
+    submit_at_changing_rate(&mut harness, 10_000, 12_000, 10.0, 300.0);
+    let first_rise = harness.cell.demand("s").inflow.cpu;
+    submit_at_changing_rate(&mut harness, 12_000, 13_000, 300.0, 10.0);
+    submit_at_changing_rate(&mut harness, 13_000, 22_000, 10.0, 10.0);
+    // Near the end of the next rise, the growth alone would forecast three times the current inflow.
+    submit_at_changing_rate(&mut harness, 22_000, 23_600, 10.0, 240.0);
     let demand = harness.cell.demand("s");
     assert!(demand.forecast_inflow.cpu > demand.inflow.cpu, "{demand:?}");
     assert!(
-        demand.forecast_inflow.cpu <= first * 5 / 4,
-        "{first} {demand:?}"
+        demand.forecast_inflow.cpu <= first_rise * 5 / 4,
+        "{first_rise} {demand:?}"
     );
-    // One that is higher than all before is foreseen as the first was.
-    grow(&mut harness, 23_600, 25_000, 240.0, 900.0);
+    // A rise beyond the height of all earlier ones is again forecast from its growth, as the first one was.
+    submit_at_changing_rate(&mut harness, 23_600, 25_000, 240.0, 900.0);
     let demand = harness.cell.demand("s");
     assert!(
-        demand.forecast_inflow.cpu > first * 5 / 2,
-        "{first} {demand:?}"
+        demand.forecast_inflow.cpu > first_rise * 5 / 2,
+        "{first_rise} {demand:?}"
     );
 }
