--- a/crates/jobs/tests/drain.rs
+++ b/crates/jobs/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Which runs leave a worker whose VM is to go.
+//! Tests of draining a worker before its VM is released: which runs are moved to other workers.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// A world with work on `a1` and a little on `b1`.
-fn busy(first: Step) -> Harness {
+/// Returns a harness with the given step running on `a1` and one task running on `b1`.
+fn partly_loaded(first: Step) -> Harness {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![first]));
     harness.start_tasks();
@@ -24,7 +24,7 @@
     harness
 }
 
-fn long(count: u32) -> Step {
+fn resumable(count: u32) -> Step {
     Step {
         estimate_ms: 5_000,
         saves_progress: true,
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn runs_that_save_their_progress_go_on_elsewhere_from_there() {
-    let mut harness = busy(long(2));
+fn runs_that_save_their_progress_resume_on_another_worker() {
+    let mut harness = partly_loaded(resumable(2));
     harness.report(
         "a1",
         Report {
@@ -52,29 +52,29 @@
 }
 
 #[parameterized(
-    saves_nothing = { Step { saves_progress: false, ..long(1) } },
-    gang = { Step { gang: true, ..long(1) } },
-    about_to_end = { Step { estimate_ms: 300, ..long(1) } },
+    without_saved_progress = { Step { saves_progress: false, ..resumable(1) } },
+    gang = { Step { gang: true, ..resumable(1) } },
+    ending_soon = { Step { estimate_ms: 300, ..resumable(1) } },
 )]
-fn other_runs_are_left_to_end(step: Step) {
-    let mut harness = busy(step);
+fn other_runs_are_not_drained(step: Step) {
+    let mut harness = partly_loaded(step);
     harness.cell.set_closed("a1", true);
     assert_eq!(harness.cell.drain_worker("a1", harness.now), 0);
     assert!(harness.take_stops().is_empty());
 }
 
 #[test]
-fn a_run_that_finds_no_room_elsewhere_stays() {
-    // The other worker has room for three more tasks of one core.
-    let mut harness = busy(long(4));
+fn a_run_without_capacity_elsewhere_stays() {
+    // `b1` has free capacity for three more tasks of one core.
+    let mut harness = partly_loaded(resumable(4));
     harness.cell.set_closed("a1", true);
     assert_eq!(harness.cell.drain_worker("a1", harness.now), 3);
     assert!(harness.cell.time_to_drain("a1", harness.now) > Duration::from_secs(4));
 }
 
 #[test]
-fn a_new_owner_goes_on_with_a_move_that_the_earlier_one_began() {
-    let mut harness = busy(long(1));
+fn a_new_owner_continues_a_drain_of_the_earlier_owner() {
+    let mut harness = partly_loaded(resumable(1));
     let moved = task(1, 0, 0);
     harness.cell.set_closed("a1", true);
     assert_eq!(harness.cell.drain_worker("a1", harness.now), 1);
