--- a/crates/jobs/tests/crash_attribution.rs
+++ b/crates/jobs/tests/crash_attribution.rs
@@ -1,7 +1,8 @@
-//! Which ends of workers count against which tasks, and what follows for where these are started.
+//! Tests of crash attribution: which ends of workers count against which tasks, and where suspected tasks are
+//! started.
 
 mod fixture;
-#[expect(dead_code, reason = "stops and ends are not looked at here")]
+#[expect(dead_code, reason = "stops and ends are not tested here")]
 mod harness;
 
 use fixture::{job, step, worker};
@@ -13,25 +14,25 @@
 use std::collections::BTreeMap;
 use yare::parameterized;
 
-/// Long enough for a worker that answers to show that its runs do not end it.
-const PROVEN: u64 = 250;
+/// Time after which a report of a worker shows that the run in quarantine there does not crash it, in ms.
+const QUARANTINE_THRESHOLD_MS: u64 = 250;
 
-/// What speaks for and against a task.
+/// Returns the crash history of a task.
 fn crash_history(harness: &Harness, task: TaskId) -> CrashHistory {
     let state = harness.cell.jobs[&task.job].task(task.round, task.step, task.index);
-    state.expect("the job has it").history.clone()
+    state.expect("the job has this task").history.clone()
 }
 
-/// A worker ends without notice, and that is known at once.
+/// Crashes a worker, of which the cell learns immediately.
 fn crash(harness: &mut Harness, id: &str) -> LostWorker {
     harness.advance(10);
     harness.cell.mark_silent(id, harness.now);
     let lost = harness.cell.abandon_worker(id, Loss::Ended, harness.now);
-    lost.expect("it was there")
+    lost.expect("the worker is known")
 }
 
-/// A worker says that it runs all that it was told to.
-fn confirm(harness: &mut Harness, id: &str) {
+/// Applies a report in which a worker lists every run that the cell assigns to it.
+fn report_all_running(harness: &mut Harness, id: &str) {
     let runs = harness.cell.workers.get(id).map(|worker| &worker.runs);
     let rows = runs.into_iter().flatten();
     let running = rows.map(|((task, run), _)| row(*task, *run, 50)).collect();
@@ -44,43 +45,43 @@
     );
 }
 
-/// A world with one worker and one job of so many plain tasks, which run there.
-fn running(tasks: u32) -> Harness {
+/// Returns a harness with one worker, on which all tasks of one job are running.
+fn with_running_tasks(tasks: u32) -> Harness {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(tasks)]));
     assert_eq!(harness.start_tasks().len(), tasks as usize);
     harness
 }
 
-/// What is known of a worker before it is given up.
-enum Before {
+/// State of a worker before it is abandoned.
+enum PriorState {
     Nothing,
     Ordered,
-    Doubted,
+    Unconfirmed,
     Draining,
-    ServesOnUnlisted,
+    RespondingUnlisted,
     SilentUnlisted,
 }
 
-fn prepare(harness: &mut Harness, before: &Before) {
+fn set_prior_state(harness: &mut Harness, before: &PriorState) {
     let now = harness.now;
     match before {
-        Before::Nothing => {}
-        Before::Ordered => harness.cell.set_disrupted("a1", true),
-        Before::Doubted => harness.cell.set_order_unconfirmed("a1", true),
-        Before::Draining => harness.cell.upsert_worker(
+        PriorState::Nothing => {}
+        PriorState::Ordered => harness.cell.set_disrupted("a1", true),
+        PriorState::Unconfirmed => harness.cell.set_order_unconfirmed("a1", true),
+        PriorState::Draining => harness.cell.upsert_worker(
             WorkerInfo {
                 draining: true,
                 ..worker("a1")
             },
             now,
         ),
-        Before::ServesOnUnlisted => {
+        PriorState::RespondingUnlisted => {
             harness.cell.unlist_worker("a1", now);
             harness.advance(10);
-            confirm(harness, "a1");
+            report_all_running(harness, "a1");
         }
-        Before::SilentUnlisted => {
+        PriorState::SilentUnlisted => {
             harness.cell.mark_silent("a1", now);
             harness.cell.unlist_worker("a1", now);
         }
@@ -88,26 +89,31 @@
 }
 
 #[parameterized(
-    without_notice = { Before::Nothing, Loss::Ended, Ending::Crashed, 1 },
-    its_vm_was_moved = { Before::Nothing, Loss::Ordered, Ending::Ordered, 0 },
-    its_vm_was_told_to_go = { Before::Ordered, Loss::Ended, Ending::Ordered, 0 },
-    an_earlier_owner_may_have_told_its_vm_to_go = { Before::Doubted, Loss::Ended, Ending::Crashed, 1 },
-    it_said_so = { Before::Draining, Loss::Ended, Ending::Announced, 0 },
-    it_served_on = { Before::ServesOnUnlisted, Loss::Ended, Ending::Announced, 0 },
-    its_entry_lapsed = { Before::SilentUnlisted, Loss::Ended, Ending::Crashed, 1 },
-    its_lease_ran_out = { Before::Nothing, Loss::Lapsed, Ending::Unclear, 0 }
+    without_notice = { PriorState::Nothing, Loss::Ended, Ending::Crashed, 1 },
+    its_vm_was_moved = { PriorState::Nothing, Loss::Ordered, Ending::Ordered, 0 },
+    its_vm_was_ordered_to_stop = { PriorState::Ordered, Loss::Ended, Ending::Ordered, 0 },
+    an_earlier_owner_may_have_ordered_its_vm_to_stop = { PriorState::Unconfirmed, Loss::Ended, Ending::Crashed, 1 },
+    it_announced_its_end = { PriorState::Draining, Loss::Ended, Ending::Announced, 0 },
+    it_responded_after_its_entry_vanished = { PriorState::RespondingUnlisted, Loss::Ended, Ending::Announced, 0 },
+    its_entry_expired = { PriorState::SilentUnlisted, Loss::Ended, Ending::Crashed, 1 },
+    its_lease_expired = { PriorState::Nothing, Loss::Lapsed, Ending::Unclear, 0 }
 )]
-fn only_ends_without_notice_count(before: Before, loss: Loss, ending: Ending, count: usize) {
-    let mut harness = running(1);
-    prepare(&mut harness, &before);
+fn only_unannounced_ends_count_as_crashes(
+    before: PriorState,
+    loss: Loss,
+    ending: Ending,
+    count: usize,
+) {
+    let mut harness = with_running_tasks(1);
+    set_prior_state(&mut harness, &before);
     let lost = harness.cell.abandon_worker("a1", loss, harness.now);
     assert_eq!(lost.map(|lost| lost.ending), Some(ending));
     assert_eq!(crash_history(&harness, task(1, 0, 0)).crashes.len(), count);
 }
 
 #[test]
-fn a_worker_that_was_cut_off_counts_once_it_proves_to_have_ended() {
-    let mut harness = running(1);
+fn an_unreachable_worker_counts_once_its_end_is_confirmed() {
+    let mut harness = with_running_tasks(1);
     harness.cell.mark_silent("a1", harness.now);
     harness.cell.expire_lease("a1", harness.now);
     assert!(crash_history(&harness, task(1, 0, 0)).crashes.is_empty());
@@ -116,8 +122,8 @@
 }
 
 #[test]
-fn a_worker_that_answers_again_after_a_cut_does_not_count() {
-    let mut harness = running(1);
+fn a_worker_that_responds_after_an_outage_does_not_count() {
+    let mut harness = with_running_tasks(1);
     harness.cell.mark_silent("a1", harness.now);
     harness.cell.expire_lease("a1", harness.now);
     harness.report("a1", Report::default());
@@ -126,7 +132,7 @@
 }
 
 #[test]
-fn a_start_that_was_not_sent_does_not_count() {
+fn an_unsent_start_is_not_attributed() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     harness.cell.schedule(harness.now);
@@ -136,8 +142,8 @@
 }
 
 #[test]
-fn what_begins_on_trial_is_alone_and_others_go_elsewhere() {
-    let mut harness = running(2);
+fn a_suspected_task_starts_alone_in_quarantine() {
+    let mut harness = with_running_tasks(2);
     crash(&mut harness, "a1");
     harness.add_worker("b1");
     harness.add_worker("b2");
@@ -146,42 +152,47 @@
         .into_iter()
         .map(|(id, task, _)| (task, id))
         .collect();
-    let on = |index| started.get(&task(1, 0, index));
+    let worker_of = |index| started.get(&task(1, 0, index));
     assert!(
-        on(0).is_some() && on(1).is_some() && on(0) != on(1),
+        worker_of(0).is_some() && worker_of(1).is_some() && worker_of(0) != worker_of(1),
         "{started:?}"
     );
     harness.cell.accept(job(2, vec![step(1)]));
     assert!(
         harness.start_tasks().is_empty(),
-        "nothing begins beside them"
+        "no task starts beside a run in quarantine"
     );
-    harness.advance(PROVEN);
-    confirm(&mut harness, "b1");
+    harness.advance(QUARANTINE_THRESHOLD_MS);
+    report_all_running(&mut harness, "b1");
     assert_eq!(
         harness.start_tasks().len(),
         1,
-        "the worker has outlived the quarantine"
+        "the quarantine of b1 has ended"
     );
-    let (cleared, open) = match on(0).map(|id| &**id) {
+    let (exonerated, still_suspected) = match worker_of(0).map(|id| &**id) {
         Some("b1") => (0, 1),
         _ => (1, 0),
     };
     assert!(
-        crash_history(&harness, task(1, 0, cleared))
+        crash_history(&harness, task(1, 0, exonerated))
             .crashes
             .is_empty()
     );
-    assert_eq!(crash_history(&harness, task(1, 0, open)).crashes.len(), 1);
+    assert_eq!(
+        crash_history(&harness, task(1, 0, still_suspected))
+            .crashes
+            .len(),
+        1
+    );
 }
 
 #[test]
-fn a_trial_takes_the_worker_with_the_fewest_runs_and_none_that_has_just_begun() {
+fn quarantine_uses_the_worker_with_the_fewest_and_no_recent_runs() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(3)]));
     harness.start_tasks();
-    harness.advance(PROVEN);
-    confirm(&mut harness, "a1");
+    harness.advance(QUARANTINE_THRESHOLD_MS);
+    report_all_running(&mut harness, "a1");
     harness.add_worker("b1");
     harness.cell.accept(job(
         2,
@@ -202,15 +213,15 @@
 }
 
 #[test]
-fn two_prompt_ends_give_a_job_up_also_for_the_next_owner() {
-    let mut harness = running(1);
+fn two_prompt_crashes_fail_a_job_also_for_the_next_owner() {
+    let mut harness = with_running_tasks(1);
     crash(&mut harness, "a1");
     harness.add_worker("b1");
     assert_eq!(harness.start_tasks().len(), 1);
     harness.take_over();
     harness.add_worker("b1");
     assert_eq!(crash_history(&harness, task(1, 0, 0)).crashes.len(), 1);
-    // It does not name the run: its start never came there.
+    // The report does not list the run, since its start never reached the worker.
     let started = harness.start_tasks();
     assert_eq!(started.len(), 1);
     let lost = crash(&mut harness, &started[0].0);
@@ -224,10 +235,10 @@
 }
 
 #[test]
-fn what_has_gone_on_for_a_while_is_not_put_on_trial() {
-    let mut harness = running(1);
-    harness.advance(PROVEN);
-    confirm(&mut harness, "a1");
+fn tasks_that_ran_for_a_while_are_not_quarantined() {
+    let mut harness = with_running_tasks(1);
+    harness.advance(QUARANTINE_THRESHOLD_MS);
+    report_all_running(&mut harness, "a1");
     harness.cell.accept(job(2, vec![step(1)]));
     harness.start_tasks();
     crash(&mut harness, "a1");
@@ -256,19 +267,19 @@
 }
 
 #[test]
-fn repeats_of_a_job_share_what_speaks_against_a_task() {
+fn repeats_of_a_job_share_the_crash_history_of_a_task() {
     let schedule = Schedule {
         repeats: 2,
         first_due_ms: 0,
         interval_ms: 0,
     };
-    let mut given: Submission = job(1, vec![step(1)]);
-    given.spec.schedule = Some(schedule);
+    let mut submission: Submission = job(1, vec![step(1)]);
+    submission.spec.schedule = Some(schedule);
     let mut harness = Harness::new(&["a1"]);
     harness.cell.mark_due(1);
-    harness.cell.accept(given);
+    harness.cell.accept(submission);
     harness.cell.mark_due(2);
-    assert_eq!(harness.start_tasks().len(), 2, "both repeats run");
+    assert_eq!(harness.start_tasks().len(), 2, "both repeats are running");
     crash(&mut harness, "a1");
     for round in 0..2 {
         let task = TaskId {
@@ -278,7 +289,7 @@
         assert_eq!(
             crash_history(&harness, task).crashes.len(),
             1,
-            "one end counts once"
+            "one crash counts once for each repeat"
         );
     }
     for id in ["b1", "b2"] {
@@ -287,7 +298,7 @@
     assert_eq!(
         harness.start_tasks().len(),
         2,
-        "each on a worker of its own"
+        "each repeat runs on a worker of its own"
     );
     let lost = crash(&mut harness, "b1");
     assert_eq!(lost.failed.len(), 1);
@@ -295,7 +306,7 @@
 }
 
 #[test]
-fn members_of_a_gang_under_suspicion_get_workers_of_their_own() {
+fn suspected_gang_members_get_workers_of_their_own() {
     let gang = Step {
         gang: true,
         ..step(4)
@@ -303,10 +314,10 @@
     let mut harness = Harness::new(&["a1", "a2"]);
     harness.cell.accept(job(1, vec![gang]));
     let started = harness.start_tasks();
-    let there = |id: &str| started.iter().filter(|(on, ..)| on == id).count();
-    assert_eq!((there("a1"), there("a2")), (2, 2));
+    let runs_on = |id: &str| started.iter().filter(|(on, ..)| on == id).count();
+    assert_eq!((runs_on("a1"), runs_on("a2")), (2, 2));
     crash(&mut harness, "a1");
-    // The others end with them.
+    // The gang members on a2 end with those on a1.
     harness.report("a2", Report::default());
     let running = harness
         .cell
@@ -317,8 +328,8 @@
     for id in ["b1", "b2"] {
         harness.add_worker(id);
     }
-    let again = harness.start_tasks();
-    assert_eq!(again.len(), 4, "{again:?}");
+    let restarted = harness.start_tasks();
+    assert_eq!(restarted.len(), 4, "{restarted:?}");
     for index in 0..4 {
         if crash_history(&harness, task(1, 0, index))
             .crashes
@@ -326,15 +337,15 @@
         {
             continue;
         }
-        let on = again.iter().find(|(_, task, _)| task.index == index);
-        let on = on.map(|(id, ..)| id).expect("it was started");
-        let beside = again.iter().filter(|(id, ..)| id == on).count();
-        assert_eq!(beside, 1, "{again:?}");
+        let on = restarted.iter().find(|(_, task, _)| task.index == index);
+        let on = on.map(|(id, ..)| id).expect("the task was started");
+        let beside = restarted.iter().filter(|(id, ..)| id == on).count();
+        assert_eq!(beside, 1, "{restarted:?}");
     }
 }
 
 #[test]
-fn a_worker_that_never_answered_and_had_no_runs_is_no_accident() {
+fn a_worker_that_never_responded_and_had_no_runs_is_no_accident() {
     let mut harness = Harness::new(&["a1"]);
     for number in 0..4 {
         let id = format!("ghost-{number}");
@@ -349,25 +360,28 @@
     assert_eq!(
         crash(&mut harness, "b1").failed.len(),
         1,
-        "two ends are proof"
+        "two crashes are sufficient evidence"
     );
 }
 
-/// Users saw the job of a harmless task given up after one accident, in this order: its worker ended by accident 34 ms
-/// after its start; the task was to begin in quarantine on a worker that had ended as well, which nobody knew yet; that
-/// start had no answer, and when the second worker's end was known it counted as the proof. The evidence: `start failed`
-/// with `no answer`, and the same run `after 0 ms, Quarantined` in the line `worker lost`.
+/// Guards against failing the job of a harmless task after one accident. Its worker crashed 34 ms after its start.
+/// The task was then started in quarantine on a worker that had already ended, which was not known yet; that start
+/// got no response (`start failed` with `no answer`), but the end of the second worker was attributed to the task
+/// (`after 0 ms, Quarantined` in the line `worker lost`).
 #[test]
-fn a_start_without_an_answer_is_no_proof_against_its_task() {
-    let mut harness = running(1);
+fn a_start_without_a_response_is_not_attributed_to_its_task() {
+    let mut harness = with_running_tasks(1);
     crash(&mut harness, "a1");
     harness.add_worker("b1");
     harness.cell.schedule(harness.now);
     let starts = harness.cell.take_batch().starts;
-    assert_eq!(starts.len(), 1, "it begins in quarantine");
+    assert_eq!(starts.len(), 1, "the task starts in quarantine");
     let now = harness.now;
     assert!(harness.cell.prepare_start("b1", task(1, 0, 0), 2, now));
     harness.cell.unacked("b1", task(1, 0, 0), 2);
     let lost = crash(&mut harness, "b1");
-    assert!(lost.failed.is_empty(), "nothing shows that it began");
+    assert!(
+        lost.failed.is_empty(),
+        "there is no evidence that the run started"
+    );
 }
