--- a/crates/jobs/tests/hall_drains.rs
+++ b/crates/jobs/tests/hall_drains.rs
@@ -1,62 +1,68 @@
-//! Orders to empty data centres, as they come from several sources in any order.
+//! Tests of orders to drain data centres, which arrive from several sources in any order.
 
 use havenladder_jobs::{HallDrains, HallOrder};
 use std::collections::BTreeSet;
 
-fn empty(hall: &str) -> Option<HallOrder> {
+fn drain(hall: &str) -> Option<HallOrder> {
     Some(HallOrder::Drain(hall.to_owned()))
 }
 
-fn back(hall: &str) -> Option<HallOrder> {
+fn undrain(hall: &str) -> Option<HallOrder> {
     Some(HallOrder::Undrain(hall.to_owned()))
 }
 
-fn set(halls: &[&str]) -> BTreeSet<String> {
+fn hall_set(halls: &[&str]) -> BTreeSet<String> {
     halls.iter().map(|hall| (*hall).to_owned()).collect()
 }
 
 #[test]
-fn orders_overlap_and_are_taken_back_one_by_one() {
-    let mut known = HallDrains::default();
-    assert!(known.apply(empty("a"), 3));
-    assert!(known.apply(empty("b"), 4));
-    assert!(!known.apply(empty("a"), 5), "the same again");
-    assert!(known.apply(back("a"), 6));
-    assert!(!known.apply(back("c"), 7), "it was not to be emptied");
-    assert_eq!(*known.halls(), set(&["b"]));
-    assert_eq!(known.as_of(), 8);
+fn drains_overlap_and_are_undone_one_by_one() {
+    let mut drains = HallDrains::default();
+    assert!(drains.apply(drain("a"), 3));
+    assert!(drains.apply(drain("b"), 4));
+    assert!(
+        !drains.apply(drain("a"), 5),
+        "the data centre is already drained"
+    );
+    assert!(drains.apply(undrain("a"), 6));
+    assert!(
+        !drains.apply(undrain("c"), 7),
+        "the data centre was not drained"
+    );
+    assert_eq!(*drains.halls(), hall_set(&["b"]));
+    assert_eq!(drains.as_of(), 8);
 }
 
 #[test]
-fn what_is_read_a_second_time_changes_nothing() {
-    let mut known = HallDrains::default();
-    known.apply(empty("a"), 3);
-    known.apply(back("a"), 4);
-    assert!(!known.apply(empty("a"), 3));
-    assert!(known.halls().is_empty());
+fn an_order_that_is_read_twice_changes_nothing() {
+    let mut drains = HallDrains::default();
+    drains.apply(drain("a"), 3);
+    drains.apply(undrain("a"), 4);
+    assert!(!drains.apply(drain("a"), 3));
+    assert!(drains.halls().is_empty());
 }
 
 #[test]
-fn records_of_another_kind_move_the_offset() {
-    let mut known = HallDrains::default();
-    assert!(!known.apply(None, 9));
-    assert_eq!(known.as_of(), 10);
+fn records_of_another_kind_advance_the_offset() {
+    let mut drains = HallDrains::default();
+    assert!(!drains.apply(None, 9));
+    assert_eq!(drains.as_of(), 10);
 }
 
 #[test]
-fn an_order_that_is_missing_from_the_newest_records_has_been_taken_back() {
-    let mut known = HallDrains::default();
-    known.apply(empty("a"), 3);
-    assert!(known.adopt(HallDrains::new(set(&["b"]), 20)));
-    assert_eq!(*known.halls(), set(&["b"]));
+fn a_drain_missing_from_the_newest_records_is_undone() {
+    let mut drains = HallDrains::default();
+    drains.apply(drain("a"), 3);
+    assert!(drains.adopt(HallDrains::new(hall_set(&["b"]), 20)));
+    assert_eq!(*drains.halls(), hall_set(&["b"]));
 }
 
 #[test]
-fn what_another_entry_knows_counts_unless_it_is_older() {
-    let mut known = HallDrains::default();
-    known.apply(empty("a"), 8);
-    assert!(!known.adopt(HallDrains::new(set(&[]), 8)));
-    assert_eq!(*known.halls(), set(&["a"]));
-    assert!(known.adopt(HallDrains::new(set(&[]), 9)));
-    assert!(known.halls().is_empty());
+fn the_state_of_another_entry_is_adopted_unless_it_is_older() {
+    let mut drains = HallDrains::default();
+    drains.apply(drain("a"), 8);
+    assert!(!drains.adopt(HallDrains::new(hall_set(&[]), 8)));
+    assert_eq!(*drains.halls(), hall_set(&["a"]));
+    assert!(drains.adopt(HallDrains::new(hall_set(&[]), 9)));
+    assert!(drains.halls().is_empty());
 }
--- a/crates/jobs/tests/unconfirmed.rs
+++ b/crates/jobs/tests/unconfirmed.rs
@@ -1,32 +1,37 @@
-//! What is not taken for granted of runs that no worker has spoken of, or of workers that are silent.
+//! Tests of unconfirmed state: runs that no worker has reported, and workers that are silent.
 
 mod fixture;
-#[expect(dead_code, reason = "stops are not looked at here")]
+#[expect(dead_code, reason = "stops are not tested here")]
 mod harness;
 
 use fixture::{job, step, worker};
 use harness::{Harness, row, task};
 use havenladder_jobs::{Disruption, Loss, Report, RunOutcome, Step};
 
-/// Two workers, and a job of two lasting tasks that are apart and of which one may be away.
-fn guarded() -> Harness {
+/// Returns a harness with two workers and a job of two long-running tasks, which run on different workers and of
+/// which one may be disrupted at a time.
+fn with_disruption_budget() -> Harness {
     let mut harness = Harness::new(&["a1", "b1"]);
-    let lasting = Step {
+    let long_running_step = Step {
         long_running: true,
         max_per_worker: Some(1),
         disruption_budget: Some(1),
         ..step(2)
     };
-    harness.cell.accept(job(1, vec![lasting]));
+    harness.cell.accept(job(1, vec![long_running_step]));
     harness
 }
 
 #[test]
-fn a_job_whose_starts_are_under_way_has_not_begun() {
+fn a_job_is_pending_until_a_report_lists_its_run() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     harness.cell.schedule(harness.now);
-    assert_eq!(harness.cell.pending("q"), 1, "an ordered start may be lost");
+    assert_eq!(
+        harness.cell.pending("q"),
+        1,
+        "a start that was ordered may be lost"
+    );
     let batch = harness.cell.take_batch();
     harness.cell.confirm(&batch);
     let started = Report {
@@ -40,8 +45,8 @@
 }
 
 #[test]
-fn tasks_on_a_worker_that_is_silent_or_may_be_told_to_go_count_as_away() {
-    let mut harness = guarded();
+fn tasks_on_a_silent_worker_or_one_with_an_unconfirmed_order_count_as_disrupted() {
+    let mut harness = with_disruption_budget();
     for (id, task, run) in harness.start_tasks() {
         let report = Report {
             running: vec![row(task, run, 100)],
@@ -54,7 +59,7 @@
     assert_eq!(
         harness.cell.disruption("a1"),
         Disruption::Guarded,
-        "an earlier owner may have told its VM to go"
+        "an earlier owner may have ordered the VM of b1 to stop"
     );
     harness.cell.set_order_unconfirmed("b1", false);
     assert_eq!(harness.cell.disruption("a1"), Disruption::Free);
@@ -63,8 +68,8 @@
 }
 
 #[test]
-fn a_new_owner_takes_no_vm_out_before_its_workers_have_answered() {
-    let mut harness = guarded();
+fn a_new_owner_disrupts_no_vm_before_its_workers_have_responded() {
+    let mut harness = with_disruption_budget();
     harness.start_tasks();
     harness.take_over();
     for id in ["a1", "b1"] {
@@ -74,7 +79,7 @@
 }
 
 #[test]
-fn workers_that_an_earlier_owner_used_are_silent_until_they_answer() {
+fn workers_of_an_earlier_owner_are_silent_until_they_respond() {
     let mut harness = Harness::new(&["a1", "b1"]);
     assert!(harness.cell.silent_workers().is_empty());
     harness.cell.accept(job(1, vec![step(1)]));
@@ -92,7 +97,7 @@
 }
 
 #[test]
-fn a_worker_that_is_not_known_is_not_taken_out_before_the_list_of_workers_is_read() {
+fn an_unknown_worker_is_not_disrupted_before_the_list_of_workers_is_read() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     harness.start_tasks();
@@ -103,7 +108,7 @@
     assert_eq!(
         harness.cell.disruption("a1"),
         Disruption::Guarded,
-        "the records say that it has a run"
+        "according to the records, a1 has a run"
     );
     assert_eq!(harness.cell.disruption("new"), Disruption::Free);
 }
--- a/crates/jobs/tests/vm_orders.rs
+++ b/crates/jobs/tests/vm_orders.rs
@@ -1,8 +1,8 @@
-//! What a new owner knows of the VMs that earlier ones gave orders about.
+//! Tests of VM orders: what a new owner knows about the VMs that earlier owners gave orders about.
 
 #[expect(dead_code, reason = "only workers are needed here")]
 mod fixture;
-#[expect(dead_code, reason = "stops and ends are not looked at here")]
+#[expect(dead_code, reason = "stops and ends are not tested here")]
 mod harness;
 
 use harness::Harness;
@@ -10,53 +10,53 @@
 use std::{collections::HashSet, time::Duration};
 
 #[test]
-fn a_new_owner_knows_the_vms_that_the_earlier_one_gave_orders_about() {
+fn a_new_owner_knows_the_vms_ordered_by_earlier_owners() {
     let mut harness = Harness::new(&["a1"]);
-    let matters = Duration::from_millis(3_000);
+    let order_validity = Duration::from_millis(3_000);
     let first_holder = holder(1);
     let second_holder = holder(2);
     let first = harness
         .cell
-        .record_vm_orders(["vm-1"], &first_holder, harness.now, matters);
+        .record_vm_orders(["vm-1"], &first_holder, harness.now, order_validity);
     assert!(
         !harness.cell.are_vm_orders_durable(first),
-        "no order before it is durable"
+        "an order is not sent before its record is durable"
     );
     harness.start_tasks();
     assert!(harness.cell.are_vm_orders_durable(first));
     harness.advance(3_000);
     harness
         .cell
-        .record_vm_orders(["vm-2"], &first_holder, harness.now, matters);
+        .record_vm_orders(["vm-2"], &first_holder, harness.now, order_validity);
     harness.start_tasks();
     harness.take_over();
     assert_eq!(harness.cell.earlier_holder("vm-2"), Some(&first_holder));
     assert_eq!(
         harness.cell.earlier_holder("vm-1"),
         None,
-        "that was long ago"
+        "the order has expired"
     );
     harness
         .cell
-        .record_vm_orders(["vm-3"], &second_holder, harness.now, matters);
+        .record_vm_orders(["vm-3"], &second_holder, harness.now, order_validity);
     harness.start_tasks();
     harness.take_over();
     assert_eq!(
         harness.cell.earlier_holder("vm-2"),
         Some(&first_holder),
-        "owners may follow each other within moments"
+        "orders outlast several owners in quick succession"
     );
     assert_eq!(harness.cell.earlier_holder("vm-3"), Some(&second_holder));
     assert_eq!(harness.cell.earlier_holders().len(), 2);
 }
 
 #[test]
-fn orders_that_do_not_matter_any_more_are_not_handed_to_the_next_owner() {
+fn expired_orders_are_not_passed_to_the_next_owner() {
     let mut harness = Harness::new(&["a1"]);
-    let matters = Duration::from_millis(3_000);
+    let order_validity = Duration::from_millis(3_000);
     harness
         .cell
-        .record_vm_orders(["vm-1"], &holder(1), harness.now, matters);
+        .record_vm_orders(["vm-1"], &holder(1), harness.now, order_validity);
     harness.start_tasks();
     harness.advance(3_000);
     harness.start_tasks();
@@ -64,7 +64,7 @@
     assert!(harness.cell.earlier_holders().is_empty());
     harness
         .cell
-        .record_vm_orders(["vm-2"], &holder(2), harness.now, matters);
+        .record_vm_orders(["vm-2"], &holder(2), harness.now, order_validity);
     harness.start_tasks();
     harness.take_over();
     harness.cell.forget_earlier_holders();
@@ -81,26 +81,26 @@
 }
 
 #[test]
-fn a_new_owner_spares_the_vms_of_earlier_ones_that_may_still_run() {
+fn a_new_owner_skips_the_vms_of_earlier_owners_that_may_still_run() {
     let mut harness = Harness::new(&["a1"]);
-    let matters = Duration::from_millis(3_000);
+    let order_validity = Duration::from_millis(3_000);
     harness
         .cell
-        .record_vm_orders(["vm-1"], &holder(1), harness.now, matters);
+        .record_vm_orders(["vm-1"], &holder(1), harness.now, order_validity);
     harness.start_tasks();
     harness.take_over();
-    let nobody = HashSet::new();
-    assert!(harness.cell.must_skip("vm-1", &nobody));
-    assert!(!harness.cell.must_skip("vm-2", &nobody));
+    let no_ended_holders = HashSet::new();
+    assert!(harness.cell.must_skip("vm-1", &no_ended_holders));
+    assert!(!harness.cell.must_skip("vm-2", &no_ended_holders));
     assert!(!harness.cell.must_skip("vm-1", &HashSet::from([1])));
     assert!(
         harness.cell.may_be_ordered("vm-1"),
-        "its order may be under way though its process has ended"
+        "an order may still be in flight after the process of its owner has ended"
     );
 }
 
 #[test]
-fn a_new_owner_spares_all_vms_after_orders_without_a_record() {
+fn a_new_owner_skips_all_vms_after_unrecorded_orders() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.mark_all_vms_unconfirmed();
     assert!(harness.cell.must_skip("vm-2", &HashSet::from([1])));
--- a/crates/jobs/tests/withdraw.rs
+++ b/crates/jobs/tests/withdraw.rs
@@ -1,7 +1,7 @@
-//! Jobs that are given back: only where nothing of them has left the owner, and then whole.
+//! Tests of withdrawing jobs, which is possible only as long as no record and no start of a job has left the owner.
 
 mod fixture;
-#[expect(dead_code, reason = "ends and takeovers are not looked at here")]
+#[expect(dead_code, reason = "ends and takeovers are not tested here")]
 mod harness;
 
 use fixture::{job, step, worker};
@@ -9,15 +9,15 @@
 use havenladder_jobs::{Need, Order};
 
 #[test]
-fn a_job_of_which_nothing_was_sent_is_given_back_whole() {
+fn a_job_of_which_nothing_was_sent_is_withdrawn_completely() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(2)]));
-    // Decided, but its records and starts wait for an append that is under way.
+    // The start is decided, but it and the records wait until the append in flight ends.
     harness.cell.schedule(harness.now);
     assert!(harness.cell.withdraw(1));
     let batch = harness.cell.take_batch();
     assert!(batch.entries.is_empty() && batch.starts.is_empty());
-    let host = harness.cell.workers.get("a1").expect("it is there");
+    let host = harness.cell.workers.get("a1").expect("the worker is known");
     assert!(host.runs.is_empty());
     assert_eq!(host.used, Need::default());
     assert_eq!(harness.cell.demand("s").waiting, Need::default());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_job_that_is_given_back_may_be_handed_in_again() {
+fn a_withdrawn_job_may_be_submitted_again() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     assert!(harness.cell.withdraw(1));
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn the_room_of_a_job_that_is_given_back_goes_to_the_next() {
+fn capacity_of_a_withdrawn_job_is_used_by_the_next_job() {
     let mut harness = Harness::new(&["a1"]);
-    let whole = worker("a1").capacity.cpu / 1_000;
-    harness.cell.accept(job(1, vec![step(whole as u32)]));
+    let cores = worker("a1").capacity.cpu / 1_000;
+    harness.cell.accept(job(1, vec![step(cores as u32)]));
     harness.cell.accept(job(2, vec![step(1)]));
     harness.cell.schedule(harness.now);
     assert!(harness.cell.withdraw(1));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_job_whose_record_was_handed_on_stays() {
+fn a_job_whose_record_was_appended_cannot_be_withdrawn() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     harness.cell.schedule(harness.now);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_job_that_is_over_or_unknown_stays() {
+fn an_ended_or_unknown_job_cannot_be_withdrawn() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     harness.cell.cancel(1);
