--- a/crates/jobs/tests/capacity.rs
+++ b/crates/jobs/tests/capacity.rs
@@ -1,7 +1,7 @@
-//! Rooms that shrink and grow while workers run, and figures that make no sense.
+//! Tests of worker capacities that change at run time, and of needs that exceed any capacity.
 
 mod fixture;
-#[expect(dead_code, reason = "only starts and reports are looked at here")]
+#[expect(dead_code, reason = "only starts and reports are tested here")]
 mod harness;
 
 use fixture::{job, step, worker};
@@ -9,7 +9,7 @@
 use havenladder_jobs::{Need, Order, Step, WorkerInfo};
 use yare::parameterized;
 
-/// The same worker with so many cores.
+/// Returns the list entry of a worker with the given number of cores.
 fn with_cores(id: &str, cores: u64) -> WorkerInfo {
     let capacity = Need {
         cpu: cores * 1_000,
@@ -24,10 +24,10 @@
 #[parameterized(
     to_half = { 2, 2 },
     to_one = { 1, 1 },
-    to_nothing = { 0, 0 },
+    to_zero = { 0, 0 },
     to_more = { 6, 6 },
 )]
-fn a_room_that_has_changed_is_used_as_it_is(cores: u64, count: usize) {
+fn a_changed_capacity_is_used_as_reported(cores: u64, count: usize) {
     let mut harness = Harness::new(&["a1"]);
     harness
         .cell
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_being_stopped_fills_a_room_that_has_shrunk() {
+fn runs_being_stopped_use_a_reduced_capacity() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(2)]));
     assert_eq!(harness.start_tasks().len(), 2);
@@ -46,12 +46,12 @@
     harness.cell.accept(job(2, vec![step(1)]));
     assert!(
         harness.start_tasks().is_empty(),
-        "two runs are being stopped there"
+        "two runs are still being stopped on a1"
     );
 }
 
 #[test]
-fn a_room_is_not_overfilled_by_a_start_that_waits_for_its_record() {
+fn a_start_waiting_for_its_record_does_not_exceed_the_capacity() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(4)]));
     harness.cell.schedule(harness.now);
@@ -66,23 +66,30 @@
         }
     }
     assert_eq!(confirmed, 3);
-    let back = harness.cell.jobs[&1]
+    let withdrawn = harness.cell.jobs[&1]
         .task(0, 0, 0)
         .map(|state| &state.phase);
-    assert!(back.is_some());
+    assert!(withdrawn.is_some());
     harness.add_worker("b1");
-    assert_eq!(harness.start_tasks().len(), 1, "it starts elsewhere");
+    assert_eq!(
+        harness.start_tasks().len(),
+        1,
+        "the withdrawn task starts on another worker"
+    );
 }
 
 #[test]
-fn a_new_owner_uses_the_room_that_the_list_names() {
+fn a_new_owner_uses_the_listed_capacity() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(2)]));
     harness.start_tasks();
     harness.take_over();
     harness.cell.upsert_worker(with_cores("a1", 2), harness.now);
     harness.cell.accept(job(2, vec![step(1)]));
-    assert!(harness.start_tasks().is_empty(), "two runs may be there");
+    assert!(
+        harness.start_tasks().is_empty(),
+        "two runs of the earlier owner may still use a1"
+    );
 }
 
 #[parameterized(
@@ -91,7 +98,7 @@
     gpu = { Need { cpu: 1, memory: 1, gpu: u64::MAX } },
     all = { Need { cpu: u64::MAX, memory: u64::MAX, gpu: u64::MAX } },
 )]
-fn a_room_is_not_overfilled_by_a_need_that_makes_no_sense(need: Need) {
+fn an_invalid_need_does_not_exceed_the_capacity(need: Need) {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     assert_eq!(harness.start_tasks().len(), 1);
--- a/crates/jobs/tests/drained_halls.rs
+++ b/crates/jobs/tests/drained_halls.rs
@@ -1,4 +1,5 @@
-//! Data centres that operators want emptied: nothing begins there, and what can go on elsewhere leaves.
+//! Tests of data centres that operators drain: no task starts there, and long-running tasks move to other data
+//! centres.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -10,7 +11,7 @@
 use havenladder_jobs::{Obstacle, Report, RunOutcome, Step, WorkerInfo};
 use std::collections::BTreeSet;
 
-/// A worker in the data centre `z-` and its first letter.
+/// Returns the list entry of a worker in the data centre `z-` followed by the first letter of its id.
 fn in_hall(id: &str) -> WorkerInfo {
     WorkerInfo {
         hall: format!("z-{}", &id[..1]),
@@ -18,8 +19,8 @@
     }
 }
 
-/// A world whose workers are in the data centres that their names begin with.
-fn halls(workers: &[&str]) -> Harness {
+/// Returns a harness whose workers are in the data centres that [`in_hall`] assigns to them.
+fn harness_in_halls(workers: &[&str]) -> Harness {
     let mut harness = Harness::new(&[]);
     for id in workers {
         harness.cell.upsert_worker(in_hall(id), harness.now);
@@ -28,13 +29,13 @@
     harness
 }
 
-fn empty(harness: &mut Harness, hall: &str) {
+fn drain(harness: &mut Harness, hall: &str) {
     harness
         .cell
         .set_drained_halls(BTreeSet::from([format!("z-{hall}")]));
 }
 
-fn lasting(count: u32, disruption_budget: Option<u32>) -> Step {
+fn long_running(count: u32, disruption_budget: Option<u32>) -> Step {
     Step {
         long_running: true,
         disruption_budget,
@@ -42,16 +43,16 @@
     }
 }
 
-/// The workers on which tasks of the first job started.
+/// Starts tasks and returns the workers on which they were started.
 fn started(harness: &mut Harness) -> Vec<String> {
     let started = harness.start_tasks().into_iter();
     started.map(|(worker, ..)| worker.to_string()).collect()
 }
 
 #[test]
-fn nothing_begins_in_a_data_centre_that_is_to_be_emptied_until_it_is_taken_back() {
-    let mut harness = halls(&["a1", "b1"]);
-    empty(&mut harness, "a");
+fn nothing_starts_in_a_drained_data_centre_until_the_drain_is_undone() {
+    let mut harness = harness_in_halls(&["a1", "b1"]);
+    drain(&mut harness, "a");
     harness.cell.accept(job(1, vec![step(6)]));
     assert_eq!(started(&mut harness), ["b1"; 4]);
     let waiting = harness.cell.obstacles(task(1, 0, 5), harness.now);
@@ -61,15 +62,15 @@
 }
 
 #[test]
-fn a_start_that_was_decided_before_the_order_is_not_sent_after_it() {
-    let mut harness = halls(&["a1", "b1"]);
+fn a_start_decided_before_a_drain_is_not_sent_after_it() {
+    let mut harness = harness_in_halls(&["a1", "b1"]);
     harness.cell.set_closed("b1", true);
     harness.cell.accept(job(1, vec![step(1)]));
     harness.cell.schedule(harness.now);
     let batch = harness.cell.take_batch();
     harness.cell.confirm(&batch);
     assert_eq!(batch.starts.len(), 1);
-    empty(&mut harness, "a");
+    drain(&mut harness, "a");
     let confirmed = harness
         .cell
         .prepare_start("a1", task(1, 0, 0), 1, harness.now);
@@ -79,9 +80,9 @@
 }
 
 #[test]
-fn a_worker_that_is_listed_after_the_order_gets_nothing_either() {
-    let mut harness = halls(&["b1"]);
-    empty(&mut harness, "a");
+fn a_worker_listed_after_the_drain_order_gets_no_runs() {
+    let mut harness = harness_in_halls(&["b1"]);
+    drain(&mut harness, "a");
     harness.cell.upsert_worker(in_hall("a1"), harness.now);
     harness.report("a1", Report::default());
     harness.cell.accept(job(1, vec![step(8)]));
@@ -89,9 +90,9 @@
 }
 
 #[test]
-fn gangs_find_their_places_elsewhere_or_wait() {
-    let mut harness = halls(&["a1", "b1"]);
-    empty(&mut harness, "a");
+fn gangs_are_placed_in_other_data_centres_or_wait() {
+    let mut harness = harness_in_halls(&["a1", "b1"]);
+    drain(&mut harness, "a");
     let gang = |count| Step {
         gang: true,
         ..step(count)
@@ -102,10 +103,10 @@
     assert_eq!(started(&mut harness), ["b1"; 4]);
 }
 
-/// Starts a lasting step on `a1` and `a2`, adds `b1` and `b2`, and empties the first data centre.
-fn leaving(budget: Option<u32>) -> Harness {
-    let mut harness = halls(&["a1", "a2"]);
-    harness.cell.accept(job(1, vec![lasting(4, budget)]));
+/// Starts a long-running step on `a1` and `a2`, adds `b1` and `b2`, and drains the first data centre.
+fn draining_harness(budget: Option<u32>) -> Harness {
+    let mut harness = harness_in_halls(&["a1", "a2"]);
+    harness.cell.accept(job(1, vec![long_running(4, budget)]));
     for (worker, task, run) in harness.start_tasks() {
         let running = harness.cell.workers.get(&worker).unwrap().runs.keys();
         let running = running.map(|(task, run)| row(*task, *run, 100)).collect();
@@ -117,26 +118,26 @@
         harness.cell.upsert_worker(in_hall(id), harness.now);
         harness.report(id, Report::default());
     }
-    empty(&mut harness, "a");
+    drain(&mut harness, "a");
     harness
 }
 
 #[test]
-fn lasting_tasks_leave_within_their_budget() {
-    for (budget, away) in [(None, 1), (Some(0), 0), (Some(2), 2)] {
-        let mut harness = leaving(budget);
-        assert_eq!(harness.cell.drain_halls(harness.now), away, "{budget:?}");
+fn long_running_tasks_are_stopped_within_their_disruption_budget() {
+    for (budget, stopped) in [(None, 1), (Some(0), 0), (Some(2), 2)] {
+        let mut harness = draining_harness(budget);
+        assert_eq!(harness.cell.drain_halls(harness.now), stopped, "{budget:?}");
         assert_eq!(
             harness.cell.drain_halls(harness.now),
             0,
-            "no more before these are back"
+            "no more tasks are stopped before these run again"
         );
     }
 }
 
 #[test]
-fn all_lasting_tasks_have_left_in_the_end() {
-    let mut harness = leaving(Some(1));
+fn all_long_running_tasks_are_eventually_moved() {
+    let mut harness = draining_harness(Some(1));
     for _ in 0..4 {
         assert_eq!(harness.cell.drain_halls(harness.now), 1);
         let (worker, task, run) = harness.take_stops().pop().unwrap();
@@ -161,29 +162,29 @@
 }
 
 #[test]
-fn lasting_tasks_stay_where_there_is_no_room_elsewhere() {
-    let mut harness = halls(&["a1"]);
-    harness.cell.accept(job(1, vec![lasting(2, None)]));
+fn long_running_tasks_stay_if_there_is_no_capacity_elsewhere() {
+    let mut harness = harness_in_halls(&["a1"]);
+    harness.cell.accept(job(1, vec![long_running(2, None)]));
     let started = harness.start_tasks().into_iter();
     let running = started.map(|(_, task, run)| row(task, run, 100)).collect();
     let ended = Vec::new();
     harness.report("a1", Report { running, ended });
-    empty(&mut harness, "a");
+    drain(&mut harness, "a");
     assert_eq!(harness.cell.drain_halls(harness.now), 0);
     assert_eq!(harness.cell.count_runs_in_drained_halls(), 2);
 }
 
 #[test]
-fn an_owner_that_takes_over_knows_the_order_before_it_meets_workers() {
-    let mut harness = halls(&["a1", "b1"]);
+fn a_new_owner_respects_a_drain_for_tasks_of_earlier_owners() {
+    let mut harness = harness_in_halls(&["a1", "b1"]);
     harness.cell.accept(job(1, vec![step(8)]));
     assert_eq!(harness.start_tasks().len(), 8);
     harness.take_over();
-    empty(&mut harness, "a");
+    drain(&mut harness, "a");
     for id in ["a1", "b1"] {
         harness.cell.upsert_worker(in_hall(id), harness.now);
         harness.report(id, Report::default());
     }
-    // None of the runs is there: all tasks are tried again, in the data centre that is left.
+    // No worker reports any of the runs, so all tasks are retried, in the remaining data centre only.
     assert_eq!(started(&mut harness), ["b1"; 4]);
 }
