--- a/crates/jobs/tests/bounds.rs
+++ b/crates/jobs/tests/bounds.rs
@@ -1,4 +1,5 @@
-//! What workspaces may have running: their bounds under every change of runs, owners and configurations.
+//! Tests of the bounds of workspaces, which limit what a workspace may have running, when runs, owners and
+//! configurations change.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -13,10 +14,10 @@
 };
 use std::time::Duration;
 
-/// The workspace of most jobs here.
+/// The workspace of most jobs in these tests.
 const SCHOOL: &str = "school";
 
-/// A bound of so many cores.
+/// Returns a bound of the given number of cores.
 fn cores(count: u64) -> Bound {
     Bound::new(Need {
         cpu: count * 1_000,
@@ -25,7 +26,7 @@
     })
 }
 
-/// A job of a workspace.
+/// Returns a job of a workspace.
 fn job_of(workspace: &str, id: JobId, steps: Vec<Step>) -> Submission {
     Submission {
         workspace: Some(workspace.to_owned()),
@@ -33,18 +34,18 @@
     }
 }
 
-/// A cell with three workers of four cores each, in which the workspace has a bound.
-fn harness(bound: Bound) -> Harness {
+/// Returns a harness with three workers of four cores each, in which the workspace has the given bound.
+fn harness_with_bound(bound: Bound) -> Harness {
     let mut harness = Harness::new(&["a1", "b1", "c1"]);
-    set(&mut harness, bound);
+    set_bound(&mut harness, bound);
     harness
 }
 
-fn set(harness: &mut Harness, bound: Bound) {
+fn set_bound(harness: &mut Harness, bound: Bound) {
     harness.cell.set_bounds([(SCHOOL.to_owned(), bound)]);
 }
 
-/// How many cores the workspace has running, or may have.
+/// Returns the number of cores that runs of the workspace use, or may use.
 fn used(harness: &Harness) -> u64 {
     harness
         .cell
@@ -53,21 +54,25 @@
 }
 
 #[test]
-fn no_start_goes_over_the_bound() {
-    let mut harness = harness(cores(3));
+fn no_start_exceeds_the_bound() {
+    let mut harness = harness_with_bound(cores(3));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(5)]));
     let started = harness.start_tasks();
     assert_eq!(started.len(), 3);
     assert_eq!(harness.cell.blocked_tasks(SCHOOL), 2);
     let (id, task, run) = started[0].clone();
     harness.report_end(&id, 1, task, run, RunOutcome::Done);
-    assert_eq!(harness.start_tasks().len(), 1, "one ended, one starts");
+    assert_eq!(
+        harness.start_tasks().len(),
+        1,
+        "one run ended, so one task starts"
+    );
     assert_eq!(used(&harness), 3);
 }
 
 #[test]
-fn what_waits_for_its_bound_holds_up_nobody_and_asks_for_no_room() {
-    let mut harness = harness(cores(1));
+fn blocked_tasks_neither_block_other_workspaces_nor_demand_capacity() {
+    let mut harness = harness_with_bound(cores(1));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(40)]));
     harness.cell.accept(job_of("other", 2, vec![step(2)]));
     harness.cell.accept(job(3, vec![step(2)]));
@@ -82,39 +87,44 @@
 }
 
 #[test]
-fn a_lasting_task_that_waits_for_its_bound_asks_for_no_room() {
-    let mut harness = harness(cores(2));
-    let lasting = Step {
+fn a_blocked_long_running_task_demands_no_capacity() {
+    let mut harness = harness_with_bound(cores(2));
+    let long_running_step = Step {
         long_running: true,
         ..step(4)
     };
-    harness.cell.accept(job_of(SCHOOL, 1, vec![lasting]));
+    harness
+        .cell
+        .accept(job_of(SCHOOL, 1, vec![long_running_step]));
     assert_eq!(harness.start_tasks().len(), 2);
     assert_eq!(harness.cell.demand("s").unschedulable.need, Need::default());
     assert!(harness.cell.waiting_long_running().is_empty());
 }
 
 #[test]
-fn a_raised_bound_counts_at_once_and_a_lowered_one_stops_nothing() {
-    let mut harness = harness(cores(2));
+fn a_raised_bound_takes_effect_immediately_and_a_lowered_one_stops_nothing() {
+    let mut harness = harness_with_bound(cores(2));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(9)]));
     assert_eq!(harness.start_tasks().len(), 2);
-    set(&mut harness, cores(5));
+    set_bound(&mut harness, cores(5));
     let started = harness.start_tasks();
     assert_eq!(started.len(), 3);
-    set(&mut harness, cores(1));
+    set_bound(&mut harness, cores(1));
     assert!(harness.start_tasks().is_empty());
     assert!(harness.take_stops().is_empty());
     let (id, task, run) = started[0].clone();
     harness.report_end(&id, 1, task, run, RunOutcome::Done);
-    assert!(harness.start_tasks().is_empty(), "four still run");
-    set(&mut harness, Bound::NONE);
-    assert_eq!(harness.start_tasks().len(), 4, "the bound is off");
+    assert!(
+        harness.start_tasks().is_empty(),
+        "four runs are still running"
+    );
+    set_bound(&mut harness, Bound::NONE);
+    assert_eq!(harness.start_tasks().len(), 4, "the bound was removed");
 }
 
 #[test]
-fn a_run_counts_until_it_is_known_to_be_gone() {
-    let mut harness = harness(cores(1));
+fn a_run_counts_until_it_is_known_to_have_ended() {
+    let mut harness = harness_with_bound(cores(1));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, first, run) = harness.start_tasks().remove(0);
     assert_eq!(first, task(1, 0, 0));
@@ -122,19 +132,22 @@
     harness.cell.accept(job_of(SCHOOL, 2, vec![step(1)]));
     assert!(
         harness.start_tasks().is_empty(),
-        "the first is being stopped"
+        "the run of job 1 is still being stopped"
     );
     harness.cell.stop_accepted(&id, first, run, harness.now);
-    assert!(harness.start_tasks().is_empty(), "it has its time to end");
+    assert!(
+        harness.start_tasks().is_empty(),
+        "the stopped run may still take time to end"
+    );
     harness.advance(1_000);
-    let gone = Report::default();
-    harness.report(&id, gone);
+    let empty_report = Report::default();
+    harness.report(&id, empty_report);
     assert_eq!(harness.start_tasks().len(), 1);
 }
 
 #[test]
-fn a_start_without_an_answer_counts() {
-    let mut harness = harness(cores(1));
+fn a_start_without_a_response_counts() {
+    let mut harness = harness_with_bound(cores(1));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, task, run) = harness.start_tasks().remove(0);
     harness.cell.unacked(&id, task, run);
@@ -144,8 +157,8 @@
 }
 
 #[test]
-fn a_start_that_was_refused_gives_its_part_back() {
-    let mut harness = harness(cores(1));
+fn a_refused_start_releases_its_share() {
+    let mut harness = harness_with_bound(cores(1));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, task, run) = harness.start_tasks().remove(0);
     harness
@@ -155,8 +168,8 @@
 }
 
 #[test]
-fn what_a_lost_worker_ran_counts_until_its_lease_has_run_out() {
-    let mut harness = harness(cores(1));
+fn runs_of_a_lost_worker_count_until_its_lease_expires() {
+    let mut harness = harness_with_bound(cores(1));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, ..) = harness.start_tasks().remove(0);
     harness.cell.accept(job_of(SCHOOL, 2, vec![step(1)]));
@@ -168,27 +181,35 @@
 }
 
 #[test]
-fn a_new_owner_counts_what_the_earlier_ones_placed() {
-    let mut harness = harness(cores(2));
+fn a_new_owner_counts_the_runs_placed_by_earlier_owners() {
+    let mut harness = harness_with_bound(cores(2));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(4)]));
     let started = harness.start_tasks();
     assert_eq!(started.len(), 2);
     harness.take_over();
     harness.take_over();
-    set(&mut harness, cores(2));
-    assert_eq!(used(&harness), 2, "on workers that no list has named");
+    set_bound(&mut harness, cores(2));
+    assert_eq!(
+        used(&harness),
+        2,
+        "runs on workers that are not listed yet count"
+    );
     harness.add_worker("d1");
     assert!(harness.start_tasks().is_empty());
     for id in ["a1", "b1", "c1"] {
         harness.cell.upsert_worker(worker(id), harness.now);
     }
-    assert_eq!(used(&harness), 2, "on workers that have not answered");
+    assert_eq!(
+        used(&harness),
+        2,
+        "runs on workers that have not responded yet count"
+    );
     assert!(harness.start_tasks().is_empty());
 }
 
 #[test]
 fn a_new_owner_starts_nothing_before_it_knows_the_bounds() {
-    let mut harness = harness(cores(2));
+    let mut harness = harness_with_bound(cores(2));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(4)]));
     harness.cell.schedule(harness.now);
     let batch = harness.cell.take_batch();
@@ -196,20 +217,20 @@
     harness.take_over();
     harness.add_worker("d1");
     assert!(harness.start_tasks().is_empty());
-    set(&mut harness, cores(4));
-    // The two that the earlier owner placed may run.
+    set_bound(&mut harness, cores(4));
+    // The two tasks that the earlier owner placed may be running.
     assert_eq!(harness.start_tasks().len(), 2);
 }
 
 #[test]
-fn a_workspace_that_a_configuration_does_not_name_any_more_goes_on() {
-    let mut harness = harness(cores(2));
+fn a_workspace_that_is_no_longer_configured_keeps_its_bound() {
+    let mut harness = harness_with_bound(cores(2));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(4)]));
     assert_eq!(harness.start_tasks().len(), 2);
     harness.cell.set_bounds([]);
     assert!(
         harness.start_tasks().is_empty(),
-        "it keeps the bound that it had"
+        "the workspace keeps its last bound"
     );
     harness.take_over();
     for id in ["a1", "b1", "c1"] {
@@ -219,15 +240,15 @@
     assert_eq!(
         harness.start_tasks().len(),
         4,
-        "nobody knows a bound any more"
+        "the new owner knows of no bound"
     );
 }
 
 #[test]
-fn runs_that_an_earlier_owner_may_have_started_without_a_record_count_until_all_workers_are_met() {
-    let mut harness = harness(cores(3));
+fn possibly_unrecorded_runs_count_until_all_workers_are_contacted() {
+    let mut harness = harness_with_bound(cores(3));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(2)]));
-    // Handed in, recorded and not started: the earlier owner may have done so without a record.
+    // Job 2 is submitted and recorded but not started: the earlier owner may have started it without a record.
     harness.cell.take_batch();
     let batch = {
         harness.cell.accept(job_of(SCHOOL, 2, vec![step(1)]));
@@ -237,7 +258,7 @@
     harness.take_over();
     let expires = harness.now + Duration::from_secs(9);
     harness.cell.raise_takeover_barrier(expires, false);
-    set(&mut harness, cores(1));
+    set_bound(&mut harness, cores(1));
     harness.cell.accept(job_of(SCHOOL, 3, vec![step(1)]));
     harness.cell.upsert_worker(worker("a1"), harness.now);
     harness.add_worker("b1");
@@ -249,8 +270,8 @@
 }
 
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
-    let mut harness = harness(cores(3));
+fn a_gang_starts_completely_or_not_at_all() {
+    let mut harness = harness_with_bound(cores(3));
     let gang = Step {
         gang: true,
         ..step(3)
@@ -258,8 +279,8 @@
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     harness.cell.accept(job_of(SCHOOL, 2, vec![gang]));
     let started = harness.start_tasks();
-    assert_eq!(started.len(), 1, "a part of the gang would fit");
-    // A small one that comes later does not pass the gang by.
+    assert_eq!(started.len(), 1, "only a part of the gang would fit");
+    // A small job that is submitted later does not start before the gang.
     harness.cell.accept(job_of(SCHOOL, 3, vec![step(1)]));
     assert!(harness.start_tasks().is_empty());
     let (id, task, run) = started[0].clone();
@@ -268,19 +289,21 @@
 }
 
 #[test]
-fn what_fills_counts_with_all_that_it_asks_for() {
-    let mut harness = harness(cores(1));
-    let fills = Step {
+fn a_best_effort_task_counts_with_its_whole_need() {
+    let mut harness = harness_with_bound(cores(1));
+    let best_effort_step = Step {
         best_effort: true,
         long_running: true,
         ..step(2)
     };
-    harness.cell.accept(job_of(SCHOOL, 1, vec![fills]));
+    harness
+        .cell
+        .accept(job_of(SCHOOL, 1, vec![best_effort_step]));
     assert_eq!(harness.start_tasks().len(), 1);
 }
 
 #[test]
-fn a_resource_that_a_task_does_not_take_does_not_hold_it() {
+fn a_task_is_not_blocked_by_a_resource_that_it_does_not_need() {
     let bound = Bound::new(Need {
         cpu: 0,
         memory: 1,
@@ -296,12 +319,15 @@
         cpu: 100,
         ..Need::default()
     };
-    assert!(bound.allows(memory, cpu), "memory is far over its bound");
+    assert!(
+        bound.allows(memory, cpu),
+        "the exceeded memory bound does not matter"
+    );
 }
 
 #[test]
-fn a_run_that_nobody_knew_counts_once_a_report_names_it() {
-    let mut harness = harness(cores(1));
+fn an_unknown_run_counts_once_a_report_lists_it() {
+    let mut harness = harness_with_bound(cores(1));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     let (id, task, run) = harness.start_tasks().remove(0);
     harness.cell.abandon_worker(&id, Loss::Lapsed, harness.now);
@@ -316,8 +342,8 @@
 }
 
 #[test]
-fn a_job_that_can_never_run_is_known_at_once() {
-    let harness = harness(cores(2));
+fn a_job_that_can_never_run_is_detected_immediately() {
+    let harness = harness_with_bound(cores(2));
     let large = Step {
         need: Need {
             cpu: 2_001,
@@ -338,27 +364,27 @@
     assert!(!harness.cell.exceeds_bound(SCHOOL, &[step(40)]));
     assert!(
         !harness.cell.exceeds_bound("other", &[large]),
-        "nothing is known of it"
+        "the bound of the other workspace is unknown"
     );
 }
 
 #[test]
-fn the_workspace_of_a_job_outlasts_its_end() {
-    let mut harness = harness(cores(2));
+fn the_workspace_of_a_job_is_kept_after_its_end() {
+    let mut harness = harness_with_bound(cores(2));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(1)]));
     harness.start_tasks();
     harness.cell.cancel(1);
     harness.start_tasks();
     harness.take_over();
-    let kept = harness.cell.jobs[&1].submission.workspace.clone();
-    assert_eq!(kept.as_deref(), Some(SCHOOL));
+    let workspace = harness.cell.jobs[&1].submission.workspace.clone();
+    assert_eq!(workspace.as_deref(), Some(SCHOOL));
 }
 
 #[test]
-fn records_without_a_workspace_load_as_before() {
-    /// What was handed in, as it was recorded before there were workspaces.
+fn records_without_a_workspace_are_loaded() {
+    /// A submission as it was recorded before workspaces were introduced.
     #[derive(serde::Serialize)]
-    struct Before(
+    struct OldSubmission(
         u64,
         String,
         String,
@@ -370,34 +396,38 @@
         u64,
         havenladder_jobs::JobSpec,
     );
-    let given = job(7, vec![step(1)]);
-    let before = Before(
-        given.id,
-        given.queue.clone(),
-        given.service.clone(),
-        given.priority,
-        given.max_attempts,
-        given.requires_permits,
-        given.submitted_at,
-        given.stretch,
-        given.slack,
-        given.spec.clone(),
+    let submission = job(7, vec![step(1)]);
+    let old_submission = OldSubmission(
+        submission.id,
+        submission.queue.clone(),
+        submission.service.clone(),
+        submission.priority,
+        submission.max_attempts,
+        submission.requires_permits,
+        submission.submitted_at,
+        submission.stretch,
+        submission.slack,
+        submission.spec.clone(),
     );
-    let value = rmp_serde::to_vec(&(3u64, before)).unwrap();
+    let value = rmp_serde::to_vec(&(3u64, old_submission)).unwrap();
     let state = rmp_serde::to_vec(&(havenladder_jobs::Phase::Succeeded, Vec::<u8>::new())).unwrap();
     let records = vec![
         decode_entry("g0000000000000007", &value).unwrap(),
         decode_entry("s0000000000000008", &state).unwrap(),
     ];
     let mut cell = havenladder_jobs::Cell::new(Limits::default());
-    let odd = cell.load_records(records);
-    assert_eq!(odd, [7], "its state is missing, the record itself is read");
+    let unreadable = cell.load_records(records);
+    assert_eq!(
+        unreadable,
+        [7],
+        "the state of job 7 is missing, but its submission is decoded"
+    );
     assert_eq!(cell.jobs[&8].submission.workspace, None);
 }
 
 #[test]
-fn the_wait_for_a_bound_is_told_once_as_it_begins_and_ends() {
-    let mut harness = harness(cores(1));
+fn a_wait_for_a_bound_is_reported_once_when_it_begins_and_ends() {
+    let mut harness = harness_with_bound(cores(1));
     harness.cell.accept(job_of(SCHOOL, 1, vec![step(2)]));
     let (id, task, run) = harness.start_tasks().remove(0);
     harness.start_tasks();
@@ -410,13 +440,14 @@
     assert_eq!(waits.iter().map(|w| w.waits).collect::<Vec<_>>(), [false]);
 }
 
-/// Starts that wait for their records, and the bound that is lowered meanwhile: those that are sent then.
+/// Lowers the bound while the starts of a job wait for their records, and returns the number of starts that are
+/// still sent.
 fn confirm_under(lowered: Bound, steps: Vec<Step>) -> (Harness, usize) {
-    let mut harness = harness(cores(5));
+    let mut harness = harness_with_bound(cores(5));
     harness.cell.accept(job_of(SCHOOL, 1, steps));
     harness.cell.schedule(harness.now);
     let batch = harness.cell.take_batch();
-    set(&mut harness, lowered);
+    set_bound(&mut harness, lowered);
     harness.cell.confirm(&batch);
     let mut sent = 0;
     for order in batch.starts {
@@ -430,22 +461,22 @@
 }
 
 #[test]
-fn a_start_whose_record_took_long_goes_by_the_bound_that_is_in_force_then() {
+fn a_start_with_a_late_record_respects_the_bound_at_that_time() {
     let (harness, sent) = confirm_under(cores(2), vec![step(5)]);
     assert_eq!(sent, 2);
     assert_eq!(used(&harness), 2);
     let (mut harness, sent) = confirm_under(Bound::CLOSED, vec![step(5)]);
     assert_eq!(sent, 0);
-    set(&mut harness, cores(5));
+    set_bound(&mut harness, cores(5));
     assert_eq!(
         harness.start_tasks().len(),
         5,
-        "they wait for their turn again"
+        "the withdrawn tasks wait to be started again"
     );
 }
 
 #[test]
-fn a_gang_whose_record_took_long_starts_whole_or_not_at_all() {
+fn a_gang_with_a_late_record_starts_completely_or_not_at_all() {
     let gang = Step {
         gang: true,
         ..step(4)
@@ -453,6 +484,6 @@
     let (mut harness, sent) = confirm_under(cores(3), vec![gang]);
     assert_eq!(sent, 0);
     assert_eq!(used(&harness), 0);
-    set(&mut harness, cores(4));
+    set_bound(&mut harness, cores(4));
     assert_eq!(harness.start_tasks().len(), 4);
 }
--- a/crates/jobs/tests/invalid_bounds.rs
+++ b/crates/jobs/tests/invalid_bounds.rs
@@ -1,9 +1,9 @@
-//! Bounds that cannot be read, and needs that no worker could ever have.
+//! Tests of bounds of workspaces that cannot be read, and of needs that exceed any worker.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
 mod fixture;
-#[expect(dead_code, reason = "stops and ends are not looked at here")]
+#[expect(dead_code, reason = "stops and ends are not tested here")]
 mod harness;
 
 use fixture::{job, step, worker};
@@ -11,7 +11,7 @@
 use havenladder_jobs::{Bound, JobId, Need, Report, Step, Submission};
 use std::time::Duration;
 
-/// The workspace of all jobs here.
+/// The workspace of all jobs in these tests.
 const SCHOOL: &str = "school";
 
 fn job_of_school(id: JobId, steps: Vec<Step>) -> Submission {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_bound_that_cannot_be_read_stays_shut_when_the_workspace_is_not_named_any_more() {
+fn a_closed_bound_stays_closed_when_its_workspace_is_no_longer_configured() {
     let mut harness = Harness::new(&["a1"]);
     harness
         .cell
@@ -32,26 +32,26 @@
     harness.cell.set_bounds([]);
     assert!(
         harness.start_tasks().is_empty(),
-        "it keeps the bound that it had"
+        "the workspace keeps its last bound"
     );
     harness.cell.set_bounds([(SCHOOL.to_owned(), Bound::NONE)]);
     assert_eq!(harness.start_tasks().len(), 2);
 }
 
 #[test]
-fn a_workspace_that_no_configuration_has_named_has_no_bound() {
+fn a_workspace_that_was_never_configured_has_no_bound() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job_of_school(1, vec![step(2)]));
     assert!(
         harness.start_tasks().is_empty(),
-        "its configuration is on its way"
+        "the configuration has not arrived yet"
     );
     harness.cell.set_bounds([]);
     assert_eq!(harness.start_tasks().len(), 2);
 }
 
 #[test]
-fn an_absurd_need_leaves_what_else_is_running_on_the_account() {
+fn an_absurd_need_does_not_distort_the_account_of_other_runs() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.set_bounds([(SCHOOL.to_owned(), Bound::NONE)]);
     harness.cell.accept(job_of_school(1, vec![step(2)]));
@@ -70,7 +70,11 @@
     let expires = harness.now + Duration::from_secs(9);
     harness.cell.raise_takeover_barrier(expires, false);
     let used = |harness: &Harness| harness.cell.account(SCHOOL).unwrap().used();
-    assert_eq!(used(&harness).cpu, u64::MAX, "all of it may run");
+    assert_eq!(
+        used(&harness).cpu,
+        u64::MAX,
+        "all recorded runs may be running"
+    );
     harness.cell.upsert_worker(worker("a1"), harness.now);
     harness.cell.mark_listed();
     let runs = (0..2).map(|index| harness::row(harness::task(1, 0, index), 1, 50));
@@ -84,10 +88,14 @@
     );
     harness.cell.set_bounds([(SCHOOL.to_owned(), Bound::NONE)]);
     harness.start_tasks();
-    let two = Need {
+    let need_of_two = Need {
         cpu: 2_000,
         memory: 200,
         gpu: 0,
     };
-    assert_eq!(used(&harness), two, "the absurd ones are known not to run");
+    assert_eq!(
+        used(&harness),
+        need_of_two,
+        "the runs with an absurd need are known not to run"
+    );
 }
