--- a/crates/jobs/tests/cell.rs
+++ b/crates/jobs/tests/cell.rs
@@ -1,4 +1,4 @@
-//! What a cell decides, one event at a time.
+//! Tests of single decisions of a cell.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_job_runs_step_after_step_and_succeeds() {
+fn a_job_runs_its_steps_in_order_and_succeeds() {
     let mut harness = Harness::new(&["a1", "b1"]);
     let second = Step {
         after: vec![0],
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_task_that_failed_too_often_fails_its_job() {
+fn a_task_without_attempts_left_fails_its_job() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     for attempt in 1..=3 {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_late_end_of_an_earlier_run_counts_and_stops_the_later_one() {
+fn a_late_end_of_an_earlier_run_counts_and_stops_the_later_run() {
     let mut harness = Harness::new(&["a1", "b1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     let (first, id, run) = harness.start_tasks().remove(0);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_a_worker_does_not_list_is_tried_again_only_once_it_answered_the_order() {
+fn an_unlisted_run_is_retried_only_after_its_stop_was_accepted() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     let (id, first, run) = harness.start_tasks().remove(0);
@@ -98,7 +98,10 @@
     assert_eq!(harness.take_stops().len(), 1);
     harness.advance(2_000);
     harness.report("a1", Report::default());
-    assert!(harness.start_tasks().is_empty(), "the start may still come");
+    assert!(
+        harness.start_tasks().is_empty(),
+        "the start may still arrive at the worker"
+    );
     harness.cell.stop_accepted("a1", first, run, harness.now);
     harness.report("a1", Report::default());
     assert!(
@@ -111,7 +114,7 @@
 }
 
 #[test]
-fn a_start_that_waits_for_its_record_is_not_sent_once_the_job_is_cancelled() {
+fn a_start_waiting_for_its_record_is_not_sent_after_a_cancellation() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     harness.cell.schedule(harness.now);
@@ -129,7 +132,7 @@
 }
 
 #[test]
-fn room_is_never_overfilled_and_a_refusal_gives_it_back() {
+fn capacity_is_never_exceeded_and_released_by_a_refusal() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(6)]));
     let started = harness.start_tasks();
@@ -139,14 +142,14 @@
         .start_refused("a1", started[0].1, 1, Refusal::Room, harness.now);
     assert!(
         harness.start_tasks().is_empty(),
-        "the worker is set aside for a moment"
+        "the worker gets no starts for a short time"
     );
     harness.advance(300);
     assert_eq!(harness.start_tasks().len(), 1);
 }
 
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
+fn a_gang_starts_completely_or_not_at_all() {
     let mut harness = Harness::new(&["a1"]);
     let gang = Step {
         gang: true,
@@ -164,7 +167,7 @@
 }
 
 #[test]
-fn a_broken_gang_starts_again_once_all_its_members_have_ended() {
+fn a_broken_gang_restarts_once_all_its_members_have_ended() {
     let mut harness = Harness::new(&["a1", "b1"]);
     let gang = Step {
         gang: true,
@@ -175,21 +178,21 @@
     harness.report_end(&started[0].0, 1, started[0].1, 1, RunOutcome::Failed);
     assert!(harness.start_tasks().is_empty());
     harness.report_end(&started[1].0, 1, started[1].1, 1, RunOutcome::Broken);
-    let again = harness.start_tasks();
-    assert_eq!(again.len(), 2);
-    assert!(again.iter().all(|(_, _, run)| *run == 2));
+    let restarted = harness.start_tasks();
+    assert_eq!(restarted.len(), 2);
+    assert!(restarted.iter().all(|(_, _, run)| *run == 2));
 }
 
 #[test]
-fn a_vm_is_not_taken_out_while_its_budget_is_used_up() {
+fn a_vm_is_not_disrupted_while_the_disruption_budget_is_used_up() {
     let mut harness = Harness::new(&["a1", "b1", "c1"]);
-    let lasting = Step {
+    let long_running_step = Step {
         long_running: true,
         disruption_budget: Some(1),
         max_per_worker: Some(1),
         ..step(2)
     };
-    harness.cell.accept(job(1, vec![lasting]));
+    harness.cell.accept(job(1, vec![long_running_step]));
     let started = harness.start_tasks();
     assert_eq!(started.len(), 2);
     let (first, second) = (started[0].clone(), started[1].clone());
@@ -203,7 +206,7 @@
     assert_eq!(
         harness.cell.disruption(&first.0),
         Disruption::Guarded,
-        "the other is not at work yet"
+        "the other task is not reported as running yet"
     );
     harness.report(
         &second.0,
@@ -218,13 +221,13 @@
 }
 
 #[test]
-fn a_lasting_task_starts_again_however_it_ends() {
+fn a_long_running_task_restarts_after_any_outcome() {
     let mut harness = Harness::new(&["a1"]);
-    let lasting = Step {
+    let long_running_step = Step {
         long_running: true,
         ..step(1)
     };
-    harness.cell.accept(job(1, vec![lasting]));
+    harness.cell.accept(job(1, vec![long_running_step]));
     for run in 1..=6 {
         assert_eq!(harness.start_tasks(), [("a1".into(), task(1, 0, 0), run)]);
         let how = if run % 2 == 0 {
@@ -238,26 +241,29 @@
 }
 
 #[test]
-fn a_lasting_task_that_fits_nowhere_keeps_a_worker_free_of_smaller_ones() {
+fn an_unschedulable_long_running_task_reserves_capacity_on_a_worker() {
     let mut harness = Harness::new(&["a1"]);
     harness.cell.accept(job(1, vec![step(9)]));
     let started = harness.start_tasks();
     assert_eq!(started.len(), 4);
-    let mut wide = Step {
+    let mut large = Step {
         long_running: true,
         ..step(1)
     };
-    wide.need.cpu = 2_000;
-    harness.cell.accept(job(2, vec![wide]));
+    large.need.cpu = 2_000;
+    harness.cell.accept(job(2, vec![large]));
     for (number, (id, task, run)) in (1..).zip(started.into_iter().take(2)) {
-        assert!(harness.start_tasks().is_empty(), "the gap is kept");
+        assert!(
+            harness.start_tasks().is_empty(),
+            "free capacity is reserved for the larger task"
+        );
         harness.report_end(&id, number, task, run, RunOutcome::Done);
     }
     assert_eq!(harness.start_tasks(), [("a1".into(), task(2, 0, 0), 1)]);
 }
 
 #[test]
-fn a_task_that_cannot_be_in_time_any_more_goes_behind_those_that_can() {
+fn a_late_task_is_placed_after_those_that_can_meet_their_deadline() {
     let mut harness = Harness::new(&["a1"]);
     let estimated = |count| Step {
         estimate_ms: 1_000,
@@ -266,12 +272,12 @@
     harness.cell.accept(job(1, vec![estimated(4)]));
     let started = harness.start_tasks();
     harness.cell.accept(job(2, vec![estimated(1)]));
-    let fresh = havenladder_jobs::Submission {
+    let recent = havenladder_jobs::Submission {
         submitted_at: 4_000,
         ..job(3, vec![estimated(1)])
     };
-    harness.cell.accept(fresh);
-    // Job 2 was handed in at 0 and is in time until 2 x 1,000 + 1,000 ms.
+    harness.cell.accept(recent);
+    // Job 2 was submitted at 0 and is in time if it ends within 2 x 1,000 + 1,000 ms.
     harness.cell.mark_due(2_001);
     harness.report_end(&started[0].0, 1, started[0].1, 1, RunOutcome::Done);
     assert_eq!(harness.start_tasks()[0].1, task(3, 0, 0));
@@ -280,7 +286,7 @@
 }
 
 #[test]
-fn failed_runs_count_in_whatever_order_their_workers_list_them() {
+fn failed_runs_count_in_any_order_of_reports() {
     let mut harness = Harness::new(&["a1", "b1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     harness.start_tasks();
@@ -292,20 +298,20 @@
 }
 
 #[test]
-fn lasting_tasks_of_one_step_leave_a_worker_one_after_the_other() {
+fn long_running_tasks_of_one_step_leave_a_worker_one_at_a_time() {
     let mut harness = Harness::new(&["a1"]);
-    let lasting = Step {
+    let long_running_step = Step {
         long_running: true,
         disruption_budget: Some(1),
         ..step(2)
     };
-    harness.cell.accept(job(1, vec![lasting]));
+    harness.cell.accept(job(1, vec![long_running_step]));
     assert_eq!(harness.start_tasks().len(), 2);
-    let both = vec![row(task(1, 0, 0), 1, 100), row(task(1, 0, 1), 1, 100)];
+    let both_running = vec![row(task(1, 0, 0), 1, 100), row(task(1, 0, 1), 1, 100)];
     harness.report(
         "a1",
         Report {
-            running: both,
+            running: both_running,
             ended: vec![],
         },
     );
@@ -314,13 +320,17 @@
     assert_eq!(harness.cell.disruption("a1"), Disruption::Guarded);
     assert_eq!(harness.cell.shed("a1"), 1);
     assert_eq!(harness.take_stops(), [("a1".into(), task(1, 0, 0), 1)]);
-    assert_eq!(harness.cell.shed("a1"), 0, "one at a time");
+    assert_eq!(
+        harness.cell.shed("a1"),
+        0,
+        "only one task is stopped at a time"
+    );
     harness.report_end("a1", 1, task(1, 0, 0), 1, RunOutcome::Stopped);
     assert_eq!(harness.start_tasks()[0].0, "b1");
     assert_eq!(
         harness.cell.disruption("a1"),
         Disruption::Guarded,
-        "it is not at work yet"
+        "the moved task is not reported as running yet"
     );
     let there = vec![row(task(1, 0, 0), 2, 100)];
     harness.report(
@@ -342,16 +352,16 @@
 }
 
 #[test]
-fn a_task_does_not_start_again_while_an_unwanted_run_of_it_is_being_stopped() {
+fn a_task_does_not_restart_while_an_unwanted_run_of_it_is_being_stopped() {
     let mut harness = Harness::new(&["a1", "b1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     let (first, id, run) = harness.start_tasks().remove(0);
     let other = if first == "a1" { "b1" } else { "a1" };
-    let stray = row(id, run, 30);
+    let orphaned = row(id, run, 30);
     harness.report(
         other,
         Report {
-            running: vec![stray],
+            running: vec![orphaned],
             ended: vec![],
         },
     );
@@ -366,23 +376,23 @@
 }
 
 #[test]
-fn a_job_whose_queue_needs_permits_starts_only_where_it_has_one() {
+fn a_job_that_requires_permits_starts_only_on_permitted_workers() {
     let mut harness = Harness::new(&["a1", "b1"]);
-    let given = havenladder_jobs::Submission {
+    let submission = havenladder_jobs::Submission {
         requires_permits: true,
         ..job(1, vec![step(2)])
     };
-    harness.cell.accept(given);
+    harness.cell.accept(submission);
     assert!(harness.start_tasks().is_empty());
-    let asked = harness.cell.take_urgent();
+    let orders = harness.cell.take_urgent();
     let [
         Order::RequestPermits {
-            task: asked_for,
+            task: requested_task,
             workers,
         },
-    ] = asked.as_slice()
+    ] = orders.as_slice()
     else {
-        panic!("{asked:?}");
+        panic!("{orders:?}");
     };
     assert_eq!(workers.len(), 2);
     let expires = harness.now + Duration::from_millis(3_000);
@@ -390,8 +400,10 @@
         ticket: "t".to_owned(),
         expires,
     };
-    let good = vec![("b1".into(), permit)];
-    harness.cell.set_permits(*asked_for, workers, Some(good));
+    let permitted = vec![("b1".into(), permit)];
+    harness
+        .cell
+        .set_permits(*requested_task, workers, Some(permitted));
     let started = harness.start_tasks();
     assert_eq!(started.len(), 2);
     assert!(started.iter().all(|(id, ..)| id == "b1"));
@@ -400,7 +412,10 @@
         .cell
         .start_refused("b1", started[0].1, 1, Refusal::Ticket, harness.now);
     harness.advance(400);
-    assert!(harness.start_tasks().is_empty(), "it is asked for anew");
+    assert!(
+        harness.start_tasks().is_empty(),
+        "a new permit is requested first"
+    );
     assert!(matches!(
         harness.cell.take_urgent().as_slice(),
         [Order::RequestPermits { .. }]
@@ -408,7 +423,7 @@
 }
 
 #[test]
-fn the_number_of_an_unrecorded_run_is_not_used_again_after_the_recorded_one_ended() {
+fn the_number_of_an_unrecorded_run_is_not_reused() {
     let mut harness = Harness::new(&["a1", "b1"]);
     harness.cell.accept(job(1, vec![step(1)]));
     let (first, id, run) = harness.start_tasks().remove(0);
@@ -416,7 +431,7 @@
     harness.take_over();
     harness.cell.upsert_worker(worker("a1"), harness.now);
     harness.cell.upsert_worker(worker("b1"), harness.now);
-    // The earlier owner had seen run 1 fail, and run 2 has failed without a record.
+    // The earlier owner had received the failure of run 1; run 2 was started without a record and failed.
     harness.report_end(second, 1, id, 2, RunOutcome::Failed);
     harness.report_end(&first, 1, id, run, RunOutcome::Failed);
     let (_, _, next) = harness.start_tasks().remove(0);
