--- a/crates/jobs/tests/decoders.rs
+++ b/crates/jobs/tests/decoders.rs
@@ -1,5 +1,5 @@
-//! Records of the cell's log that another writer may have left, and figures of callers that make no sense: no panic,
-//! and nothing taken for something else.
+//! Property tests of log records that another writer may have left, and of extreme numbers in submissions: neither
+//! may cause a panic, and no record may be decoded as one of another kind.
 
 mod fixture;
 
@@ -11,11 +11,11 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// The kinds of records: what was handed in, the state of a job, a wave, the VMs of orders; and one that is none.
+/// First letters of the keys of records: submissions, states of jobs, waves and VM orders; the last one is not used.
 const KINDS: [char; 5] = ['g', 's', 'w', 'o', 'x'];
 
-/// A cell with a worker that takes these records over, and goes on for some rounds.
-fn take_over(records: Vec<Decoded>) -> Cell {
+/// Loads the records into a cell with one worker, runs a few rounds and returns the cell.
+fn load_and_run(records: Vec<Decoded>) -> Cell {
     let mut cell = Cell::new(Limits::default());
     cell.load_records(records);
     let mut now = Instant::now();
@@ -33,11 +33,11 @@
     cell
 }
 
-/// A step with any figures, as far as a job with it is taken.
+/// Generates steps with arbitrary needs, estimates and flags.
 fn any_step() -> impl Strategy<Value = Step> {
-    let figures = (any::<u64>(), any::<u64>(), any::<u64>(), any::<u64>());
+    let numbers = (any::<u64>(), any::<u64>(), any::<u64>(), any::<u64>());
     let flags = (any::<bool>(), any::<bool>(), any::<bool>());
-    (1..4_u32, figures, flags).prop_map(|(count, (cpu, memory, gpu, estimate_ms), flags)| {
+    (1..4_u32, numbers, flags).prop_map(|(count, (cpu, memory, gpu, estimate_ms), flags)| {
         let (gang, long_running, best_effort) = flags;
         let mut step = Step {
             gang,
@@ -53,10 +53,10 @@
 
 proptest! {
     #[test]
-    fn no_bytes_are_taken_for_another_kind(kind in 0..KINDS.len(), id: u64, bytes in any::<Vec<u8>>()) {
+    fn no_bytes_are_decoded_as_another_kind_of_record(kind in 0..KINDS.len(), id: u64, bytes in any::<Vec<u8>>()) {
         let key = format!("{}{id:016x}", KINDS[kind]);
         let decoded = decode_entry(&key, &bytes);
-        let fits = match (&decoded, KINDS[kind]) {
+        let expected_kind = match (&decoded, KINDS[kind]) {
             (Err(_), _)
             | (Ok(Decoded::Submission(..)), 'g')
             | (Ok(Decoded::State(..)), 's')
@@ -64,45 +64,45 @@
             | (Ok(Decoded::VmOrders(..)), 'o') => true,
             (Ok(_), _) => false
         };
-        prop_assert!(fits);
-        take_over(decoded.into_iter().collect());
+        prop_assert!(expected_kind);
+        load_and_run(decoded.into_iter().collect());
     }
 
     #[test]
-    fn no_text_is_a_key(key in any::<String>()) {
+    fn decoding_any_key_does_not_panic(key in any::<String>()) {
         let _ = decode_entry(&key, &[]);
     }
 
     #[test]
-    fn a_state_that_does_not_fit_its_job_harms_nothing(
+    fn a_state_that_does_not_match_its_job_does_not_affect_other_jobs(
         steps in prop::collection::vec(any_step(), 1..4),
-        others in prop::collection::vec(any_step(), 0..4),
+        other_steps in prop::collection::vec(any_step(), 0..4),
         rounds in 0..3_usize
     ) {
-        let given = job(1, steps);
-        let rounds = vec![Round::new(&others); rounds];
+        let submission = job(1, steps);
+        let rounds = vec![Round::new(&other_steps); rounds];
         let state = State { phase: Phase::Running, rounds, workspace: None };
-        let sound = Job::new(job(2, vec![step(1)]), 1);
+        let valid = Job::new(job(2, vec![step(1)]), 1);
         let records = vec![
-            Decoded::Submission(0, given),
+            Decoded::Submission(0, submission),
             Decoded::State(1, state),
-            Decoded::Submission(1, sound.submission.clone()),
-            Decoded::State(2, State { phase: Phase::Pending, rounds: sound.rounds, workspace: None })
+            Decoded::Submission(1, valid.submission.clone()),
+            Decoded::State(2, State { phase: Phase::Pending, rounds: valid.rounds, workspace: None })
         ];
-        let cell = take_over(records);
-        prop_assert_eq!(cell.jobs[&2].phase, Phase::Running, "the others hold");
+        let cell = load_and_run(records);
+        prop_assert_eq!(cell.jobs[&2].phase, Phase::Running, "the other job is not affected");
     }
 
     #[test]
-    fn figures_of_callers_do_no_harm(steps in prop::collection::vec(any_step(), 1..4), at: u64) {
-        let mut cell = take_over(Vec::new());
-        let mut given = job(1, steps);
-        given.submitted_at = at;
-        given.slack = u64::MAX;
-        cell.accept(given);
+    fn extreme_numbers_of_callers_do_not_affect_other_jobs(steps in prop::collection::vec(any_step(), 1..4), at: u64) {
+        let mut cell = load_and_run(Vec::new());
+        let mut submission = job(1, steps);
+        submission.submitted_at = at;
+        submission.slack = u64::MAX;
+        cell.accept(submission);
         cell.accept(job(2, vec![step(1)]));
         cell.schedule(Instant::now());
-        prop_assert_eq!(cell.jobs[&2].phase, Phase::Running, "the others hold");
+        prop_assert_eq!(cell.jobs[&2].phase, Phase::Running, "the other job is not affected");
         cell.demand("s");
     }
 }
