--- a/crates/jobs/tests/load/mod.rs
+++ b/crates/jobs/tests/load/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a load on a cell: jobs of workspaces come, workers run them, and callers see what they get.
+//! Simulates a load on a cell: workspaces submit jobs, workers run them, and the outcomes for callers are counted.
 
 use crate::fixture::{job, step, worker};
 use clock::Instant;
@@ -12,18 +12,19 @@
     time::Duration,
 };
 
-/// Length of a step of time, in ms.
-const TICK: u64 = 20;
+/// Length of a simulation step, in ms.
+const TICK_MS: u64 = 20;
 
 /// The service of all jobs.
 const SERVICE: &str = "s";
 
-/// How many times its chain of work a job may take to be in time, and what it may take beyond, in ms.
+/// Multiple of its critical path that a job may take to be in time.
 const STRETCH: f64 = 1.6;
-/// See [`STRETCH`].
-const SLACK: u64 = 600;
+/// Time that a job may take beyond the stretched critical path to be in time, in ms.
+const SLACK_MS: u64 = 600;
 
-/// Jobs that come: so many a second, from one moment to another, each of so many tasks of a core and so many ms.
+/// A stream of jobs that arrive at `rate` per second between two times; each has `tasks` tasks of one core and
+/// about `ms` milliseconds.
 #[derive(Clone, Debug)]
 pub struct Stream {
     pub workspace: &'static str,
@@ -34,26 +35,26 @@
     pub ms: u64,
 }
 
-/// What the callers of a workspace got.
+/// Numbers of jobs of a workspace by their outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Got {
-    pub asked: u32,
+pub struct CallerOutcomes {
+    pub submitted: u32,
     pub in_time: u32,
     pub late: u32,
-    /// Told at once that there is no room in time.
-    pub refused: u32,
-    /// Taken in, and not done within three times the objective.
+    /// Jobs that were rejected immediately, since they would be too late.
+    pub rejected: u32,
+    /// Accepted jobs that did not end within three times their maximum latency.
     pub failed: u32,
 }
 
-impl Got {
-    /// The part of what was asked that was done in time.
+impl CallerOutcomes {
+    /// Returns the share of the submitted jobs that ended in time.
     pub fn share(self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked.max(1))
+        f64::from(self.in_time) / f64::from(self.submitted.max(1))
     }
 }
 
-/// A run that goes on, and when it ends.
+/// A running run and the time at which it ends.
 struct Run {
     ends: u64,
     worker: WorkerId,
@@ -61,7 +62,7 @@
     run: RunId,
 }
 
-/// The load, and all that it meets.
+/// The state of a load simulation.
 pub struct Load {
     pub cell: Cell,
     rng: StdRng,
@@ -69,19 +70,20 @@
     now: u64,
     workers: Vec<WorkerId>,
     runs: Vec<Run>,
-    numbers: HashMap<WorkerId, u64>,
-    /// The jobs that are not over: when they came, whose they are, and their chain of work.
-    open: HashMap<JobId, (u64, &'static str, u64)>,
+    end_numbers: HashMap<WorkerId, u64>,
+    /// For each job that has not ended: when it was submitted, its workspace and the length of its critical path in
+    /// ms.
+    open_jobs: HashMap<JobId, (u64, &'static str, u64)>,
     due: Vec<f64>,
     streams: Vec<Stream>,
-    got: BTreeMap<&'static str, Got>,
-    next: JobId,
-    /// Whether jobs belong to workspaces.
-    named: bool,
+    outcomes: BTreeMap<&'static str, CallerOutcomes>,
+    next_job: JobId,
+    /// Whether jobs are submitted with their workspace.
+    with_workspaces: bool,
 }
 
 impl Load {
-    /// So many workers of four cores each, and the jobs that come.
+    /// Creates a simulation with the given number of workers, which have four cores each, and the given streams.
     pub fn new(seed: u64, workers: usize, streams: Vec<Stream>) -> Self {
         let start = Instant::now();
         let mut cell = Cell::new(Limits::default());
@@ -106,104 +108,106 @@
             now: 0,
             workers: names.iter().map(|name| name.as_str().into()).collect(),
             runs: Vec::new(),
-            numbers: HashMap::new(),
-            open: HashMap::new(),
+            end_numbers: HashMap::new(),
+            open_jobs: HashMap::new(),
             due: streams.iter().map(|stream| stream.from as f64).collect(),
             streams,
-            got: BTreeMap::new(),
-            next: 1,
-            named: false,
+            outcomes: BTreeMap::new(),
+            next_job: 1,
+            with_workspaces: false,
         }
     }
 
-    /// Jobs belong to workspaces of these weights from now on; before, they belong to none.
-    pub fn weigh(&mut self, weights: &[(&str, f64)]) {
-        self.named = true;
+    /// Sets the weights of workspaces. Jobs are submitted with their workspace only after this call.
+    pub fn set_weights(&mut self, weights: &[(&str, f64)]) {
+        self.with_workspaces = true;
         let weights = weights
             .iter()
             .map(|(name, weight)| ((*name).to_owned(), *weight));
         self.cell.set_weights(weights);
     }
 
-    /// Plays on until a moment, in ms, and returns what the callers got.
-    pub fn play(&mut self, until: u64) -> BTreeMap<&'static str, Got> {
+    /// Continues the simulation until a time in ms and returns the outcomes of each workspace.
+    pub fn play(&mut self, until: u64) -> BTreeMap<&'static str, CallerOutcomes> {
         while self.now < until {
-            self.now += TICK;
+            self.now += TICK_MS;
             self.cell.mark_due(self.now);
-            self.look_ahead();
-            self.come();
+            self.update_backlog();
+            self.submit_due();
             self.end_runs();
             self.decide();
-            self.see_ends();
+            self.record_ended_jobs();
         }
-        let open = std::mem::take(&mut self.open);
-        for (came, workspace, chain) in open.into_values() {
-            let got = self.got.entry(workspace).or_default();
-            match (self.now - came) as f64 > 3.0 * objective(chain) {
-                true => got.failed += 1,
-                // It may still be done in time: it does not count.
-                false => got.asked -= 1,
+        let open_jobs = std::mem::take(&mut self.open_jobs);
+        for (submitted_at, workspace, chain_ms) in open_jobs.into_values() {
+            let outcomes = self.outcomes.entry(workspace).or_default();
+            match (self.now - submitted_at) as f64 > 3.0 * max_latency(chain_ms) {
+                true => outcomes.failed += 1,
+                // The job may still end within its limit, so it does not count.
+                false => outcomes.submitted -= 1,
             }
         }
-        self.got.clone()
+        self.outcomes.clone()
     }
 
     fn instant(&self) -> Instant {
         self.start + Duration::from_millis(self.now)
     }
 
-    /// Every tenth of a second, as the sizing of pools does.
-    fn look_ahead(&mut self) {
+    /// Updates the backlog every 100 ms, as the sizing of pools does.
+    fn update_backlog(&mut self) {
         if self.now.is_multiple_of(100) {
             let cpu = self.workers.len() as u64 * 4_000;
             self.cell.update_backlog(SERVICE, cpu);
         }
     }
 
-    fn come(&mut self) {
+    fn submit_due(&mut self) {
         for number in 0..self.streams.len() {
             let stream = self.streams[number].clone();
             while self.due[number] <= self.now as f64 && self.now < stream.until {
                 self.due[number] += 1_000.0 / stream.rate * self.rng.random_range(0.5..1.5);
-                self.hand_in(&stream);
+                self.submit(&stream);
             }
         }
     }
 
-    fn hand_in(&mut self, stream: &Stream) {
+    fn submit(&mut self, stream: &Stream) {
         let estimate = (stream.ms as f64 * self.rng.random_range(0.6..1.4)) as u64;
         let mut one = step(stream.tasks);
         one.estimate_ms = estimate;
-        let given = Submission {
-            workspace: self.named.then(|| WorkspaceId::from(stream.workspace)),
+        let submission = Submission {
+            workspace: self
+                .with_workspaces
+                .then(|| WorkspaceId::from(stream.workspace)),
             submitted_at: self.now,
             stretch: STRETCH,
-            slack: SLACK,
-            ..job(self.next, vec![one])
+            slack: SLACK_MS,
+            ..job(self.next_job, vec![one])
         };
-        self.next += 1;
-        let got = self.got.entry(stream.workspace).or_default();
-        got.asked += 1;
-        if self.cell.forecast(&given) != Forecast::Worthwhile {
-            got.refused += 1;
+        self.next_job += 1;
+        let outcomes = self.outcomes.entry(stream.workspace).or_default();
+        outcomes.submitted += 1;
+        if self.cell.forecast(&submission) != Forecast::Worthwhile {
+            outcomes.rejected += 1;
             return;
         }
-        let id = given.id;
-        assert_eq!(self.cell.accept(given), Accepted::New);
-        self.open
+        let id = submission.id;
+        assert_eq!(self.cell.accept(submission), Accepted::New);
+        self.open_jobs
             .insert(id, (self.now, stream.workspace, stream.ms));
     }
 
-    /// Runs end, and their workers say so.
+    /// Ends the runs that are due and applies the reports of their workers.
     fn end_runs(&mut self) {
         let (now, at) = (self.now, self.instant());
-        let over: Vec<Run> = self.runs.extract_if(.., |run| run.ends <= now).collect();
+        let ended: Vec<Run> = self.runs.extract_if(.., |run| run.ends <= now).collect();
         let mut ends: BTreeMap<WorkerId, Vec<EndRow>> = BTreeMap::new();
         for Run {
             worker, task, run, ..
-        } in over
+        } in ended
         {
-            let number = self.numbers.entry(worker.clone()).or_default();
+            let number = self.end_numbers.entry(worker.clone()).or_default();
             *number += 1;
             ends.entry(worker).or_default().push(EndRow {
                 number: *number,
@@ -214,7 +218,7 @@
             });
         }
         for (worker, ended) in ends {
-            let here = self.runs.iter().filter(|run| run.worker == worker);
+            let running_here = self.runs.iter().filter(|run| run.worker == worker);
             let row = |run: &Run| RunRow {
                 task: run.task,
                 run: run.run,
@@ -222,7 +226,7 @@
                 percent: now % 100,
                 measurement: 0,
             };
-            let running = here.map(row).collect();
+            let running = running_here.map(row).collect();
             self.cell
                 .apply_report(&worker, &Report { running, ended }, at, at);
         }
@@ -241,7 +245,7 @@
                 continue;
             }
             self.cell.start_accepted(&worker, task, run, now);
-            let ms = self.open.get(&task.job).map_or(0, |(_, _, ms)| *ms);
+            let ms = self.open_jobs.get(&task.job).map_or(0, |(_, _, ms)| *ms);
             let took = (ms as f64 * self.rng.random_range(0.8..1.2)) as u64;
             let ends = self.now + took;
             self.runs.push(Run {
@@ -253,30 +257,31 @@
         }
     }
 
-    fn see_ends(&mut self) {
+    fn record_ended_jobs(&mut self) {
         let done = |id: &JobId| self.cell.jobs[id].phase == Phase::Succeeded;
-        let over: Vec<JobId> = self.open.keys().copied().filter(done).collect();
-        for id in over {
-            let Some((came, workspace, chain)) = self.open.remove(&id) else {
+        let ended: Vec<JobId> = self.open_jobs.keys().copied().filter(done).collect();
+        for id in ended {
+            let Some((submitted_at, workspace, chain_ms)) = self.open_jobs.remove(&id) else {
                 continue;
             };
-            let took = (self.now - came) as f64;
-            let got = self.got.entry(workspace).or_default();
-            match took / objective(chain) {
-                ..=1.0 => got.in_time += 1,
-                ..=3.0 => got.late += 1,
-                _ => got.failed += 1,
+            let took = (self.now - submitted_at) as f64;
+            let outcomes = self.outcomes.entry(workspace).or_default();
+            match took / max_latency(chain_ms) {
+                ..=1.0 => outcomes.in_time += 1,
+                ..=3.0 => outcomes.late += 1,
+                _ => outcomes.failed += 1,
             }
         }
     }
 }
 
-/// Within how many ms a job must be done to be in time.
-fn objective(chain: u64) -> f64 {
-    STRETCH * chain as f64 + SLACK as f64
+/// Returns the maximum latency of a job that is in time, in ms.
+fn max_latency(chain_ms: u64) -> f64 {
+    STRETCH * chain_ms as f64 + SLACK_MS as f64
 }
 
-/// What a core gives in a second, for reckoning rates: one task of a second.
+/// Returns the total number of cores of the workers, which is the number of one-second tasks that they can run per
+/// second.
 pub fn cores(workers: usize) -> f64 {
     let Need { cpu, .. } = worker("w").capacity;
     workers as f64 * cpu as f64 / 1_000.0
