--- a/crates/jobs/tests/crash/mod.rs
+++ b/crates/jobs/tests/crash/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in which some tasks end each worker that starts them, played step by step around one cell.
+//! A step-by-step simulation of one cell and a fleet in which some tasks crash every worker that starts them.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -14,76 +14,76 @@
     time::Duration,
 };
 
-/// Length of a step, in ms.
-const TICK: u64 = 10;
+/// Length of a simulation step, in ms.
+const TICK_MS: u64 = 10;
 
-/// Time between two reports of a worker on which nothing ends, in ms.
-const ASK: u64 = 500;
+/// Time between two reports of a worker on which no run ends, in ms.
+const REPORT_INTERVAL_MS: u64 = 500;
 
-/// Time from the end of a worker without notice to when its runs are known to be gone, in ms.
-const KNOWN: u64 = 1_600;
+/// Time from the crash of a worker until its end is detected, in ms.
+const DETECTION_DELAY_MS: u64 = 1_600;
 
-/// Time from its end to when another life of it comes, in ms.
-const BACK: u64 = 3_000;
+/// Time from the crash of a worker until a new one replaces it, in ms.
+const RESTART_DELAY_MS: u64 = 3_000;
 
-/// When the last job is handed in, in ms.
-const LAST: u64 = 40_000;
+/// Time at which the last job is submitted, in ms.
+const LAST_SUBMISSION_AT_MS: u64 = 40_000;
 
-/// When all must be over, in ms.
-const END: u64 = 60_000;
+/// Time at which all jobs must have ended, in ms.
+const END_MS: u64 = 60_000;
 
-/// Tasks of a job.
+/// Number of tasks of a job.
 const TASKS: u32 = 6;
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Copy)]
 pub struct Plan {
-    /// How many workers there are.
+    /// Number of workers.
     pub workers: u32,
-    /// How many jobs have one task that ends each worker that starts it.
-    pub crashers: u32,
-    /// How long after its start such a task does so, in ms.
-    pub delay: u64,
-    /// Time between two changes of the owner, in ms.
-    pub owners: u64,
-    /// The mean time between two ends of workers for which no task is the cause, in ms; 0 for none.
-    pub accidents: u64,
-    /// Whether the tasks of a job start and end only together.
+    /// Number of jobs with one task that crashes every worker that starts it.
+    pub crashing_jobs: u32,
+    /// Time from the start of such a task to the crash, in ms.
+    pub crash_delay: u64,
+    /// Time between two changes of owner, in ms.
+    pub owner_change_interval: u64,
+    /// Mean time between two crashes of workers that no task causes, in ms; 0 for none.
+    pub accident_interval: u64,
+    /// Whether the tasks of a job form a gang, which starts and ends together.
     pub gang: bool,
-    /// Whether the tasks last until their jobs are cancelled.
-    pub lasting: bool,
+    /// Whether the tasks run until their jobs are cancelled.
+    pub long_running: bool,
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// How often each task was started that ends its workers.
+    /// Number of starts of each task that crashes its workers.
     pub starts: BTreeMap<TaskId, u32>,
-    /// Runs of other tasks that ended with a worker.
-    pub lost: u32,
-    /// Jobs without such a task.
+    /// Number of runs of other tasks that were lost when a worker crashed.
+    pub lost_runs: u32,
+    /// Number of other jobs, which have no crashing task.
     pub others: usize,
-    /// Those of them that are shown as failed.
-    pub refused: usize,
-    /// Those of them that are not over.
-    pub open: usize,
-    /// Jobs with such a task that are not shown as failed.
-    pub kept: usize,
+    /// Number of other jobs that failed.
+    pub failed_others: usize,
+    /// Number of other jobs that have neither ended nor are running as long-running jobs.
+    pub open_jobs: usize,
+    /// Number of jobs with a crashing task that have not failed.
+    pub unfailed_crashers: usize,
 }
 
-/// A worker as it is.
+/// The actual state of a simulated worker, independent of what the cell knows.
 struct Host {
     running: BTreeMap<(TaskId, RunId), Run>,
-    asked: u64,
-    /// When it is asked once more, for a run in quarantine there.
-    look: Option<u64>,
+    last_report_at: u64,
+    /// Time of an additional report that is due for a run in quarantine there.
+    next_check: Option<u64>,
     number: u64,
 }
 
-/// The ends that a worker lists of some of its runs.
-fn list_ends(host: &mut Host, over: Vec<(TaskId, RunId)>, how: RunOutcome) -> Vec<EndRow> {
+/// Returns the rows in which a worker reports the ends of the given runs.
+fn list_ends(host: &mut Host, ended_runs: Vec<(TaskId, RunId)>, how: RunOutcome) -> Vec<EndRow> {
     let first = host.number + 1;
-    host.number += over.len() as u64;
+    host.number += ended_runs.len() as u64;
     let end = |(number, (task, run))| EndRow {
         number,
         task,
@@ -91,16 +91,16 @@
         how,
         saved: String::new(),
     };
-    (first..).zip(over).map(end).collect()
+    (first..).zip(ended_runs).map(end).collect()
 }
 
-/// A run on a worker.
+/// A run on a simulated worker.
 struct Run {
     ends: u64,
     crashes: bool,
 }
 
-/// The fleet so far.
+/// The state of a simulation.
 struct Fleet {
     plan: Plan,
     rng: StdRng,
@@ -109,18 +109,18 @@
     cell: Cell,
     log: BTreeMap<String, Vec<u8>>,
     hosts: BTreeMap<WorkerId, Host>,
-    /// The workers that have ended, and when that is known.
+    /// The workers that have crashed, and the times at which their ends are detected.
     ended: Vec<(WorkerId, u64)>,
-    /// When other lives of workers come.
-    back: Vec<u64>,
-    lives: u32,
-    /// The jobs that have a task that ends its workers.
-    crashers: BTreeSet<JobId>,
+    /// Times at which new workers replace crashed ones.
+    restarts_at: Vec<u64>,
+    booted: u32,
+    /// The jobs with a task that crashes its workers.
+    crashing_jobs: BTreeSet<JobId>,
     next: JobId,
     outcome: Outcome,
 }
 
-/// A worker's entry: 16 cores.
+/// Returns the list entry of a worker with 16 cores.
 fn entry(id: &str) -> WorkerInfo {
     let capacity = Need {
         cpu: 16_000,
@@ -144,9 +144,9 @@
             log: BTreeMap::new(),
             hosts: BTreeMap::new(),
             ended: Vec::new(),
-            back: Vec::new(),
-            lives: 0,
-            crashers: BTreeSet::new(),
+            restarts_at: Vec::new(),
+            booted: 0,
+            crashing_jobs: BTreeSet::new(),
             next: 1,
             outcome: Outcome::default(),
         };
@@ -159,13 +159,13 @@
     }
 
     fn boot(&mut self) {
-        self.lives += 1;
-        let id = format!("w{:05}", self.lives);
-        let asked = self.now + self.rng.random_range(0..ASK);
+        self.booted += 1;
+        let id = format!("w{:05}", self.booted);
+        let last_report_at = self.now + self.rng.random_range(0..REPORT_INTERVAL_MS);
         let host = Host {
             running: BTreeMap::new(),
-            asked,
-            look: None,
+            last_report_at,
+            next_check: None,
             number: 0,
         };
         self.hosts.insert(id.as_str().into(), host);
@@ -173,51 +173,54 @@
         self.report(&id, Vec::new());
     }
 
-    /// A worker ends without notice, with all that runs there.
+    /// Crashes a worker together with all its runs.
     fn crash(&mut self, id: &str) {
         let host = self.hosts.remove(id).unwrap();
         let others = host.running.values().filter(|run| !run.crashes);
-        self.outcome.lost += others.count() as u32;
+        self.outcome.lost_runs += others.count() as u32;
         self.cell.mark_silent(id, self.instant());
-        self.ended.push((id.into(), self.now + KNOWN));
-        self.back.push(self.now + BACK);
+        self.ended.push((id.into(), self.now + DETECTION_DELAY_MS));
+        self.restarts_at.push(self.now + RESTART_DELAY_MS);
         if self.plan.gang {
             let gangs: BTreeSet<JobId> = host.running.keys().map(|(task, _)| task.job).collect();
-            self.break_gangs(&gangs);
+            self.end_gangs(&gangs);
         }
     }
 
-    /// Members of gangs end with the one whose worker has ended.
-    fn break_gangs(&mut self, gangs: &BTreeSet<JobId>) {
+    /// Ends the remaining members of gangs that lost a member in a crash.
+    fn end_gangs(&mut self, gangs: &BTreeSet<JobId>) {
         let ids: Vec<WorkerId> = self.hosts.keys().cloned().collect();
         for id in ids {
             let host = self.hosts.get_mut(&id).unwrap();
-            let over = host
+            let ended_runs = host
                 .running
                 .extract_if(.., |(task, _), _| gangs.contains(&task.job));
-            let over: Vec<_> = over.map(|(key, _)| key).collect();
-            if !over.is_empty() {
-                let ended = list_ends(host, over, RunOutcome::Broken);
+            let ended_runs: Vec<_> = ended_runs.map(|(key, _)| key).collect();
+            if !ended_runs.is_empty() {
+                let ended = list_ends(host, ended_runs, RunOutcome::Broken);
                 self.report(&id, ended);
             }
         }
     }
 
     fn step(&mut self) {
-        self.now += TICK;
-        let due = self.back.extract_if(.., |at| *at <= self.now).count();
+        self.now += TICK_MS;
+        let due = self
+            .restarts_at
+            .extract_if(.., |at| *at <= self.now)
+            .count();
         (0..due).for_each(|_| self.boot());
         self.end_workers();
-        self.note_ended();
+        self.abandon_ended();
         self.end_runs();
-        self.hand_in();
-        if self.now.is_multiple_of(self.plan.owners) {
+        self.submit_jobs();
+        if self.now.is_multiple_of(self.plan.owner_change_interval) {
             self.take_over();
         }
         self.decide();
     }
 
-    /// Workers end under tasks that do that, and by accident.
+    /// Crashes the workers of crashing tasks that are due, and occasionally a random worker.
     fn end_workers(&mut self) {
         let now = self.now;
         let is_due = |host: &Host| {
@@ -232,8 +235,13 @@
             .map(|(id, _)| id.clone())
             .collect();
         due.iter().for_each(|id| self.crash(id));
-        let accidents = self.plan.accidents;
-        if accidents > 0 && now < LAST && self.rng.random_ratio(TICK as u32, accidents as u32) {
+        let accident_interval = self.plan.accident_interval;
+        if accident_interval > 0
+            && now < LAST_SUBMISSION_AT_MS
+            && self
+                .rng
+                .random_ratio(TICK_MS as u32, accident_interval as u32)
+        {
             let place = self.rng.random_range(0..self.hosts.len().max(1));
             if let Some(id) = self.hosts.keys().nth(place).cloned() {
                 self.crash(&id);
@@ -241,8 +249,8 @@
         }
     }
 
-    /// What the platform shows some time after the end of a worker.
-    fn note_ended(&mut self) {
+    /// Abandons the crashed workers whose ends are already detected, as the platform reports them after some time.
+    fn abandon_ended(&mut self) {
         let now = self.now;
         let known: Vec<_> = self.ended.extract_if(.., |(_, at)| *at <= now).collect();
         for (id, _) in known {
@@ -250,18 +258,21 @@
         }
     }
 
-    /// Runs end, and workers report.
+    /// Ends the runs that are due, and lets workers report their ends or their regular report.
     fn end_runs(&mut self) {
         let ids: Vec<WorkerId> = self.hosts.keys().cloned().collect();
         for id in ids {
             let host = self.hosts.get_mut(&id).unwrap();
-            let over = host
+            let ended_runs = host
                 .running
                 .extract_if(.., |_, run| !run.crashes && run.ends <= self.now);
-            let over: Vec<_> = over.map(|(key, _)| key).collect();
-            let ended = list_ends(host, over, RunOutcome::Done);
-            let look = host.look.take_if(|at| *at <= self.now).is_some();
-            if look || !ended.is_empty() || host.asked + ASK <= self.now {
+            let ended_runs: Vec<_> = ended_runs.map(|(key, _)| key).collect();
+            let ended = list_ends(host, ended_runs, RunOutcome::Done);
+            let check_due = host.next_check.take_if(|at| *at <= self.now).is_some();
+            if check_due
+                || !ended.is_empty()
+                || host.last_report_at + REPORT_INTERVAL_MS <= self.now
+            {
                 self.report(&id, ended);
             }
         }
@@ -269,12 +280,12 @@
 
     fn report(&mut self, id: &str, ended: Vec<EndRow>) {
         let host = self.hosts.get_mut(id).unwrap();
-        host.asked = self.now;
+        host.last_report_at = self.now;
         let row = |(task, run): &(TaskId, RunId)| RunRow {
             task: *task,
             run: *run,
             saved: String::new(),
-            percent: self.now / ASK,
+            percent: self.now / REPORT_INTERVAL_MS,
             measurement: 0,
         };
         let running = host.running.keys().map(row).collect();
@@ -283,26 +294,29 @@
             .apply_report(id, &Report { running, ended }, now, now);
     }
 
-    /// Hands in as much as half of the fleet can do, and the jobs with a task that ends its workers.
-    fn hand_in(&mut self) {
-        if self.now >= LAST {
+    /// Submits the jobs with a crashing task, and other jobs that use half of the fleet's capacity.
+    fn submit_jobs(&mut self) {
+        if self.now >= LAST_SUBMISSION_AT_MS {
             return;
         }
-        let crashers = self.plan.crashers * self.now as u32 / LAST as u32;
-        while (self.crashers.len() as u32) < crashers + u32::from(self.plan.crashers > 0) {
-            self.crashers.insert(self.next);
+        let crashing_jobs =
+            self.plan.crashing_jobs * self.now as u32 / LAST_SUBMISSION_AT_MS as u32;
+        while (self.crashing_jobs.len() as u32)
+            < crashing_jobs + u32::from(self.plan.crashing_jobs > 0)
+        {
+            self.crashing_jobs.insert(self.next);
             self.submit();
         }
-        // Half of 16 tasks a worker, each of 2.25 s in the mean.
-        let each = self.plan.workers * 8 * TICK as u32;
+        // Half of the 16 tasks for which a worker has capacity; a task takes 2.25 s on average.
+        let load = self.plan.workers * 8 * TICK_MS as u32;
         if self
             .rng
-            .random_ratio(each.min(2_250 * TASKS), 2_250 * TASKS)
-            && !self.plan.lasting
+            .random_ratio(load.min(2_250 * TASKS), 2_250 * TASKS)
+            && !self.plan.long_running
         {
             self.submit();
         }
-        if self.plan.lasting && self.next < u64::from(self.plan.workers) {
+        if self.plan.long_running && self.next < u64::from(self.plan.workers) {
             self.submit();
         }
     }
@@ -310,16 +324,16 @@
     fn submit(&mut self) {
         let step = Step {
             gang: self.plan.gang,
-            long_running: self.plan.lasting,
+            long_running: self.plan.long_running,
             estimate_ms: 2_250,
             ..step(TASKS)
         };
-        let given: Submission = job(self.next, vec![step]);
+        let submission: Submission = job(self.next, vec![step]);
         self.next += 1;
-        self.cell.accept(given);
+        self.cell.accept(submission);
     }
 
-    /// The owner ends, and another takes what the log holds; it is listed which workers lived a moment ago.
+    /// Replaces the owner by a new one that loads the log. The list still names workers that crashed recently.
     fn take_over(&mut self) {
         let decoded: Vec<Decoded> = self
             .log
@@ -329,8 +343,8 @@
         self.cell = Cell::new(Limits::default());
         self.cell.load_records(decoded);
         let now = self.instant();
-        let gone: Vec<WorkerId> = self.ended.iter().map(|(id, _)| id.clone()).collect();
-        for id in &gone {
+        let ended_ids: Vec<WorkerId> = self.ended.iter().map(|(id, _)| id.clone()).collect();
+        for id in &ended_ids {
             self.cell.upsert_worker(entry(id), now);
             self.cell.mark_silent(id, now);
         }
@@ -340,8 +354,8 @@
             self.report(&id, Vec::new());
         }
         self.cell.mark_listed();
-        // No VM has the workers any more that only the records name.
-        let known = self.now + KNOWN;
+        // Workers that only the records name no longer run on any VM.
+        let known = self.now + DETECTION_DELAY_MS;
         let orphans = self.cell.orphaned_workers().into_iter();
         self.ended.extend(orphans.map(|id| (id, known)));
     }
@@ -350,7 +364,7 @@
         let now = self.instant();
         self.cell.schedule(now);
         let batch = self.cell.take_batch();
-        self.keep(&batch.entries);
+        self.append(&batch.entries);
         self.cell.confirm(&batch);
         for order in batch.starts {
             if let Order::Start { worker, task, run } = order {
@@ -364,7 +378,7 @@
         }
     }
 
-    fn keep(&mut self, entries: &[Entry]) {
+    fn append(&mut self, entries: &[Entry]) {
         for entry in entries {
             match &entry.value {
                 Some(value) => self.log.insert(entry.key.clone(), value.clone()),
@@ -378,19 +392,19 @@
         if !self.cell.prepare_start(id, task, run, now) {
             return;
         }
-        let crashes = self.crashers.contains(&task.job) && task.index == 0;
-        let took = match self.plan.gang {
-            // Its members end together.
+        let crashes = self.crashing_jobs.contains(&task.job) && task.index == 0;
+        let duration = match self.plan.gang {
+            // All members of a gang end at the same time.
             true => 1_500 + task.job * 7_919 % 1_500,
             false => self.rng.random_range(1_500..3_000),
         };
         let Some(host) = self.hosts.get_mut(id) else {
             return self.cell.unacked(id, task, run);
         };
-        let ends = match (crashes, self.plan.lasting) {
-            (true, _) => self.now + self.plan.delay,
+        let ends = match (crashes, self.plan.long_running) {
+            (true, _) => self.now + self.plan.crash_delay,
             (false, true) => u64::MAX,
-            (false, false) => self.now + took,
+            (false, false) => self.now + duration,
         };
         host.running.insert((task, run), Run { ends, crashes });
         if crashes {
@@ -404,7 +418,7 @@
             .and_then(|worker| worker.quarantine);
         if let Some(quarantine) = quarantine.filter(|quarantine| quarantine.key == (task, run)) {
             let host = self.hosts.get_mut(id).unwrap();
-            host.look = Some(self.now + quarantine.threshold.as_millis() as u64);
+            host.next_check = Some(self.now + quarantine.threshold.as_millis() as u64);
         }
     }
 
@@ -415,31 +429,31 @@
         };
         host.running.remove(&(task, run));
         self.cell.stop_accepted(id, task, run, now);
-        // The next report shows it gone.
-        host.asked = 0;
+        // The next report no longer lists the run.
+        host.last_report_at = 0;
     }
 
-    fn judge(mut self) -> Outcome {
+    fn evaluate(mut self) -> Outcome {
         for (id, job) in &self.cell.jobs {
             let failed = job.phase == Phase::Failed;
-            if self.crashers.contains(id) {
-                self.outcome.kept += usize::from(!failed);
+            if self.crashing_jobs.contains(id) {
+                self.outcome.unfailed_crashers += usize::from(!failed);
             } else {
                 self.outcome.others += 1;
-                self.outcome.refused += usize::from(failed);
-                let goes_on = self.plan.lasting && job.phase == Phase::Running;
-                self.outcome.open += usize::from(!job.phase.is_over() && !goes_on);
+                self.outcome.failed_others += usize::from(failed);
+                let is_running = self.plan.long_running && job.phase == Phase::Running;
+                self.outcome.open_jobs += usize::from(!job.phase.is_over() && !is_running);
             }
         }
         self.outcome
     }
 }
 
-/// Plays a fleet to its end.
+/// Runs a simulation to its end and returns its outcome.
 pub fn play(plan: Plan, seed: u64) -> Outcome {
     let mut fleet = Fleet::new(plan, seed);
-    while fleet.now < END {
+    while fleet.now < END_MS {
         fleet.step();
     }
-    fleet.judge()
+    fleet.evaluate()
 }
--- a/crates/jobs/tests/crashes.rs
+++ b/crates/jobs/tests/crashes.rs
@@ -1,16 +1,10 @@
-//! Some tasks end each worker that starts them, and the owner changes meanwhile.
+//! Simulations of tasks that crash every worker that starts them, with and without changes of owner.
 //!
-//! What users saw: the jobs of one queue were hardly served for as long as its turn went on, and workers of its pool
-//! went away by the dozen; one job's task had its 57th run. What happened, in this order: a job with such a task came;
-//! the worker that started it ended some ms later without notice, with a dozen other runs; 1.5 s later the owner saw
-//! that the worker was on no VM any more, put all its tasks back, and started them elsewhere at once, beside others;
-//! the next worker ended. A change of owner did not end it, since the records named no such end.
-//!
-//! The cause: only ends that a worker lists counted against a task, and a worker that has ended lists none.
-//!
-//! The evidence: of 25 workers that fell silent within 4 s, the youngest run on 23 was 0 to 25 ms old; they were of one
-//! service and in all data centres; each ended with 8 to 25 runs. One owner stayed through 22 s while the numbers of
-//! the same tasks' runs rose by one every 2 s.
+//! They guard against crash loops: a worker crashed a few ms after the start of such a task, together with 8 to 25
+//! other runs; 1.5 s later the owner noticed that the worker was gone and restarted all its tasks beside others on
+//! the next worker, which crashed as well. On 23 of 25 crashed workers, the youngest run was 0 to 25 ms old; the
+//! run number of such a task rose by one every 2 s, up to 57. The cause: only ends that a worker reports counted
+//! against a task, and a crashed worker reports none; a new owner found none in the records either.
 
 mod crash;
 mod fixture;
@@ -18,137 +12,146 @@
 use crash::{Outcome, Plan, play};
 use yare::parameterized;
 
-/// How often a task may be started that ends its workers: three such ends are proof enough, and one start may be
-/// under way when the third is found.
-const STARTS: u32 = 5;
+/// Maximum number of starts of a task that crashes its workers. Three such crashes are sufficient evidence, and
+/// another start may be in flight when the third one is detected.
+const MAX_STARTS: u32 = 5;
 
-/// How many runs of other tasks may be lost for each of them: the workers have room for 16.
-const LOST: u32 = 25;
+/// Maximum number of runs of other tasks that may be lost for each crashing job. A worker has capacity for 16 runs.
+const MAX_LOST_RUNS: u32 = 25;
 
-/// Twenty workers at half their load, four tasks that end them some ms after their start, an owner that stays.
+/// Twenty workers at half load, four tasks that crash their workers 10 ms after their start, and a single owner.
 const FLEET: Plan = Plan {
     workers: 20,
-    crashers: 4,
-    delay: 10,
-    owners: u64::MAX,
-    accidents: 0,
+    crashing_jobs: 4,
+    crash_delay: 10,
+    owner_change_interval: u64::MAX,
+    accident_interval: 0,
     gang: false,
-    lasting: false,
+    long_running: false,
 };
 
-/// How many seeds of each plan are played.
+/// Number of seeds for each plan.
 const SEEDS: u64 = 10;
 
-/// Checks what came of a plan, for several seeds.
-fn check(plan: Plan) {
+/// Plays a plan with each seed and checks the outcomes.
+fn check_plan(plan: Plan) {
     for seed in 1..=SEEDS {
-        let outcome = play_aloud(plan, seed);
-        let most = outcome.starts.values().max().copied().unwrap_or(0);
-        assert!(most <= STARTS, "seed {seed}: started {most} times");
-        assert_eq!(outcome.kept, 0, "seed {seed}: jobs are not given up");
-        // An accident may meet a task just when it is in quarantine.
-        let most_refused = match plan.accidents {
+        let outcome = play_and_print(plan, seed);
+        let max_starts = outcome.starts.values().max().copied().unwrap_or(0);
+        assert!(
+            max_starts <= MAX_STARTS,
+            "seed {seed}: started {max_starts} times"
+        );
+        assert_eq!(
+            outcome.unfailed_crashers, 0,
+            "seed {seed}: crashing jobs have not failed"
+        );
+        // An accident may hit a worker while a task is in quarantine there.
+        let max_failed = match plan.accident_interval {
             0 => 0,
             _ => outcome.others / 100,
         };
         assert!(
-            outcome.refused <= most_refused,
-            "seed {seed}: {} of {} others are given up",
-            outcome.refused,
+            outcome.failed_others <= max_failed,
+            "seed {seed}: {} of {} other jobs failed",
+            outcome.failed_others,
             outcome.others
         );
-        assert_eq!(outcome.open, 0, "seed {seed}: others are not done");
-        let bound = LOST * plan.crashers;
+        assert_eq!(
+            outcome.open_jobs, 0,
+            "seed {seed}: other jobs have not ended"
+        );
+        let bound = MAX_LOST_RUNS * plan.crashing_jobs;
         assert!(
-            plan.accidents > 0 || outcome.lost <= bound,
-            "seed {seed}: {} runs of others were lost",
-            outcome.lost
+            plan.accident_interval > 0 || outcome.lost_runs <= bound,
+            "seed {seed}: {} runs of other tasks were lost",
+            outcome.lost_runs
         );
     }
 }
 
-/// Plays a plan and says what came of it.
-fn play_aloud(plan: Plan, seed: u64) -> Outcome {
+/// Plays a plan, prints its outcome and returns it.
+fn play_and_print(plan: Plan, seed: u64) -> Outcome {
     let outcome = play(plan, seed);
-    let most = outcome.starts.values().max().copied().unwrap_or(0);
+    let max_starts = outcome.starts.values().max().copied().unwrap_or(0);
     println!(
-        "seed {seed}: {most} starts at the most, {} runs lost, {} refused, {} open, {} kept",
-        outcome.lost, outcome.refused, outcome.open, outcome.kept
+        "seed {seed}: at most {max_starts} starts, {} runs lost, {} other jobs failed, {} open, {} crashing jobs not failed",
+        outcome.lost_runs, outcome.failed_others, outcome.open_jobs, outcome.unfailed_crashers
     );
     outcome
 }
 
 #[parameterized(
     one_owner = { FLEET },
-    an_owner_every_15_s = { Plan { owners: 15_000, ..FLEET } },
-    an_owner_every_3_s = { Plan { owners: 3_000, ..FLEET } },
-    many_workers = { Plan { workers: 100, crashers: 40, ..FLEET } },
-    few_workers = { Plan { workers: 3, crashers: 2, ..FLEET } },
-    after_half_a_second = { Plan { delay: 500, ..FLEET } },
+    owner_change_every_15_s = { Plan { owner_change_interval: 15_000, ..FLEET } },
+    owner_change_every_3_s = { Plan { owner_change_interval: 3_000, ..FLEET } },
+    many_workers = { Plan { workers: 100, crashing_jobs: 40, ..FLEET } },
+    few_workers = { Plan { workers: 3, crashing_jobs: 2, ..FLEET } },
+    crash_after_500_ms = { Plan { crash_delay: 500, ..FLEET } },
     gangs = { Plan { gang: true, ..FLEET } },
-    lasting_tasks = { Plan { lasting: true, ..FLEET } },
-    workers_that_end_by_accident = { Plan { accidents: 1_000, ..FLEET } },
+    long_running_tasks = { Plan { long_running: true, ..FLEET } },
+    with_accidents = { Plan { accident_interval: 1_000, ..FLEET } },
 )]
-fn a_task_under_which_workers_end_is_given_up_and_little_else_is_lost(plan: Plan) {
-    check(plan);
+fn a_task_that_crashes_workers_fails_and_few_other_runs_are_lost(plan: Plan) {
+    check_plan(plan);
 }
 
-/// Checks how many jobs are given up that have done nothing, over all seeds, of each thousand.
-fn check_accidents(plan: Plan, most: usize) {
-    let (mut jobs, mut refused) = (0, 0);
+/// Plays a plan with each seed and checks that at most `max_per_thousand` of each thousand innocent jobs failed.
+fn check_accidents(plan: Plan, max_per_thousand: usize) {
+    let (mut jobs, mut failed) = (0, 0);
     for seed in 1..=SEEDS {
-        let outcome = play_aloud(plan, seed);
-        assert_eq!(outcome.open, 0, "seed {seed}: jobs are not done");
+        let outcome = play_and_print(plan, seed);
+        assert_eq!(outcome.open_jobs, 0, "seed {seed}: jobs have not ended");
         jobs += outcome.others;
-        refused += outcome.refused;
+        failed += outcome.failed_others;
     }
-    let bound = jobs * most / 1_000;
-    assert!(refused <= bound, "{refused} of {jobs} jobs are given up");
+    let bound = jobs * max_per_thousand / 1_000;
+    assert!(failed <= bound, "{failed} of {jobs} jobs failed");
 }
 
-/// Each worker ends once in 30 s for no fault of a task.
-const ACCIDENTS: Plan = Plan {
-    crashers: 0,
-    accidents: 1_500,
+/// Each worker crashes once in 30 s without a task being the cause.
+const RARE_ACCIDENTS: Plan = Plan {
+    crashing_jobs: 0,
+    accident_interval: 1_500,
     ..FLEET
 };
 
 #[parameterized(
-    plain = { ACCIDENTS },
-    new_owners = { Plan { owners: 5_000, ..ACCIDENTS } },
-    gangs = { Plan { gang: true, ..ACCIDENTS } },
+    plain = { RARE_ACCIDENTS },
+    with_owner_changes = { Plan { owner_change_interval: 5_000, ..RARE_ACCIDENTS } },
+    gangs = { Plan { gang: true, ..RARE_ACCIDENTS } },
 )]
-fn hardly_a_job_is_given_up_for_accidents(plan: Plan) {
+fn accidents_fail_hardly_any_jobs(plan: Plan) {
     check_accidents(plan, 1);
 }
 
-/// Each worker ends every 8 s. Four ends in a row then meet some tasks by chance, and the users allow five starts, of
-/// which one may be unknown; a new owner knows less of accidents.
-const DISASTER: Plan = Plan {
-    accidents: 400,
-    ..ACCIDENTS
+/// Each worker crashes once in 8 s. Some tasks are then hit by four crashes in a row by chance. The users allow five
+/// starts, of which one may be unknown, so such a task fails. A new owner knows about fewer accidents.
+const FREQUENT_ACCIDENTS: Plan = Plan {
+    accident_interval: 400,
+    ..RARE_ACCIDENTS
 };
 
 #[parameterized(
-    plain = { DISASTER, 10 },
-    new_owners = { Plan { owners: 5_000, ..DISASTER }, 20 },
-    gangs = { Plan { gang: true, ..DISASTER }, 10 },
+    plain = { FREQUENT_ACCIDENTS, 10 },
+    with_owner_changes = { Plan { owner_change_interval: 5_000, ..FREQUENT_ACCIDENTS }, 20 },
+    gangs = { Plan { gang: true, ..FREQUENT_ACCIDENTS }, 10 },
 )]
-fn few_jobs_are_given_up_where_workers_end_all_the_time(plan: Plan, most: usize) {
-    check_accidents(plan, most);
+fn frequent_accidents_fail_few_jobs(plan: Plan, max_per_thousand: usize) {
+    check_accidents(plan, max_per_thousand);
 }
 
 #[parameterized(
-    now_and_then = { ACCIDENTS, 5 },
-    all_the_time = { DISASTER, 20 },
+    rare_accidents = { RARE_ACCIDENTS, 5 },
+    frequent_accidents = { FREQUENT_ACCIDENTS, 20 },
 )]
-fn lasting_jobs_are_not_given_up_for_accidents(plan: Plan, most: usize) {
-    // There are 19 in each fleet: none in all seeds, and three.
+fn accidents_fail_few_long_running_jobs(plan: Plan, max_per_thousand: usize) {
+    // Each fleet has 19 such jobs. Over all seeds, no job failed with rare accidents and three with frequent ones.
     check_accidents(
         Plan {
-            lasting: true,
+            long_running: true,
             ..plan
         },
-        most,
+        max_per_thousand,
     );
 }
