--- a/crates/jobs/tests/histories.rs
+++ b/crates/jobs/tests/histories.rs
@@ -1,11 +1,13 @@
-//! Seeded histories: random jobs, workers that crash, are cut off and answer late, a log that goes
-//! away, owners that end. Checked from the workers' side, as the platform would: no two runs of a task
-//! at once, none after a noted end, order of steps, attempts, room, and that all ends well.
+//! Seeded simulations with random jobs, workers that crash, become unreachable or respond late, log outages and
+//! changes of owner. The invariants are checked on the simulated workers: a task never has two runs at once and
+//! none after an acknowledged end, steps run in order, attempts and capacities are respected, and all jobs end.
 
 mod fixture;
 mod history;
 
-use history::{play, play_bounds, play_fatal, play_restarts, play_rooms};
+use history::{
+    play_changing_bounds, play_changing_capacities, play_crashing_tasks, play_plain, play_restarts,
+};
 use rand::Rng;
 use yare::parameterized;
 
@@ -15,24 +17,24 @@
     third = { 50..75 },
     fourth = { 75..100 },
 )]
-fn histories_keep_the_promises(seeds: std::ops::Range<u64>) {
-    seeds.for_each(play);
+fn histories_keep_the_invariants(seeds: std::ops::Range<u64>) {
+    seeds.for_each(play_plain);
 }
 
 #[parameterized(
     first = { 0..50 },
     second = { 50..100 },
 )]
-fn histories_with_tasks_that_end_their_workers_keep_the_promises(seeds: std::ops::Range<u64>) {
-    seeds.for_each(play_fatal);
+fn histories_with_crashing_tasks_keep_the_invariants(seeds: std::ops::Range<u64>) {
+    seeds.for_each(play_crashing_tasks);
 }
 
 #[parameterized(
     first = { 0..50 },
     second = { 50..100 },
 )]
-fn histories_with_rooms_that_change_keep_the_promises(seeds: std::ops::Range<u64>) {
-    seeds.for_each(play_rooms);
+fn histories_with_changing_capacities_keep_the_invariants(seeds: std::ops::Range<u64>) {
+    seeds.for_each(play_changing_capacities);
 }
 
 #[parameterized(
@@ -41,22 +43,23 @@
     third = { 100..150 },
     fourth = { 150..200 },
 )]
-fn histories_with_workers_that_start_again_keep_the_promises(seeds: std::ops::Range<u64>) {
+fn histories_with_restarting_workers_keep_the_invariants(seeds: std::ops::Range<u64>) {
     seeds.for_each(play_restarts);
 }
 
-/// Seed 13,009,446 failed: five cores ran under a bound of four, since starts that had waited two seconds for their records
-/// were sent by the bound under which they were decided.
+/// Seed 13,009,446 guards against a fault in which five cores were used under a bound of four: starts that had
+/// waited two seconds for their records were checked against the bound at the time of their decision.
 #[parameterized(
     first = { 0..50 },
     second = { 50..100 },
-    starts_that_wait_for_their_records = { 13_009_446..13_009_447 },
+    starts_waiting_for_their_records = { 13_009_446..13_009_447 },
 )]
-fn histories_with_bounds_that_change_keep_the_promises(seeds: std::ops::Range<u64>) {
-    seeds.for_each(play_bounds);
+fn histories_with_changing_bounds_keep_the_invariants(seeds: std::ops::Range<u64>) {
+    seeds.for_each(play_changing_bounds);
 }
 
-/// How many fresh seeds to play by hand, and the first of them.
+/// Returns the range of seeds for a manual run. `HISTORIES` sets their number and `FIRST` the first one, which is
+/// random by default.
 fn fresh_seeds() -> std::ops::Range<u64> {
     let number = |name| std::env::var(name).ok().and_then(|n| n.parse().ok());
     let count = number("HISTORIES").unwrap_or(200);
@@ -65,26 +68,26 @@
     first..first + count
 }
 
-/// Fresh seeds by hand, or those from `FIRST` on: `HISTORIES=1000 cargo test -p havenladder-jobs --test histories --
-/// --ignored`.
+/// Manual run with random seeds, or with those from `FIRST` on: `HISTORIES=1000 cargo test -p havenladder-jobs --test
+/// histories -- --ignored`.
 #[test]
 #[ignore = "takes minutes; run by hand"]
-fn fresh_histories_keep_the_promises() {
+fn fresh_histories_keep_the_invariants() {
     for seed in fresh_seeds() {
         println!("seed {seed}");
-        play(seed);
-        play_fatal(seed);
-        play_rooms(seed);
+        play_plain(seed);
+        play_crashing_tasks(seed);
+        play_changing_capacities(seed);
         play_restarts(seed);
     }
 }
 
-/// The same with bounds that change.
+/// Manual run with changing bounds.
 #[test]
 #[ignore = "takes minutes; run by hand"]
-fn fresh_histories_with_bounds_keep_the_promises() {
+fn fresh_histories_with_bounds_keep_the_invariants() {
     for seed in fresh_seeds() {
         println!("seed {seed}");
-        play_bounds(seed);
+        play_changing_bounds(seed);
     }
 }
--- a/crates/jobs/tests/history/calls.rs
+++ b/crates/jobs/tests/history/calls.rs
@@ -1,22 +1,22 @@
-//! Calls to workers, which may be lost, or be carried out late.
+//! Simulated calls to workers, which may be lost or arrive late.
 
-use super::{GRACE, History, LEASE, host::tell, restarts::HOLD};
+use super::{History, LEASE_MS, LOG_OUTAGE_LIMIT_MS, host::report_of, restarts::MAX_LEASE_MS};
 use havenladder_jobs::{AnswerOutcome, EndRow, Loss, Order, Refusal, RunOutcome, WorkerId};
 use rand::Rng;
 
-/// An order that is carried out late.
-pub(super) struct Late {
+/// An order that arrives late.
+pub(super) struct LateOrder {
     pub(super) at: u64,
-    /// Until when a worker takes a start: each carries the end of the lease that it was sent with.
+    /// Time until which the worker accepts a start: each start carries the end of the lease with which it was sent.
     pub(super) deadline: u64,
     pub(super) fence: u64,
     pub(super) order: Order,
 }
 
 impl History {
-    /// Asks each worker what it runs, which also extends its lease.
-    pub(super) fn ask_hosts(&mut self) {
-        if self.now > self.began + GRACE + self.lease() {
+    /// Polls workers for their reports, which also extends their leases. A worker is skipped in half of the steps.
+    pub(super) fn poll_hosts(&mut self) {
+        if self.now > self.owner_since + LOG_OUTAGE_LIMIT_MS + self.lease() {
             let orphans = self.cell.orphaned_workers();
             let now = self.instant();
             for id in orphans {
@@ -28,34 +28,34 @@
             if self.rng.random_bool(0.5) {
                 continue;
             }
-            let asked = self.instant();
+            let polled_at = self.instant();
             let (now, fence) = (self.now, self.fence_of(&id));
-            let (born, succeeded) = (self.born(id.name()), self.is_succeeded(&id));
-            let noted = self.noted.get(&id).copied().unwrap_or(0);
-            let lost = self.chance(20);
-            if self.fatal.is_some() && !self.hosts.contains_key(id.name()) {
-                self.cell.mark_silent(&id, asked);
+            let (started_at, succeeded) = (self.started_at(id.name()), self.is_succeeded(&id));
+            let acknowledged = self.acknowledged.get(&id).copied().unwrap_or(0);
+            let response_lost = self.draw_fault(20);
+            if self.crashing_tasks.is_some() && !self.hosts.contains_key(id.name()) {
+                self.cell.mark_silent(&id, polled_at);
             }
             let Some(host) = self.hosts.get_mut(id.name()) else {
                 if self.leased.get(&id).is_none_or(|until| *until < now) {
-                    self.lose(&id, Loss::Ended);
+                    self.abandon(&id, Loss::Ended);
                 }
                 continue;
             };
-            if host.cut > now {
+            if host.unreachable_until > now {
                 if self.restarts.is_some() {
-                    self.cell.mark_silent(&id, asked);
+                    self.cell.mark_silent(&id, polled_at);
                 }
                 let lapsed = self.leased.get(&id).is_none_or(|until| *until < now);
-                if lapsed && (self.fatal.is_some() || self.restarts.is_some()) {
-                    self.cell.mark_silent(&id, asked);
-                    self.cell.expire_lease(&id, asked);
+                if lapsed && (self.crashing_tasks.is_some() || self.restarts.is_some()) {
+                    self.cell.mark_silent(&id, polled_at);
+                    self.cell.expire_lease(&id, polled_at);
                     for former in self.cell.former_incarnations(&id) {
-                        self.cell.abandon_worker(&former, Loss::Ended, asked);
+                        self.cell.abandon_worker(&former, Loss::Ended, polled_at);
                     }
                 } else if lapsed {
-                    self.cell.abandon_worker(&id, Loss::Lapsed, asked);
-                    self.cell.upsert_worker(self.entry(&id), asked);
+                    self.cell.abandon_worker(&id, Loss::Lapsed, polled_at);
+                    self.cell.upsert_worker(self.entry(&id), polled_at);
                 }
                 continue;
             }
@@ -63,25 +63,28 @@
                 continue;
             }
             host.fence = fence;
-            let lease = if succeeded { HOLD } else { LEASE };
+            let lease = if succeeded { MAX_LEASE_MS } else { LEASE_MS };
             host.leased = host.leased.max(now + lease);
-            // The first of two questions tells which life answers; only the second tells which ends are durable.
-            match self.cell.record_response(&id, born, asked, asked) {
-                AnswerOutcome::Same { restarted: false } => host.heard = true,
+            // The first of two polls shows which incarnation responds; only the second acknowledges durable ends.
+            match self
+                .cell
+                .record_response(&id, started_at, polled_at, polled_at)
+            {
+                AnswerOutcome::Same { restarted: false } => host.polled = true,
                 AnswerOutcome::Same { restarted: true } => {
-                    self.leased.insert(id.clone(), now + HOLD);
+                    self.leased.insert(id.clone(), now + MAX_LEASE_MS);
                 }
                 AnswerOutcome::Outdated => continue,
                 AnswerOutcome::Replaced { next, .. } => {
-                    self.leased.insert(next, now + HOLD);
+                    self.leased.insert(next, now + MAX_LEASE_MS);
                     continue;
                 }
             }
             let leased = self.leased.entry(id.clone()).or_default();
-            *leased = (*leased).max(now + LEASE);
-            if noted > host.noted {
-                host.noted = noted;
-                let counts = |end: &&EndRow| end.number <= noted && end.number > host.void;
+            *leased = (*leased).max(now + LEASE_MS);
+            if acknowledged > host.acknowledged {
+                host.acknowledged = acknowledged;
+                let counts = |end: &&EndRow| end.number <= acknowledged && end.number > host.voided;
                 for end in host.ended.iter().filter(counts) {
                     match end.how {
                         RunOutcome::Done => drop(self.done.insert(end.task)),
@@ -89,25 +92,25 @@
                         _ => {}
                     }
                 }
-                host.ended.retain(|end| end.number > noted);
+                host.ended.retain(|end| end.number > acknowledged);
             }
-            if !lost {
-                let report = tell(host, now);
-                self.cell.apply_report(&id, &report, asked, asked);
-                for over in self.cell.outlived_incarnations(&id, asked) {
-                    self.cell.abandon_worker(&over, Loss::Ended, asked);
+            if !response_lost {
+                let report = report_of(host, now);
+                self.cell.apply_report(&id, &report, polled_at, polled_at);
+                for ended in self.cell.outlived_incarnations(&id, polled_at) {
+                    self.cell.abandon_worker(&ended, Loss::Ended, polled_at);
                 }
             }
         }
     }
 
-    /// Gives a life of a worker up, and those before it.
-    fn lose(&mut self, id: &WorkerId, loss: Loss) {
+    /// Abandons an incarnation of a worker and all earlier ones.
+    fn abandon(&mut self, id: &WorkerId, loss: Loss) {
         let now = self.instant();
         let former = self.cell.former_incarnations(id);
         self.cell.abandon_worker(id, loss, now);
-        for life in former {
-            self.cell.abandon_worker(&life, Loss::Ended, now);
+        for incarnation in former {
+            self.cell.abandon_worker(&incarnation, Loss::Ended, now);
         }
     }
 
@@ -120,34 +123,34 @@
                 continue;
             }
             if let Order::Start { worker, task, .. } = &order {
-                self.note_sent(worker.name(), *task);
+                self.record_sent(worker.name(), *task);
             }
             self.deliver(order);
         }
     }
 
-    /// Sends one order: it may be lost, or be carried out late without an answer.
+    /// Sends one order, which may be lost, or arrive late without a response.
     fn deliver(&mut self, order: Order) {
         let (Order::Start { worker: id, .. } | Order::Stop { worker: id, .. }) = &order else {
             return;
         };
         let fence = self.fence_of(id);
-        let cut = self
+        let unreachable = self
             .hosts
             .get(id.name())
-            .is_none_or(|host| host.cut > self.now);
-        let late = self.chance(15);
-        if late && !cut {
+            .is_none_or(|host| host.unreachable_until > self.now);
+        let late = self.draw_fault(15);
+        if late && !unreachable {
             let at = self.now + self.rng.random_range(100..4_000);
-            self.late.push(Late {
+            self.late.push(LateOrder {
                 at,
-                deadline: self.now + LEASE,
+                deadline: self.now + LEASE_MS,
                 fence,
                 order: order.clone(),
             });
         }
         let now = self.instant();
-        match (&order, cut, late) {
+        match (&order, unreachable, late) {
             (Order::Start { worker, task, run }, true, _) => {
                 self.cell
                     .start_refused(worker, *task, *run, Refusal::Unwell, now);
@@ -159,17 +162,17 @@
                     Err(why) => self.cell.start_refused(worker, *task, *run, why, now),
                 }
                 let leased = self.leased.entry(worker.clone()).or_default();
-                *leased = (*leased).max(self.now + LEASE);
+                *leased = (*leased).max(self.now + LEASE_MS);
             }
             (Order::Stop { worker, task, run }, false, false) => {
                 let _ = self.carry_out(fence, &order, false);
                 self.cell.stop_accepted(worker, *task, *run, now);
             }
-            // A stop without an answer is sent again at the next step.
+            // A stop without a response is sent again after 250 ms.
             (Order::Stop { worker, task, run }, ..)
                 if self.cell.is_stopping(worker, *task, *run) =>
             {
-                self.late.push(Late {
+                self.late.push(LateOrder {
                     at: self.now + 250,
                     deadline: u64::MAX,
                     fence,
@@ -185,24 +188,24 @@
             .into_iter()
             .partition(|late| late.at <= self.now);
         self.late = rest;
-        let due: Vec<Late> = due;
+        let due: Vec<LateOrder> = due;
         for late in due {
-            let cut = match &late.order {
+            let unreachable = match &late.order {
                 Order::Start { worker, .. } | Order::Stop { worker, .. } => self
                     .hosts
                     .get(worker.name())
-                    .is_none_or(|host| host.cut > self.now),
+                    .is_none_or(|host| host.unreachable_until > self.now),
                 _ => true,
             };
-            if !cut && late.deadline >= self.now {
+            if !unreachable && late.deadline >= self.now {
                 let _ = self.carry_out(late.fence, &late.order, true);
             }
             if let Order::Stop { worker, task, run } = &late.order
                 && late.fence >> 20 == self.fence
                 && self.cell.is_stopping(worker, *task, *run)
             {
-                match cut {
-                    true => self.late.push(Late {
+                match unreachable {
+                    true => self.late.push(LateOrder {
                         at: self.now + 250,
                         ..late
                     }),
--- a/crates/jobs/tests/history/host.rs
+++ b/crates/jobs/tests/history/host.rs
@@ -1,52 +1,52 @@
-//! Workers as they are, whatever the owner believes, and the checks on what they run.
+//! The actual state of simulated workers, independent of what the owner knows, and the checks on their runs.
 
-use super::{History, LEASE, restarts::HOLD};
+use super::{History, LEASE_MS, restarts::MAX_LEASE_MS};
 use crate::fixture::step;
 use havenladder_jobs::{EndRow, Need, Order, Refusal, Report, RunId, RunOutcome, RunRow, TaskId};
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// A run on a worker.
+/// A run on a simulated worker.
 pub(super) struct Running {
     pub(super) ends: u64,
     pub(super) fails: bool,
     pub(super) need: Need,
 }
 
-/// A worker as it is, whatever the owner believes.
+/// The actual state of a simulated worker, independent of what the owner knows.
 #[derive(Default)]
 pub(super) struct Host {
     pub(super) running: BTreeMap<(TaskId, RunId), Running>,
     pub(super) ended: Vec<EndRow>,
     pub(super) number: u64,
-    pub(super) noted: u64,
-    /// Ends up to this number were listed before a lease ran out: nobody relies on them.
-    pub(super) void: u64,
+    pub(super) acknowledged: u64,
+    /// Highest number of an end that was listed before a lease expired. Ends up to this number are not relied on.
+    pub(super) voided: u64,
     pub(super) leased: u64,
     pub(super) fence: u64,
-    /// Whether this life has answered a question whose fence shuts out calls to the one before.
-    pub(super) heard: bool,
-    /// The highest run of each task that was stopped or has ended here.
+    /// Whether this incarnation has responded to a poll whose fence rejects calls to the previous one.
+    pub(super) polled: bool,
+    /// The highest run number of each task that was stopped or has ended on this worker.
     pub(super) past: BTreeMap<TaskId, RunId>,
-    pub(super) cut: u64,
+    pub(super) unreachable_until: u64,
 }
 
 impl History {
-    /// Runs end, and leases run out.
-    pub(super) fn run_hosts(&mut self) {
+    /// Ends the runs that are due or whose worker's lease has expired.
+    pub(super) fn end_due_runs(&mut self) {
         let now = self.now;
         for host in self.hosts.values_mut() {
             let lapsed = host.leased < now;
             if lapsed {
-                host.void = host.number;
+                host.voided = host.number;
             }
-            let over: Vec<_> = host
+            let ended_runs: Vec<_> = host
                 .running
                 .iter()
                 .filter(|(_, r)| lapsed || r.ends <= now)
                 .map(|(k, _)| *k)
                 .collect();
-            for (task, run) in over {
+            for (task, run) in ended_runs {
                 let state = host.running.remove(&(task, run)).unwrap();
                 let how = match (state.ends <= now, state.fails) {
                     (false, _) => RunOutcome::Lapsed,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What a worker does about an order, and the checks.
+    /// Carries out an order on its worker and checks the invariants. Returns a refusal if the worker rejects the order.
     pub(super) fn carry_out(
         &mut self,
         fence: u64,
@@ -79,7 +79,7 @@
             return Ok(());
         };
         let (task, run) = (*task, *run);
-        let room = self.room(id);
+        let capacity = self.unenforced_capacity(id);
         let succeeded = self.is_succeeded(id);
         let Some(host) = self.hosts.get_mut(id.name()) else {
             return Err(Refusal::Unwell);
@@ -87,8 +87,8 @@
         if fence < host.fence {
             return Err(Refusal::Fenced);
         }
-        if late && succeeded && !host.heard {
-            // Nobody can shut out what comes to a life before the owner has heard of it and asked it once.
+        if late && succeeded && !host.polled {
+            // A late call to an incarnation that the owner has not polled yet cannot be fenced.
             return Err(Refusal::Late);
         }
         host.fence = fence;
@@ -108,10 +108,10 @@
         }
         let need = step(1).need;
         let used: u64 = host.running.values().map(|r| r.need.cpu).sum();
-        match room {
-            Some(room) => assert!(
-                late || used + need.cpu <= room,
-                "{task} run {run} at {}: {used} of {room} were taken",
+        match capacity {
+            Some(capacity) => assert!(
+                late || used + need.cpu <= capacity,
+                "{task} run {run} at {}: {used} of {capacity} were taken",
                 self.now
             ),
             None if used + need.cpu > 4_000 => return Err(Refusal::Room),
@@ -119,12 +119,12 @@
         }
         let ends = self.now + self.rng.random_range(60..1_500);
         let fails = self.rng.random_ratio(1, 20);
-        // A deadline on the clock of another life may lie far ahead on this one's.
-        let lease = if succeeded { HOLD } else { LEASE };
+        // A deadline that was set for the clock of another incarnation may be far in the future of this one's clock.
+        let lease = if succeeded { MAX_LEASE_MS } else { LEASE_MS };
         host.leased = host.leased.max(self.now + lease);
         host.running
             .insert((task, run), Running { ends, fails, need });
-        self.note_fatal_start(id, task);
+        self.record_crashing_start(id, task);
         self.check_start(task, run);
         self.check_bound(task.job);
         Ok(())
@@ -140,7 +140,7 @@
         );
         assert!(
             !self.done.contains(&task),
-            "{task} run {run} at {}: its end was noted",
+            "{task} run {run} at {}: its end was acknowledged before",
             self.now
         );
     }
@@ -159,7 +159,7 @@
     });
 }
 
-pub(super) fn tell(host: &Host, now: u64) -> Report {
+pub(super) fn report_of(host: &Host, now: u64) -> Report {
     let row = |((task, run), state): (&(TaskId, RunId), &Running)| RunRow {
         task: *task,
         run: *run,
--- a/crates/jobs/tests/history/mod.rs
+++ b/crates/jobs/tests/history/mod.rs
@@ -1,70 +1,70 @@
-//! A random history of owners, workers and a log that misbehave, played step by step.
+//! A random step-by-step simulation of owners, workers and a log with faults.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
 mod bounds;
 mod calls;
-mod fatal;
+mod capacities;
+mod crashing_tasks;
 mod host;
 mod restarts;
-mod rooms;
 
 use crate::fixture::{job, step};
 use bounds::Bounds;
-use calls::Late;
+use calls::LateOrder;
+use capacities::Capacities;
 use clock::Instant;
-use fatal::Fatal;
+use crashing_tasks::CrashingTasks;
 use havenladder_jobs::{Batch, Cell, Decoded, Entry, Limits, Step, TaskId, WorkerId, decode_entry};
 use host::Host;
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use restarts::{HOLD, Restarts};
-use rooms::Rooms;
+use restarts::{MAX_LEASE_MS, Restarts};
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
 };
 
-/// Length of a step of the history, in ms.
-const TICK: u64 = 20;
+/// Length of a simulation step, in ms.
+const TICK_MS: u64 = 20;
 
-/// How long a lease holds, in ms.
-const LEASE: u64 = 1_000;
+/// Duration of a lease, in ms.
+const LEASE_MS: u64 = 1_000;
 
-/// How long an owner without a log goes on.
-const GRACE: u64 = 1_500;
+/// Time for which an owner continues without its log, in ms.
+const LOG_OUTAGE_LIMIT_MS: u64 = 1_500;
 
-/// When the troubles end, in ms.
-const CALM: u64 = 12_000;
+/// Time after which no more faults are injected, in ms.
+const FAULTS_END_MS: u64 = 12_000;
 
-/// When all must be done, in ms.
-const END: u64 = 60_000;
+/// Time at which all jobs must have ended, in ms.
+const END_MS: u64 = 60_000;
 
-/// The history so far.
+/// The state of a simulation.
 struct History {
     rng: StdRng,
     start: Instant,
     now: u64,
     cell: Cell,
     fence: u64,
-    began: u64,
+    owner_since: u64,
     log: BTreeMap<String, Vec<u8>>,
-    away: u64,
-    /// What an append that has not been answered is to keep, and what follows from it.
+    log_unavailable_until: u64,
+    /// The batch of an append that has not been confirmed yet.
     pending: Option<Batch>,
     hosts: BTreeMap<WorkerId, Host>,
     leased: BTreeMap<WorkerId, u64>,
-    noted: BTreeMap<WorkerId, u64>,
-    late: Vec<Late>,
-    lives: u32,
+    acknowledged: BTreeMap<WorkerId, u64>,
+    late: Vec<LateOrder>,
+    booted: u32,
     done: BTreeSet<TaskId>,
     failed: BTreeMap<TaskId, u32>,
-    /// The tasks that end their workers, if there are such.
-    fatal: Option<Fatal>,
-    /// The rooms that change, if such do.
-    rooms: Option<Rooms>,
-    /// The workers that start again under their ids, if such do.
+    /// The tasks that crash their workers, if the history has any.
+    crashing_tasks: Option<CrashingTasks>,
+    /// The capacities that change, if they do in this history.
+    capacities: Option<Capacities>,
+    /// The workers that restart under their ids, if they do in this history.
     restarts: Option<Restarts>,
-    /// The bounds of workspaces, if there are such.
+    /// The bounds of workspaces, if the history has any.
     bounds: Option<Bounds>,
 }
 
@@ -79,19 +79,19 @@
                 ..Limits::default()
             }),
             fence: 1,
-            began: 0,
+            owner_since: 0,
             log: BTreeMap::new(),
-            away: 0,
+            log_unavailable_until: 0,
             pending: None,
             hosts: BTreeMap::new(),
             leased: BTreeMap::new(),
-            noted: BTreeMap::new(),
+            acknowledged: BTreeMap::new(),
             late: Vec::new(),
-            lives: 0,
+            booted: 0,
             done: BTreeSet::new(),
             failed: BTreeMap::new(),
-            fatal: None,
-            rooms: None,
+            crashing_tasks: None,
+            capacities: None,
             restarts: None,
             bounds: None,
         };
@@ -103,45 +103,49 @@
         self.start + Duration::from_millis(self.now)
     }
 
-    fn chance(&mut self, one_in: u32) -> bool {
-        self.now < CALM && self.rng.random_ratio(1, one_in)
+    fn draw_fault(&mut self, one_in: u32) -> bool {
+        self.now < FAULTS_END_MS && self.rng.random_ratio(1, one_in)
     }
 
     fn boot(&mut self) {
-        self.lives += 1;
-        let id = format!("w{:03}", self.lives);
+        self.booted += 1;
+        let id = format!("w{:03}", self.booted);
         self.hosts.insert(id.as_str().into(), Host::default());
-        self.bear(&id);
+        self.begin_incarnation(&id);
         let now = self.instant();
         self.cell.list_worker(self.entry(&id), now);
     }
 
     fn step(&mut self) {
-        self.now += TICK;
-        self.end_hosts();
+        self.now += TICK_MS;
+        self.crash_hosts();
         self.restart_hosts();
-        self.change_rooms();
+        self.change_capacities();
         self.change_bounds();
-        self.run_hosts();
-        self.trouble();
+        self.end_due_runs();
+        self.inject_faults();
         self.deliver_late();
-        self.ask_hosts();
-        self.decide();
+        self.poll_hosts();
+        self.schedule();
     }
 
-    fn trouble(&mut self) {
-        if self.chance(300) {
-            self.away = self.now + self.rng.random_range(200..3_000);
+    fn inject_faults(&mut self) {
+        if self.draw_fault(300) {
+            self.log_unavailable_until = self.now + self.rng.random_range(200..3_000);
         }
-        if self.chance(400) {
+        if self.draw_fault(400) {
             self.take_over();
         }
-        if self.chance(200) && !self.hosts.is_empty() {
+        if self.draw_fault(200) && !self.hosts.is_empty() {
             let place = self.rng.random_range(0..self.hosts.len());
             let until = self.now + self.rng.random_range(200..3_000);
-            self.hosts.values_mut().nth(place).unwrap().cut = until;
+            self.hosts
+                .values_mut()
+                .nth(place)
+                .unwrap()
+                .unreachable_until = until;
         }
-        if self.chance(300) && self.hosts.len() > 2 {
+        if self.draw_fault(300) && self.hosts.len() > 2 {
             let id = self.hosts.keys().next().unwrap().clone();
             self.hosts.remove(&id);
             self.cell.list_worker(
@@ -153,7 +157,7 @@
             );
             self.boot();
         }
-        if self.chance(15) {
+        if self.draw_fault(15) {
             self.submit();
         }
     }
@@ -179,20 +183,19 @@
             workspace,
             ..job(id, steps)
         });
-        self.choose_fatal(id);
+        self.choose_crashing_job(id);
     }
 
-    /// The owner ends, and another takes what the log holds. An append that was under way may have been
-    /// done or not.
+    /// Replaces the owner by a new one that loads the log. An append in flight may have succeeded or not.
     fn take_over(&mut self) {
         if let Some(batch) = self.pending.take()
             && self.rng.random_bool(0.5)
         {
-            self.keep(&batch.entries);
+            self.append_entries(&batch.entries);
         }
         self.fence += 1;
-        self.began = self.now;
-        self.away = 0;
+        self.owner_since = self.now;
+        self.log_unavailable_until = 0;
         let decoded: Vec<Decoded> = self
             .log
             .iter()
@@ -201,36 +204,37 @@
         let limits = self.cell.limits.clone();
         self.cell = Cell::new(limits);
         self.cell.load_records(decoded);
-        let expires = self.instant() + Duration::from_millis(GRACE + self.lease());
+        let expires = self.instant() + Duration::from_millis(LOG_OUTAGE_LIMIT_MS + self.lease());
         self.cell.raise_takeover_barrier(expires, false);
-        self.tell_bounds();
+        self.apply_known_bounds();
         self.leased.clear();
-        self.noted.clear();
+        self.acknowledged.clear();
         let now = self.instant();
-        // The list still names workers that have ended a moment ago, and all that live.
+        // The list names all running workers.
         for id in self.hosts.keys() {
             let entry = self.entry(id);
-            let leased = self.now + GRACE + self.lease();
+            let leased = self.now + LOG_OUTAGE_LIMIT_MS + self.lease();
             self.leased.insert(entry.id.clone(), leased);
             self.cell.list_worker(entry, now);
         }
         self.cell.mark_listed();
     }
 
-    /// How long a lease may hold: the longest that a worker grants, where its life may not be the one that was meant.
+    /// Returns the maximum duration of a lease. With restarts, it is the longest one that a worker grants, since
+    /// another incarnation than the intended one may have received the call.
     fn lease(&self) -> u64 {
         match self.restarts {
-            Some(_) => HOLD,
-            None => LEASE,
+            Some(_) => MAX_LEASE_MS,
+            None => LEASE_MS,
         }
     }
 
-    /// The fence of calls to a worker.
-    fn fence_of(&self, life: &str) -> u64 {
-        (self.fence << 20) + self.cell.incarnation_changes(life)
+    /// Returns the fence of calls to a worker: the owner's fence and the number of changes of incarnation.
+    fn fence_of(&self, incarnation: &str) -> u64 {
+        (self.fence << 20) + self.cell.incarnation_changes(incarnation)
     }
 
-    fn keep(&mut self, entries: &[Entry]) {
+    fn append_entries(&mut self, entries: &[Entry]) {
         for entry in entries {
             match &entry.value {
                 Some(value) => self.log.insert(entry.key.clone(), value.clone()),
@@ -239,21 +243,21 @@
         }
     }
 
-    fn decide(&mut self) {
+    fn schedule(&mut self) {
         let now = self.instant();
-        if self.now < self.away {
+        if self.now < self.log_unavailable_until {
             self.cell.schedule_unrecorded(now);
         } else {
             self.cell.schedule(now);
         }
-        if self.now < self.away {
-            // The log is away: only what it holds goes on.
+        if self.now < self.log_unavailable_until {
+            // While the log is unavailable, only durable jobs start tasks.
             let starts = self.cell.take_durable_starts();
             self.send(starts);
         } else if let Some(batch) = self.pending.take() {
-            self.keep(&batch.entries);
+            self.append_entries(&batch.entries);
             self.cell.confirm(&batch);
-            self.noted.extend(batch.acknowledged);
+            self.acknowledged.extend(batch.acknowledged);
             self.send(batch.starts);
         } else {
             self.pending = Some(self.cell.take_batch());
@@ -263,27 +267,27 @@
     }
 }
 
-/// Plays a history to its end.
-pub fn play(seed: u64) {
+/// Plays a history without special conditions.
+pub fn play_plain(seed: u64) {
     end(History::new(seed), seed);
 }
 
-/// Plays a history in which some tasks end each worker that starts them.
-pub fn play_fatal(seed: u64) {
+/// Plays a history in which some tasks crash every worker that starts them.
+pub fn play_crashing_tasks(seed: u64) {
     let mut history = History::new(seed);
-    history.fatal = Some(Fatal::new(seed));
+    history.crashing_tasks = Some(CrashingTasks::new(seed));
     end(history, seed);
 }
 
-/// Plays a history in which rooms shrink and grow.
-pub fn play_rooms(seed: u64) {
+/// Plays a history in which the capacities of workers change.
+pub fn play_changing_capacities(seed: u64) {
     let mut history = History::new(seed);
-    history.rooms = Some(Rooms::new(seed));
+    history.capacities = Some(Capacities::new(seed));
     end(history, seed);
 }
 
-/// Plays a history with workspaces whose bounds change, and every other time with workers that start again.
-pub fn play_bounds(seed: u64) {
+/// Plays a history with workspaces whose bounds change. For even seeds, workers also restart.
+pub fn play_changing_bounds(seed: u64) {
     let mut history = History::new(seed);
     history.bounds = Some(Bounds::new(seed));
     if seed.is_multiple_of(2) {
@@ -292,22 +296,23 @@
     end(history, seed);
 }
 
-/// Plays a history in which workers start again under their ids: by accident, or under tasks that end them.
+/// Plays a history in which workers restart under their ids: by accident, or for even seeds because of crashing
+/// tasks.
 pub fn play_restarts(seed: u64) {
     let mut history = History::new(seed);
     history.begin_restarts(seed);
     if seed.is_multiple_of(2) {
-        history.fatal = Some(Fatal::new(seed));
+        history.crashing_tasks = Some(CrashingTasks::new(seed));
     }
     end(history, seed);
 }
 
-/// Plays a history on to its end, and checks how its jobs have ended.
+/// Plays a history to its end and checks the outcomes of its jobs.
 fn end(mut history: History, seed: u64) {
-    while history.now < END {
+    while history.now < END_MS {
         history.step();
     }
-    history.check_fatal(seed);
+    history.check_crashing_jobs(seed);
     history.check_restarts(seed);
     let open = history
         .cell
@@ -316,6 +321,9 @@
         .filter(|job| !job.phase.is_over())
         .count();
     let stuck = history.cell.jobs.values().find(|job| !job.phase.is_over());
-    assert_eq!(open, 0, "seed {seed}: jobs are not over, such as {stuck:?}");
+    assert_eq!(
+        open, 0,
+        "seed {seed}: jobs have not ended, such as {stuck:?}"
+    );
     assert!(!history.cell.jobs.is_empty());
 }
--- a/crates/jobs/tests/history/restarts.rs
+++ b/crates/jobs/tests/history/restarts.rs
@@ -1,5 +1,5 @@
-//! Workers that start again under their ids: each holds and knows nothing of before, numbers its ends from 1, and its
-//! clock shows another time.
+//! Workers that restart under the same id. Each new incarnation has lost all earlier state, numbers its ends from
+//! 1, and its clock shows a different time.
 
 use super::{History, host::Host};
 use crate::fixture::worker;
@@ -9,25 +9,27 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{collections::BTreeMap, time::Duration};
 
-/// The longest lease that a worker grants, in ms: what a deadline on the clock of another life may come to.
-pub(super) const HOLD: u64 = 2_500;
+/// Maximum duration of a lease that a worker grants, in ms. It bounds a deadline that was set for the clock of
+/// another incarnation.
+pub(super) const MAX_LEASE_MS: u64 = 2_500;
 
-/// After how many ends of workers under one of its tasks a job may be given up.
-const GIVEN_UP_AFTER: u32 = 2;
+/// Number of crashes of workers under one of its tasks after which a job may fail.
+const MIN_CRASHES: u32 = 2;
 
-/// One step in so many sees a worker start again.
-const RARITY: u32 = 60;
+/// Mean number of steps between two restarts.
+const RESTART_INTERVAL_STEPS: u32 = 60;
 
-/// The lives that follow each other, with a source of chance of their own: histories without them stay as they are.
+/// The incarnations of workers, with a random number generator of their own, so that histories without restarts do
+/// not change.
 pub(super) struct Restarts {
     rng: StdRng,
-    /// When the life of each worker began.
-    born: BTreeMap<WorkerName, StartedAtMs>,
-    /// The worker to which a start of each task was sent last.
-    sent: BTreeMap<TaskId, WorkerName>,
-    /// How often a worker has ended under each task, or may have: to which a start of it was sent.
-    lost: BTreeMap<TaskId, u32>,
-    /// Entries that are read late: when, of which worker, and of which life.
+    /// The start time of the current incarnation of each worker.
+    started_at: BTreeMap<WorkerName, StartedAtMs>,
+    /// For each task, the worker to which its last start was sent.
+    sent_to: BTreeMap<TaskId, WorkerName>,
+    /// For each task, the number of times that the worker to which its last start was sent has ended.
+    crashes: BTreeMap<TaskId, u32>,
+    /// Entries that are read late: the time, the worker and the start time of the incarnation.
     entries: Vec<(u64, WorkerName, StartedAtMs)>,
 }
 
@@ -35,63 +37,66 @@
     pub(super) fn new(seed: u64) -> Self {
         Restarts {
             rng: StdRng::seed_from_u64(seed ^ 0x5eed),
-            born: BTreeMap::new(),
-            sent: BTreeMap::new(),
-            lost: BTreeMap::new(),
+            started_at: BTreeMap::new(),
+            sent_to: BTreeMap::new(),
+            crashes: BTreeMap::new(),
             entries: Vec::new(),
         }
     }
 }
 
 impl History {
-    /// Has all workers tell when they began from now on.
+    /// Enables restarts: from now on all workers report the start times of their incarnations.
     pub(super) fn begin_restarts(&mut self, seed: u64) {
         self.restarts = Some(Restarts::new(seed));
         let limits = Limits {
-            max_lease: Duration::from_millis(HOLD),
+            max_lease: Duration::from_millis(MAX_LEASE_MS),
             ..self.cell.limits.clone()
         };
         self.cell = havenladder_jobs::Cell::new(limits);
         for name in self.names() {
-            self.bear(&name);
+            self.begin_incarnation(&name);
             let entry = self.entry(&name);
             let now = self.instant();
             self.cell.list_worker(entry, now);
         }
     }
 
-    /// The names of the workers that live.
+    /// Returns the names of the workers that are running.
     fn names(&self) -> Vec<WorkerName> {
         self.hosts.keys().map(|id| id.name().to_owned()).collect()
     }
 
-    /// A life of a worker begins, at a time of day that need not be later than that of the one before.
-    pub(super) fn bear(&mut self, name: &str) {
+    /// Begins a new incarnation of a worker, with a start time that need not be later than that of the previous one.
+    pub(super) fn begin_incarnation(&mut self, name: &str) {
         if let Some(restarts) = &mut self.restarts {
-            let born = restarts.rng.random_range(1..1_000_000);
-            restarts.born.insert(name.to_owned(), born);
+            let started_at = restarts.rng.random_range(1..1_000_000);
+            restarts.started_at.insert(name.to_owned(), started_at);
         }
     }
 
-    /// When the life of a worker began, if the workers tell that.
-    pub(super) fn born(&self, name: &str) -> Option<StartedAtMs> {
-        self.restarts.as_ref()?.born.get(name).copied()
+    /// Returns the start time of the current incarnation of a worker, or `None` if workers do not report it.
+    pub(super) fn started_at(&self, name: &str) -> Option<StartedAtMs> {
+        self.restarts.as_ref()?.started_at.get(name).copied()
     }
 
-    /// Whether a call for a life of a worker is taken by another one.
-    pub(super) fn is_succeeded(&self, life: &WorkerId) -> bool {
-        self.born(life.name()) != life.started_at()
+    /// Returns whether another incarnation of the worker receives the calls that are sent to this one.
+    pub(super) fn is_succeeded(&self, incarnation: &WorkerId) -> bool {
+        self.started_at(incarnation.name()) != incarnation.started_at()
     }
 
-    /// Now and then a worker starts again; its entry is read later, and so may one of the life before.
+    /// Restarts a worker at random times. Its entry is read later, as may be one of its previous incarnation.
     pub(super) fn restart_hosts(&mut self) {
         let now = self.now;
-        let calm = now >= super::CALM;
+        let faults_ended = now >= super::FAULTS_END_MS;
         let Some(restarts) = &mut self.restarts else {
             return;
         };
-        let by_accident = !calm && self.fatal.is_none();
-        if by_accident && restarts.rng.random_ratio(1, RARITY) && !self.hosts.is_empty() {
+        let by_accident = !faults_ended && self.crashing_tasks.is_none();
+        if by_accident
+            && restarts.rng.random_ratio(1, RESTART_INTERVAL_STEPS)
+            && !self.hosts.is_empty()
+        {
             let place = restarts.rng.random_range(0..self.hosts.len());
             let name = self.hosts.keys().nth(place).map(|id| id.name().to_owned());
             name.into_iter().for_each(|name| self.restart(&name));
@@ -99,64 +104,71 @@
         self.read_entries();
     }
 
-    /// A worker ends, and is back after a time under its id, before its lease has run out: of one that ends where nobody
-    /// reaches it, nobody can know that in time.
+    /// Ends a worker and starts it again under its id before its lease expires. If it stayed unreachable for
+    /// longer, its end could not be detected in time.
     pub(super) fn restart(&mut self, name: &str) {
         let now = self.now;
-        let before = self.born(name);
-        self.bear(name);
-        let after = self.born(name);
+        let before = self.started_at(name);
+        self.begin_incarnation(name);
+        let after = self.started_at(name);
         let (Some(restarts), Some(host)) = (&mut self.restarts, self.hosts.get_mut(name)) else {
             return;
         };
-        let away = match restarts.rng.random_range(0..3) {
+        let downtime = match restarts.rng.random_range(0..3) {
             0 => 0,
             1 => restarts.rng.random_range(20..300),
             _ => restarts.rng.random_range(250..900),
         };
-        let under = restarts.sent.extract_if(.., |_, to| *to == name);
+        let under = restarts.sent_to.extract_if(.., |_, to| *to == name);
         for (task, _) in under {
-            *restarts.lost.entry(task).or_default() += 1;
+            *restarts.crashes.entry(task).or_default() += 1;
         }
         *host = Host {
-            cut: now + away,
+            unreachable_until: now + downtime,
             ..Host::default()
         };
-        let late = now + away + restarts.rng.random_range(0..500);
+        let late = now + downtime + restarts.rng.random_range(0..500);
         restarts
             .entries
-            .extend(after.map(|born| (late, name.to_owned(), born)));
+            .extend(after.map(|started_at| (late, name.to_owned(), started_at)));
         if restarts.rng.random_ratio(1, 3) {
             let later = now + restarts.rng.random_range(0..4_000);
             restarts
                 .entries
-                .extend(before.map(|born| (later, name.to_owned(), born)));
+                .extend(before.map(|started_at| (later, name.to_owned(), started_at)));
         }
     }
 
-    /// A start of a task is sent to a worker: until it is sent elsewhere, the end of that worker may be its doing.
-    pub(super) fn note_sent(&mut self, name: &str, task: TaskId) {
+    /// Records that a start of a task was sent to a worker. Until it is sent to another one, the task may be the
+    /// cause if that worker ends.
+    pub(super) fn record_sent(&mut self, name: &str, task: TaskId) {
         if let Some(restarts) = &mut self.restarts {
-            restarts.sent.insert(task, name.to_owned());
+            restarts.sent_to.insert(task, name.to_owned());
         }
     }
 
-    /// Where workers end by accident, only jobs have been given up of which a task was there twice.
+    /// Asserts, if workers end only by accident, that each failed job has a task that was hit by at least two such
+    /// ends.
     pub(super) fn check_restarts(&self, seed: u64) {
-        let Some(restarts) = self.restarts.as_ref().filter(|_| self.fatal.is_none()) else {
+        let Some(restarts) = self
+            .restarts
+            .as_ref()
+            .filter(|_| self.crashing_tasks.is_none())
+        else {
             return;
         };
-        let was_there = |id: JobId| {
-            let mut lost = restarts.lost.iter();
-            lost.any(|(task, count)| task.job == id && *count >= GIVEN_UP_AFTER)
+        let was_hit = |id: JobId| {
+            let mut crashes = restarts.crashes.iter();
+            crashes.any(|(task, count)| task.job == id && *count >= MIN_CRASHES)
         };
         let jobs = self.cell.jobs.iter();
         for (id, _) in jobs.filter(|(_, job)| job.phase == Phase::Failed) {
-            assert!(was_there(*id), "seed {seed}: job {id:016x} is given up");
+            assert!(was_hit(*id), "seed {seed}: job {id:016x} failed");
         }
     }
 
-    /// Reads the entries whose time has come, of workers that are still listed; each goes on to write its own.
+    /// Applies the late entries that are due and, every 25 steps, the current entry of each worker; entries of
+    /// unreachable workers are skipped.
     fn read_entries(&mut self) {
         let (now, at) = (self.now, self.instant());
         let Some(restarts) = &mut self.restarts else {
@@ -166,26 +178,26 @@
             .entries
             .extract_if(.., |entry| entry.0 <= now)
             .collect();
-        let beat = (now / super::TICK).is_multiple_of(25);
+        let own_entries_due = (now / super::TICK_MS).is_multiple_of(25);
         let mut read: Vec<(WorkerName, StartedAtMs)> = due
             .into_iter()
-            .map(|(_, name, born)| (name, born))
+            .map(|(_, name, started_at)| (name, started_at))
             .collect();
-        if beat {
+        if own_entries_due {
             let own = restarts
-                .born
+                .started_at
                 .iter()
-                .map(|(name, born)| (name.clone(), *born));
+                .map(|(name, started_at)| (name.clone(), *started_at));
             read.extend(own);
         }
-        for (name, born) in read {
-            let is_there = self
+        for (name, started_at) in read {
+            let is_reachable = self
                 .hosts
                 .get(name.as_str())
-                .is_some_and(|host| host.cut <= now);
-            if is_there {
+                .is_some_and(|host| host.unreachable_until <= now);
+            if is_reachable {
                 let entry = WorkerInfo {
-                    id: WorkerId::new(&name, Some(born)),
+                    id: WorkerId::new(&name, Some(started_at)),
                     ..worker(&name)
                 };
                 self.cell.list_worker(entry, at);
