--- a/crates/jobs/benches/placement.rs
+++ b/crates/jobs/benches/placement.rs
@@ -1,4 +1,4 @@
-//! A pass of the placement over waiting tasks, with room for none, and a takeover: how both grow.
+//! Benchmarks of a placement pass without free capacity, of placing tasks and of a takeover, at several sizes.
 
 #![expect(
     missing_docs,
@@ -12,13 +12,14 @@
 };
 use std::{hint::black_box, ops::Range};
 
-/// Workers and waiting tasks: a small pool, a large one, and 350 VMs in an overload.
+/// Numbers of workers and waiting tasks: a small pool, a large pool with few and many tasks, and an overloaded pool of
+/// 350 VMs.
 const SIZES: [(usize, u32); 4] = [(8, 20), (80, 200), (80, 2_000), (350, 2_000)];
 
-/// The tasks of each job.
+/// Number of tasks of each job.
 const TASKS: u32 = 8;
 
-/// Live jobs of a takeover.
+/// Numbers of live jobs of a takeover.
 const JOBS: [u64; 2] = [200, 2_000];
 
 fn worker(number: usize) -> WorkerInfo {
@@ -68,14 +69,14 @@
     }
 }
 
-/// Hands in jobs with these ids.
-fn hand_in(cell: &mut Cell, ids: Range<u64>) {
+/// Submits jobs with the given ids.
+fn submit(cell: &mut Cell, ids: Range<u64>) {
     for id in ids {
         cell.accept(job(id));
     }
 }
 
-/// A cell whose workers have all answered.
+/// Returns a cell in which all workers have reported.
 fn cell(workers: usize, now: Instant) -> Cell {
     let mut cell = Cell::new(Limits::default());
     for number in 0..workers {
@@ -87,36 +88,36 @@
     cell
 }
 
-/// A cell without room for the tasks that wait.
-fn full(workers: usize, waiting: u32, now: Instant) -> Cell {
+/// Returns a cell whose workers are full, with the given number of waiting tasks.
+fn full_cell(workers: usize, waiting: u32, now: Instant) -> Cell {
     let mut cell = cell(workers, now);
     let fits = workers as u32 * 17;
-    hand_in(&mut cell, 0..u64::from(fits / TASKS));
+    submit(&mut cell, 0..u64::from(fits / TASKS));
     cell.schedule(now);
-    hand_in(&mut cell, 1_000_000..1_000_000 + u64::from(waiting / TASKS));
+    submit(&mut cell, 1_000_000..1_000_000 + u64::from(waiting / TASKS));
     cell.schedule(now);
     cell.take_batch();
     cell
 }
 
-fn passes(criterion: &mut Criterion) {
+fn bench_passes(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("pass without room");
     for (workers, waiting) in SIZES {
         let now = Instant::now();
-        let mut cell = full(workers, waiting, now);
+        let mut cell = full_cell(workers, waiting, now);
         let id = BenchmarkId::from_parameter(format!("{workers} workers, {waiting} tasks"));
         group.bench_function(id, |b| b.iter(|| cell.schedule(black_box(now))));
     }
     group.finish();
 }
 
-fn placings(criterion: &mut Criterion) {
+fn bench_placements(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("place 200 tasks");
     for workers in [80, 350] {
         let now = Instant::now();
         let empty = || {
             let mut cell = cell(workers, now);
-            hand_in(&mut cell, 0..25);
+            submit(&mut cell, 0..25);
             cell
         };
         group.bench_function(BenchmarkId::from_parameter(workers), |b| {
@@ -126,13 +127,13 @@
     group.finish();
 }
 
-fn takeovers(criterion: &mut Criterion) {
+fn bench_takeovers(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("takeover");
     group.sample_size(20);
     for jobs in JOBS {
         let now = Instant::now();
         let mut cell = cell(350, now);
-        hand_in(&mut cell, 0..jobs);
+        submit(&mut cell, 0..jobs);
         cell.schedule(now);
         let entries = cell.take_batch().entries;
         group.bench_function(BenchmarkId::new("live jobs", jobs), |b| {
@@ -150,5 +151,5 @@
     group.finish();
 }
 
-criterion_group!(benches, passes, placings, takeovers);
+criterion_group!(benches, bench_passes, bench_placements, bench_takeovers);
 criterion_main!(benches);
