--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A cell with a few workers, for tests of single decisions.
+//! A test harness around one cell and a few simulated workers, for tests of single decisions.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
@@ -10,17 +10,17 @@
 };
 use std::time::Duration;
 
-/// A cell, its clock, and what its log would hold.
-pub struct World {
-    /// The cell.
+/// A cell, its simulated clock and the records that its log would hold.
+pub struct Harness {
+    /// The cell under test.
     pub cell: Cell,
-    /// The time.
+    /// The simulated current time.
     pub now: Instant,
-    /// The records, oldest first.
+    /// The records that were appended, oldest first.
     pub log: Vec<Entry>,
 }
 
-/// The first task of a step of a job's first round.
+/// Returns the id of a task in the first round of a job.
 pub fn task(job: JobId, step: u32, index: u32) -> TaskId {
     TaskId {
         job,
@@ -30,7 +30,7 @@
     }
 }
 
-/// A row of a run that goes on.
+/// Returns the row of a report for a run that is still running.
 pub fn row(task: TaskId, run: RunId, percent: u64) -> RunRow {
     RunRow {
         task,
@@ -41,37 +41,37 @@
     }
 }
 
-impl World {
-    /// A cell whose workers have all answered.
+impl Harness {
+    /// Creates a cell in which each of the given workers is listed and has sent a report.
     pub fn new(workers: &[&str]) -> Self {
-        let mut world = World {
+        let mut harness = Harness {
             cell: Cell::new(Limits::default()),
             now: Instant::now(),
             log: Vec::new(),
         };
-        workers.iter().for_each(|id| world.join(id));
-        world
+        workers.iter().for_each(|id| harness.add_worker(id));
+        harness
     }
 
-    /// A worker is listed and answers.
-    pub fn join(&mut self, id: &str) {
+    /// Lists a worker and applies an empty report of it.
+    pub fn add_worker(&mut self, id: &str) {
         self.cell.upsert_worker(worker(id), self.now);
         self.report(id, Report::default());
     }
 
-    /// Time passes.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the clock.
+    pub fn advance(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
     }
 
-    /// A worker reports.
+    /// Advances the clock by 1 ms and applies a report of the worker.
     pub fn report(&mut self, id: &str, report: Report) {
-        self.pass(1);
+        self.advance(1);
         self.cell.apply_report(id, &report, self.now, self.now);
     }
 
-    /// A worker lists one end.
-    pub fn end(&mut self, id: &str, number: u64, task: TaskId, run: RunId, how: RunOutcome) {
+    /// Applies a report that lists the end of one run and all other runs of the worker as running.
+    pub fn report_end(&mut self, id: &str, number: u64, task: TaskId, run: RunId, how: RunOutcome) {
         let end = EndRow {
             number,
             task,
@@ -79,7 +79,7 @@
             how,
             saved: String::new(),
         };
-        let running = self.rows(id, task, run);
+        let running = self.running_rows(id, task, run);
         self.report(
             id,
             Report {
@@ -89,8 +89,8 @@
         );
     }
 
-    /// Rows of all that the cell believes to run on a worker, but for one run.
-    fn rows(&self, id: &str, task: TaskId, run: RunId) -> Vec<RunRow> {
+    /// Returns a row for each run that the cell assigns to the worker, except for one run.
+    fn running_rows(&self, id: &str, task: TaskId, run: RunId) -> Vec<RunRow> {
         let Some(host) = self.cell.workers.get(id) else {
             return Vec::new();
         };
@@ -98,8 +98,9 @@
         others.map(|(task, run)| row(*task, *run, 50)).collect()
     }
 
-    /// Decides, makes the records durable, and returns the starts that were confirmed and answered.
-    pub fn run(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
+    /// Schedules, makes the records durable and sends the starts. Returns those that the cell still confirmed; the
+    /// worker accepts each of them.
+    pub fn start_tasks(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
         self.cell.schedule(self.now);
         let batch: Batch = self.cell.take_batch();
         self.cell.confirm(&batch);
@@ -117,8 +118,8 @@
         started
     }
 
-    /// The stops that are to be sent.
-    pub fn stops(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
+    /// Takes the urgent orders of the cell and returns the stops among them.
+    pub fn take_stops(&mut self) -> Vec<(WorkerId, TaskId, RunId)> {
         let stop = |order| match order {
             Order::Stop { worker, task, run } => Some((worker, task, run)),
             Order::Start { .. } | Order::Pace { .. } | Order::RequestPermits { .. } => None,
@@ -130,7 +131,7 @@
             .collect()
     }
 
-    /// A new owner reads the log; it has met no worker.
+    /// Replaces the cell by that of a new owner, which has read the log and has contacted no worker yet.
     pub fn take_over(&mut self) {
         let mut newest: std::collections::BTreeMap<String, Vec<u8>> = Default::default();
         for entry in &self.log {
