--- a/crates/havenladder/src/entry/vm_orders.rs
+++ b/crates/havenladder/src/entry/vm_orders.rs
@@ -42,7 +42,7 @@
 
 /// Sends orders concurrently and returns their outcomes in the same order. An outcome is `None` if the platform did
 /// not respond, so the order may still be carried out. If the owner is no longer allowed to send orders, the outcome
-/// is [`Ordered::Later`].
+/// is [`OrderOutcome::Later`].
 pub async fn send_all(owner: &Rc<Owner>, orders: Vec<VmOrder>) -> Vec<Option<OrderOutcome>> {
     let calls: Vec<_> = orders
         .into_iter()
