--- a/crates/havenladder/src/entry/orders.rs
+++ b/crates/havenladder/src/entry/orders.rs
@@ -73,8 +73,8 @@
         let Some(info) = find_worker(owner, worker) else {
             return;
         };
-        let fence = owner.fencing_token(worker);
-        match send_stop(owner, &info, task, run, fence).await {
+        let fencing_token = owner.fencing_token(worker);
+        match send_stop(owner, &info, task, run, fencing_token).await {
             Ok(()) => {
                 owner
                     .cell
@@ -86,7 +86,7 @@
                 return abandon_worker(owner, worker, Loss::Ended);
             }
             Err(WorkerError::Refused(Refusal::Fenced))
-                if !owner.has_raised_token(worker, fence) =>
+                if !owner.has_raised_token(worker, fencing_token) =>
             {
                 return owner.end("a worker has seen a newer owner");
             }
@@ -103,11 +103,11 @@
     info: &WorkerInfo,
     task: TaskId,
     run: RunId,
-    fence: FencingToken,
+    fencing_token: FencingToken,
 ) -> Result<(), WorkerError> {
     let stop = |connection| {
         let workers = &owner.node.workers;
-        workers.stop(info, task, run, fence, connection)
+        workers.stop(info, task, run, fencing_token, connection)
     };
     let mut first = pin!(stop(Connection::Pooled));
     if let Some(outcome) = unless_overdue(first.as_mut(), RESEND_DELAY).await {
--- a/crates/havenladder/src/entry/starts.rs
+++ b/crates/havenladder/src/entry/starts.rs
@@ -28,7 +28,7 @@
 
 /// Sends a start, unless the state on which the decision was based has changed.
 pub async fn start(owner: &Rc<Owner>, worker: &str, task: TaskId, run: RunId) {
-    let turn = acquire_turn(owner, worker).await;
+    let start_permit = acquire_start_permit(owner, worker).await;
     let confirmed = owner
         .cell
         .borrow_mut()
@@ -70,7 +70,7 @@
         checkpoint: &saved,
         ticket: &ticket,
     };
-    let outcome = send_start(owner, &info, &order, turn).await;
+    let outcome = send_start(owner, &info, &order, start_permit).await;
     owner.node.metrics.started(outcome_name(&outcome));
     match &outcome {
         Ok(_) => info!(task = order.task, run, worker, deadline, "started"),
@@ -111,14 +111,14 @@
 }
 
 /// Waits until a start may be sent to a worker. Returns `None` if the worker is no longer known.
-async fn acquire_turn(owner: &Owner, worker: &str) -> Option<OwnedSemaphorePermit> {
+async fn acquire_start_permit(owner: &Owner, worker: &str) -> Option<OwnedSemaphorePermit> {
     let contact = owner.contacts.borrow().get(worker).cloned();
-    let turns = contact.map(|contact| contact.start_permits)?;
+    let start_permits = contact.map(|contact| contact.start_permits)?;
     // The semaphore is never closed.
-    turns.acquire_owned().await.ok()
+    start_permits.acquire_owned().await.ok()
 }
 
-/// Returns whether a worker has responded recently. It may have become silent while a start was waiting for its turn.
+/// Returns whether a worker has responded recently. It may have become silent while a start was waiting for a permit.
 fn is_answering(owner: &Owner, worker: &str) -> bool {
     let cell = owner.cell.borrow();
     cell.workers
@@ -127,12 +127,12 @@
 }
 
 /// Sends a start to a worker. If the response takes too long, the worker gets no further starts until it has
-/// responded to a poll, and the turn is released so that waiting starts need not wait for this response.
+/// responded to a poll, and the start's permit is released so that waiting starts need not wait for this response.
 async fn send_start(
     owner: &Rc<Owner>,
     info: &WorkerInfo,
     order: &StartRequest<'_>,
-    turn: Option<OwnedSemaphorePermit>,
+    start_permit: Option<OwnedSemaphorePermit>,
 ) -> Result<WorkerResponse<()>, WorkerError> {
     let workers = &owner.node.workers;
     let mut first = pin!(workers.start(info, order, Connection::Pooled));
@@ -150,7 +150,7 @@
     if let Ok(outcome) = time::timeout(START_TIMEOUT - RESEND_DELAY, both.as_mut()).await {
         return outcome;
     }
-    drop(turn);
+    drop(start_permit);
     owner
         .cell
         .borrow_mut()
@@ -232,11 +232,11 @@
     worker: &str,
     task: TaskId,
     run: RunId,
-    fence: FencingToken,
+    fencing_token: FencingToken,
     outcome: Result<WorkerResponse<()>, WorkerError>,
 ) {
     let now = Instant::now();
-    let raised = owner.has_raised_token(worker, fence);
+    let raised = owner.has_raised_token(worker, fencing_token);
     let mut cell = owner.cell.borrow_mut();
     match outcome {
         Ok(response) => {
--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -196,7 +196,7 @@
 fn apply_failure(
     owner: &Rc<Owner>,
     id: &WorkerId,
-    fence: FencingToken,
+    fencing_token: FencingToken,
     error: WorkerError,
     last: LastPoll,
 ) -> PollOutcome {
@@ -206,7 +206,7 @@
             record_replaced(owner, id);
             return PollOutcome::Abandon(Loss::Ended);
         }
-        WorkerError::Refused(Refusal::Fenced) if owner.has_raised_token(id, fence) => {
+        WorkerError::Refused(Refusal::Fenced) if owner.has_raised_token(id, fencing_token) => {
             return PollOutcome::Retry;
         }
         WorkerError::Refused(Refusal::Fenced) => {
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -129,9 +129,9 @@
     for incarnation in incarnations {
         info!(worker = %incarnation, "worker no longer listed");
     }
-    let mut gone = owner.replaced.borrow_mut();
-    if !gone.is_empty() {
-        gone.retain(|incarnation, _| incarnation.name() != name);
+    let mut replaced = owner.replaced.borrow_mut();
+    if !replaced.is_empty() {
+        replaced.retain(|incarnation, _| incarnation.name() != name);
     }
 }
 
@@ -139,12 +139,12 @@
 /// that address come from another writer; each would otherwise count as a new worker and cost a poll and three log
 /// lines per heartbeat.
 pub fn record_replaced(owner: &Owner, incarnation: &WorkerId) {
-    let mut gone = owner.replaced.borrow_mut();
+    let mut replaced = owner.replaced.borrow_mut();
     let cell = owner.cell.borrow();
     if let Some(worker) = cell.workers.get(incarnation)
-        && gone.len() < MAX_FOREIGN
+        && replaced.len() < MAX_FOREIGN
     {
-        gone.insert(incarnation.clone(), worker.info.address.clone());
+        replaced.insert(incarnation.clone(), worker.info.address.clone());
     }
 }
 
