--- a/crates/havenladder/src/entry/callers/mod.rs
+++ b/crates/havenladder/src/entry/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Serves the calls of consumers, and the readiness checks of the platform's balancer.
+//! Serves the requests of callers, and the readiness checks of the platform's balancer.
 
 mod call;
 mod owner_request;
@@ -22,14 +22,14 @@
 /// Time in s after which a refused caller should retry. A new owner is found within 3 s.
 const RETRY_AFTER: &str = "1";
 
-/// Serves the connections of consumers.
+/// Serves the connections of callers.
 pub async fn listen(node: Rc<Node>, listener: TcpListener) {
     let failed = |error| warn!(%error, "cannot accept a connection of a caller");
     accept_each(listener, failed, |stream| serve(Rc::clone(&node), stream)).await;
 }
 
-/// Serves the connection of a caller. When the process is told to stop, the request in progress is
-/// the last one.
+/// Serves the connection of a caller. Once the process has received the signal to stop, the
+/// request in progress is the last one.
 async fn serve(node: Rc<Node>, stream: TcpStream) {
     // An error is ignored, since it only makes responses slower.
     let _ = stream.set_nodelay(true);
@@ -79,7 +79,8 @@
     reply(status, "")
 }
 
-/// Creates a response in JSON. One that is temporarily unavailable says when to retry.
+/// Creates a response in JSON. If its status is that the service is unavailable, it says when to
+/// retry.
 fn reply(status: StatusCode, body: impl Into<Bytes>) -> Reply {
     let body = body.into();
     let mut response = Response::new(Full::new(body));
--- a/crates/havenladder/src/entry/callers/owner_request.rs
+++ b/crates/havenladder/src/entry/callers/owner_request.rs
@@ -26,15 +26,15 @@
 const WAIT_SHARE: f64 = 0.4;
 
 /// Time reserved for the owner's response to arrive. It usually takes 2 to 10 ms, and several times
-/// that while the owner is busy. Without the reserve, an owner could withdraw a job after its entry
-/// has stopped waiting, which would be in vain.
+/// that while the owner is busy. Without the reserve, an owner could withdraw a job in vain,
+/// because the entry would have stopped waiting and reported the outcome as unknown.
 const RESPONSE_RESERVE: Duration = Duration::from_millis(100);
 
 /// Delay before a request is sent again to an owner that was not found.
 const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Maximum time in s after which a caller is told to retry. What will be waiting later than that is
-/// not known now.
+/// Maximum time in s that a response gives a caller for its retry. Which jobs will be waiting after
+/// a longer time is not known now.
 const MAX_RETRY_AFTER: u64 = 10;
 
 /// Time for which a configuration that the owner knows may be in transit before this entry requests
@@ -56,7 +56,7 @@
 /// Sends a request to the owner, wherever it is, until the caller's time runs short. A suspension
 /// of the machine counts towards that time.
 ///
-/// `may_have_run` tells whether the operation may have been carried out before.
+/// `may_have_run` says whether the operation may have been carried out before.
 pub(super) async fn request_owner(
     node: &Rc<Node>,
     request: CallerRequest,
@@ -69,7 +69,8 @@
     }
 }
 
-/// Does the same, but relies on [`suspension::check`] to end waits that a suspension has outlasted.
+/// Sends a request as [`request_owner`] does, but relies on its caller to check for suspensions: only
+/// [`suspension::check`] ends a wait whose time has passed during one.
 async fn request_until(
     node: &Rc<Node>,
     mut request: CallerRequest,
@@ -164,7 +165,8 @@
 }
 
 /// Waits until an owner has been replaced, and then for as long as a response in transit may take.
-/// An owner that is paused answers nobody, while the next one may answer in time.
+/// The request can then be sent to the next owner in time, even if the replaced one is paused and
+/// never answers.
 async fn wait_until_replaced(node: &Node, incarnation: IncarnationId) {
     loop {
         let changed = node.lease_changed.notified();
@@ -193,8 +195,8 @@
 enum NextStep {
     /// Send this response to the caller.
     Reply(Reply),
-    /// Tell the caller that the request is refused, or that its outcome is not known if it may have
-    /// been carried out.
+    /// Report to the caller that the request is refused, or that its outcome is not known if it may
+    /// have been carried out.
     Refuse,
     /// Authenticate the call with this version of the configuration.
     Reauthenticate(Version),
@@ -202,9 +204,9 @@
     Retry,
 }
 
-/// Returns the next step after a response of the owner. `may_have_run` tells whether the operation
-/// may have been carried out before. A reason for rejecting a job implies that nothing of it runs,
-/// which is not certain after an attempt without a response, since that may still be carried out.
+/// Returns the next step after a response of the owner. `may_have_run` says whether the operation
+/// may have been carried out before. If so, the caller does not get the reason why a job is rejected:
+/// it would imply that nothing of the job runs, but an earlier attempt may still be carried out.
 fn next_step(response: &PeerResponse, may_have_run: bool) -> NextStep {
     match response {
         PeerResponse::Accepted | PeerResponse::Cancelled => {
--- a/crates/havenladder/src/entry/listen.rs
+++ b/crates/havenladder/src/entry/listen.rs
@@ -38,7 +38,7 @@
 }
 
 /// Answers the requests of a connection until the peer closes it. An error is ignored, since a peer
-/// that breaks off connects again by itself.
+/// whose connection breaks connects again by itself.
 pub async fn serve<F: Future<Output = Reply>>(
     stream: TcpStream,
     respond: impl Fn(Request<Incoming>) -> F,
