--- a/crates/havenladder/src/entry/owner/append.rs
+++ b/crates/havenladder/src/entry/owner/append.rs
@@ -104,8 +104,8 @@
                 owner.unrecorded_start_at.set(Some(Instant::now()));
                 start_unrecorded(owner, starts);
             } else {
-                // The next owner has to know first, so that a renewal of the lease announces
-                // unrecorded runs.
+                // A renewal of the lease has to announce unrecorded runs to the next owner before
+                // any is started.
                 owner.lease_due.notify_one();
             }
         }
--- a/crates/havenladder/src/entry/owner/mod.rs
+++ b/crates/havenladder/src/entry/owner/mod.rs
@@ -35,14 +35,14 @@
 pub const WORKER_LEASE_DURATION: Duration = Duration::from_millis(3_600);
 
 /// Maximum age of the last renewal with which an owner still extends leases. While the store is
-/// down for all, no other entry can take over. A new owner waits until this time is over for a
-/// worker that it does not reach.
+/// down for all, no other entry can take over. A new owner that does not reach a worker includes
+/// this time when it waits for the worker's lease to expire.
 pub const MAX_RENEWAL_AGE: Duration = Duration::from_millis(6_000);
 
 /// Factor by which a lease may outlast its duration, since a worker's clock may run 2 % slow.
 const MAX_CLOCK_SLOWDOWN: f64 = 1.03;
 
-/// Time by which a lease may outlast that. The worker's clock was read up to a second before the
+/// Time by which a lease may outlast its duration in addition to that factor. The worker's clock was read up to a second before the
 /// lease was granted, and may have drifted by 20 ms since.
 const MAX_CLOCK_ERROR: Duration = Duration::from_millis(50);
 
@@ -73,7 +73,7 @@
     pub clock: Option<(ClockMs, Instant)>,
     /// Latest time until which the worker's lease may hold.
     pub lease_until: Instant,
-    /// Time of the last response to a poll. Which incarnation takes a call only shows afterwards.
+    /// Time of the last response to a poll. Only the response shows which incarnation took the call.
     pub last_answer: Option<Instant>,
     /// Number up to which the ends of runs that the worker reported are durable.
     pub acknowledged: u64,
@@ -131,7 +131,7 @@
     pub contacts: RefCell<HashMap<WorkerId, Contact>>,
     /// Time at which the last successful renewal was sent.
     pub last_renewal: Cell<Instant>,
-    /// Listed entries that name no usable worker and have been logged, by id.
+    /// Names in the platform's list that belong to no usable worker and have been logged.
     pub foreign: RefCell<HashSet<WorkerName>>,
     /// Incarnations at whose address another worker has answered, with that address.
     pub replaced: RefCell<HashMap<WorkerId, String>>,
@@ -139,7 +139,7 @@
     pub inherited_leases_until: Instant,
     /// Whether there was a store outage when this owner started.
     pub trouble: StoreTrouble,
-    /// Time at which an order about VMs was last to be given without a record.
+    /// Time at which this owner last intended to give orders about VMs without a record.
     unrecorded_order_at: Cell<Option<Instant>>,
     /// Whether the last renewal announced unrecorded orders about VMs.
     orders_announced: Cell<bool>,
@@ -251,7 +251,7 @@
 
     /// Returns the fencing token for calls to a worker. It is higher than the token of each earlier
     /// owner, and than that of each call to an earlier incarnation of the worker. Such a call may
-    /// still be in progress, and would restart what has been done or is started elsewhere.
+    /// still be in progress, and would start a task again that has been done or started elsewhere.
     pub fn fencing_token(&self, worker: &str) -> FencingToken {
         let changes = self.cell.borrow().incarnation_changes(worker);
         (self.epoch << INCARNATION_BITS) + changes.min((1 << INCARNATION_BITS) - 1)
--- a/crates/havenladder/src/entry/owner/requests.rs
+++ b/crates/havenladder/src/entry/owner/requests.rs
@@ -254,7 +254,7 @@
         let Some(job) = cell.jobs.get(&id) else {
             return Some(DurableOutcome::Missing);
         };
-        // A caller is told or waits for whether the job has ended. Other changes of the phase may
+        // A response must be right about whether the job has ended. Other changes of the phase may
         // not be durable yet.
         let shown = job.durable_phase?;
         (shown.is_over() == job.phase.is_over()).then_some(DurableOutcome::Durable(shown))
--- a/crates/havenladder/src/entry/owner/vm_orders.rs
+++ b/crates/havenladder/src/entry/owner/vm_orders.rs
@@ -13,14 +13,14 @@
 /// orders instead: ten times the usual duration of an append.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time for which such a renewal is awaited. It covers one that is in progress and the next one, of
-/// 360 ms each if the store is 89 times slower than usual.
+/// Time for which a renewal that announces the orders is awaited. It covers a renewal in progress and
+/// the next one, of 360 ms each if the store is 89 times slower than usual.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Timeout of a poll of an earlier owner's incarnation, which usually takes some ms.
 const INCARNATION_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Delay before the poll is retried, since the process may be starting.
+/// Delay before the poll of an incarnation is retried, since the process may be starting.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Owner {
@@ -112,8 +112,8 @@
     owner.cell.borrow_mut().forget_earlier_holders();
 }
 
-/// Polls an earlier owner's address until an incarnation answers. If that is another one, the
-/// earlier owner has ended.
+/// Polls an earlier owner's address until an incarnation answers. If it is not the earlier owner's
+/// own, that owner has ended.
 async fn watch_earlier_owner(owner: Rc<Owner>, holder: Holder) {
     while owner.is_alive() && Instant::now() < owner.inherited_orders_until {
         if let Some(incarnation) = poll_incarnation(&owner, &holder).await {
@@ -147,8 +147,8 @@
     .await
     {
         Ok(PeerResponse::Incarnation(presence)) => Some(presence.incarnation),
-        // The process may be starting or unreachable, so that its orders count until they are no
-        // longer relevant.
+        // The process may be starting or unreachable. Its orders count until they are no longer
+        // relevant.
         Ok(_) | Err(_) => None,
     }
 }
--- a/crates/havenladder/src/entry/owner/workspaces.rs
+++ b/crates/havenladder/src/entry/owner/workspaces.rs
@@ -1,4 +1,4 @@
-//! Applies the configuration of workspaces to the cell, and logs which of them wait for their
+//! Applies the configuration of workspaces to the cell, and logs which of them are blocked by their
 //! bounds.
 
 use super::Owner;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Logs each workspace that starts or stops waiting for its bound.
+/// Logs each workspace that has become blocked by its bound, or is no longer blocked.
 pub fn log_bound_waits(node: &Node, waits: Vec<BoundWait>) {
     let version = node.in_force.borrow().version();
     for BoundWait {
@@ -45,7 +45,7 @@
             ?used,
             most = ?limits,
             version,
-            "workspace starts or stops waiting for its bound"
+            "workspace is blocked by its bound, or no longer blocked"
         );
     }
 }
