--- a/crates/havenladder/src/entry/lease/log.rs
+++ b/crates/havenladder/src/entry/lease/log.rs
@@ -50,7 +50,8 @@
     Records,
     /// There are no new records, and the store answered.
     Nothing,
-    /// The store was not called, since there was an update of another kind.
+    /// The store was not called, since the wait ended with a replication update that has no newer
+    /// lease.
     NotRead,
     /// The store did not answer.
     Failed,
--- a/crates/havenladder/src/entry/lease/mod.rs
+++ b/crates/havenladder/src/entry/lease/mod.rs
@@ -29,8 +29,9 @@
 /// lost.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Maximum time for which a read waits. What it shows about the store must not be older than the
-/// time that the owner needs to renew its lease after an outage.
+/// Maximum time for which a read waits. A response proves that the store answered while the
+/// read waited. This proof must not be older than the time that the owner needs to renew its lease
+/// after an outage.
 const MAX_READ_HOLD: Duration = Duration::from_millis(1_000);
 
 /// Duration of a renewal after which the owner asks other entries whether the store answers them:
@@ -114,8 +115,8 @@
     log.election.next_claim(holder, now)
 }
 
-/// Returns how long the next read waits. It does not wait if only the log has to be read before a
-/// claim.
+/// Returns how long the next read waits. It does not wait if the lease may be claimed now, since the
+/// log only has to be read once more before the claim.
 fn next_read_hold(node: &Node, log: &mut Log) -> Duration {
     match next_claim(node, log) {
         Claim::Now => Duration::ZERO,
@@ -256,8 +257,8 @@
 
 /// Owns the cell until the lease is lost or released.
 async fn hold_lease(node: &Rc<Node>, log: &mut Log) {
-    // If it is not known since when others may have read the record, the owner relies on the next
-    // renewal, and takes the start of the process as the time of the last one.
+    // If it is not known since when others may have read the record, the start of the process counts
+    // as the time of the last renewal, and the owner relies on the next one.
     let since = log.earliest_append().unwrap_or(node.began);
     let owner = own_cell::start(node, log.end, log.predecessor, since);
     loop {
@@ -295,7 +296,8 @@
 /// expires. After a release for a stronger entry, much weaker entries leave the cell to others for
 /// a moment.
 async fn release(node: &Node, log: &mut Log, owner: &Owner, why: &str) {
-    // The state of its runs is read before the owner ends, since an ended owner has none.
+    // The state of its runs is read before the owner ends, since an ended owner no longer keeps it up
+    // to date.
     let released = Lease {
         cpu: owner.successor.get().unwrap_or(node.settings.cpu_millis),
         unrecorded: owner.has_unrecorded_runs(),
@@ -304,9 +306,9 @@
     };
     owner.end(why);
     relay::release_through(node, &owner.relays.take(), &released).await;
-    // Only this record tells the next owner what to look for. If this process owned the cell again
-    // without it, the new owner would not know of these runs and would release the cell without
-    // mentioning them.
+    // Only this record informs the next owner of unrecorded runs and orders. If this process owned
+    // the cell again without it, its new owner state would lack them, and it would later release the
+    // cell without mentioning them.
     while holds_lease(node) {
         if let WriteOutcome::Unconfirmed = write(node, log, released.clone()).await {
             time::sleep(RETRY_INTERVAL).await;
--- a/crates/havenladder/src/entry/lease/relay.rs
+++ b/crates/havenladder/src/entry/lease/relay.rs
@@ -2,9 +2,9 @@
 //! answers.
 //!
 //! Other entries cannot notice that this owner is isolated: it answers them, and they would wait
-//! until its lease expires. It has ended before it asks another entry, so that the record that the
-//! other one appends is as valid as its own. A late record does no harm, since it is only accepted
-//! directly after the owner's newest one.
+//! until its lease expires. The owner has ended before it asks another entry, so the record that the
+//! other entry appends is as valid as one of the owner's own. A late record does no harm, since the
+//! log accepts it only directly after the owner's newest one.
 
 use super::log::set_lease;
 use crate::entry::{
