--- a/crates/havenladder/src/entry/fleet.rs
+++ b/crates/havenladder/src/entry/fleet.rs
@@ -182,7 +182,7 @@
     }
 }
 
-/// Tells the cell which workers' VMs may still be taken down by an order of an earlier owner.
+/// Informs the cell which workers' VMs may still be taken down by an order of an earlier owner.
 fn mark_unconfirmed_workers(owner: &Owner, list: &VmList) {
     for vm in list.values() {
         if let Some(worker) = &vm.worker {
@@ -195,7 +195,7 @@
     }
 }
 
-/// Tells the cell, once, which workers run on the VMs that are up.
+/// Informs the cell, once, which workers run on the VMs that are up.
 async fn expect_workers(owner: &Rc<Owner>) {
     while owner.is_alive() {
         if let Some(vms) = read_list(owner).await {
--- a/crates/havenladder/src/entry/maintenance.rs
+++ b/crates/havenladder/src/entry/maintenance.rs
@@ -33,7 +33,7 @@
 /// down for 2 s and a wave takes about 25 s, so the rest of the time is enough.
 const DEFERRAL_SHARE: f64 = 0.4;
 
-/// Time between two log entries about the VMs that a wave is waiting for.
+/// Interval between two rounds of log lines about the VMs that a wave is waiting for.
 const LOG_INTERVAL: Duration = Duration::from_millis(3_000);
 
 /// Progress of one wave.
@@ -227,14 +227,14 @@
 
 /// Returns how many more VMs of a wave may go down now.
 fn remaining_disruptions(owner: &Owner, wave: &Wave, progress: &Progress, vms: &VmList) -> usize {
-    let whereabouts = |name: &String| match vms.get(name).map(|vm| vm.state) {
+    let wave_vm_state = |name: &String| match vms.get(name).map(|vm| vm.state) {
         _ if progress.down.contains_key(name) => WaveVmState::Ordered,
         // A VM in an unknown state counts against the bound.
         Some(VmState::Upkeep | VmState::Down | VmState::Other) => WaveVmState::Down,
         Some(VmState::Up) if owner.has_unconfirmed_order(name) => WaveVmState::Unconfirmed,
         Some(VmState::Up | VmState::Moving) | None => WaveVmState::Up,
     };
-    wave_headroom(wave.max_down, wave.vms.iter().map(whereabouts))
+    wave_headroom(wave.max_down, wave.vms.iter().map(wave_vm_state))
 }
 
 /// Starts to drain the VMs that go down next: those with the least weight, as many as the bound allows and one more.
--- a/crates/havenladder/src/entry/moves/drain.rs
+++ b/crates/havenladder/src/entry/moves/drain.rs
@@ -39,7 +39,7 @@
         stuck
     }
 
-    /// Reopens VMs that need not be drained any more to new runs, except those that are part of a maintenance wave.
+    /// Allows new runs again on VMs that no longer need to be drained, unless a maintenance wave is disrupting them.
     fn reopen_others(&mut self, round: Round<'_>, wanted: &[&String]) {
         let mut cell = round.owner.cell.borrow_mut();
         let others = self.draining.keys().filter(|name| !wanted.contains(name));
--- a/crates/havenladder/src/entry/moves/mod.rs
+++ b/crates/havenladder/src/entry/moves/mod.rs
@@ -21,7 +21,7 @@
 };
 use tracing::info;
 
-/// Time between two log entries about what the pools have and need.
+/// Interval between two rounds of log lines about what the pools have and need.
 const LOG_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// VMs that are being moved, and the recent usage of each pool.
--- a/crates/havenladder/src/entry/polls.rs
+++ b/crates/havenladder/src/entry/polls.rs
@@ -13,16 +13,17 @@
 /// owner is lost the last extension may be this old.
 const POLL_WAIT: Duration = Duration::from_millis(500);
 
-/// The wait at a worker without runs. Its lease protects no run, so half as many polls are enough.
+/// Time for which a poll waits at a worker without runs. Its lease protects no run, so half as many polls are enough.
 const IDLE_POLL_WAIT: Duration = Duration::from_millis(1_000);
 
 /// Delay of a response after which the poll is resent over a new connection. A healthy worker responds within a few
 /// ms, and an overloaded owner of 1,100 workers reads the response 76 ms later.
 const RESEND_DELAY: Duration = Duration::from_millis(100);
 
-/// Maximum age of the last response at which a poll may tell the worker which ends to forget. The poll may reach a
-/// new incarnation, which uses the same numbers for its own ends and would forget ends that it has not reported.
-/// Workers were seen to be back after 0.25 s at the earliest, and the new incarnation must also have finished a run.
+/// Maximum age of the last response at which a poll may acknowledge ends, which the worker then forgets. The poll may
+/// reach a new incarnation, which uses the same numbers for its own ends and would forget ends that it has not
+/// reported. Workers were seen to be back after 0.25 s at the earliest, and the new incarnation must also have
+/// finished a run.
 const MAX_RESPONSE_AGE: Duration = Duration::from_millis(200);
 
 /// Whether a worker responded to the last poll.
@@ -64,7 +65,7 @@
     let second = next_poll(owner, &info.id, LastPoll::Unanswered);
     let mut second = pin!(workers.hold(info, second, Connection::New));
     tokio::select! {
-        // The first poll reaches its timeout last: the worker is silent.
+        // If the first poll ends by its timeout, the second one has had time to be answered: the worker is silent.
         outcome = first.as_mut() => outcome.map(|response| PollResponse { sent_at, response }),
         outcome = second.as_mut() => match outcome {
             Ok(response) => Ok(PollResponse { sent_at: resent_at, response }),
@@ -89,7 +90,7 @@
     let Some(acknowledged) = acknowledged(owner, id) else {
         return without_lease;
     };
-    // The first poll only reads the worker's clock and tells the worker which owner has the cell.
+    // The first poll only reads the worker's clock and raises its fencing token to that of this owner.
     let Some(deadline) = orders::lease_end(owner, id) else {
         return without_lease;
     };
@@ -101,8 +102,8 @@
     }
 }
 
-/// Returns the number up to which a worker may forget its ends, or `None` if a new incarnation may be responding by
-/// now.
+/// Returns the number up to which a worker may forget its ends, or `None` if a new incarnation may already be
+/// responding.
 fn acknowledged(owner: &Owner, id: &str) -> Option<u64> {
     let contacts = owner.contacts.borrow();
     let contact = contacts.get(id)?;
