--- a/crates/havenladder/src/entry/operator_topic.rs
+++ b/crates/havenladder/src/entry/operator_topic.rs
@@ -101,8 +101,8 @@
 /// Applies the result of a read from an offset on, which was sent at `sent` and waited for up to
 /// `wait` if there were no records.
 fn apply_read(node: &Node, from: Offset, records: &[Bytes], sent: Instant, wait: Duration) {
-    // A response without records is given when the wait is over, and one with records at any time.
-    // It may be older than it seems, since this process may have been paused in the meantime.
+    // The store sends a response without records when the wait is over, and one with records at any
+    // time. The time of arrival does not count, since this process may have been paused meanwhile.
     let answered_at = if records.is_empty() {
         sent + wait
     } else {
@@ -213,7 +213,7 @@
     }
 }
 
-/// Starts a refresh of the state of operators. All calls that wait share it.
+/// Starts a refresh of the operators' settings and orders. All calls that wait share it.
 fn start_refresh(node: &Rc<Node>) {
     node.update_freshness(|freshness| freshness.begin_poll(Instant::now()));
     let node = Rc::clone(node);
--- a/crates/havenladder/src/entry/outage.rs
+++ b/crates/havenladder/src/entry/outage.rs
@@ -1,9 +1,10 @@
 //! Distinguishes a store outage for all entries from an isolation of this one.
 //!
 //! An owner whose appends stall asks the entries that it knows whether the store answers them. If
-//! one in another data centre reports that it does not, and none reports that it does, then no
-//! other entry can have taken over. If the store answers at least a third of them but not this
-//! entry, the owner releases the cell through one of those entries.
+//! more than half report that the store does not, one of them in another data centre, and no entry
+//! reports that it does, then no other entry can have taken over. If the store answers at least a
+//! third of the entries that report but not this one, the owner releases the cell through one of
+//! those that it answers.
 
 use super::{
     node::Node,
@@ -88,6 +89,8 @@
     task::spawn_local(async move { check(&owner).await });
 }
 
+/// Asks the known entries whether the store answers them. Records the entries through which to release
+/// the cell if this one is isolated, and the time of the check if the store is unavailable for all.
 async fn check(owner: &Rc<Owner>) {
     let began = Instant::now();
     let own_probes = task::spawn_local(probe_store(Rc::clone(&owner.node)));
--- a/crates/havenladder/src/entry/reach.rs
+++ b/crates/havenladder/src/entry/reach.rs
@@ -20,7 +20,8 @@
 /// Interval between two rounds of polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Number of entries of other data centres that are remembered, so that some of them are running.
+/// Maximum number of entries of other data centres that are remembered. It suffices for some of them
+/// to be running.
 const MAX_DIRECTORY_ENTRIES: usize = 6;
 
 /// Address on which an entry serves other entries, as IP and port.
@@ -62,7 +63,8 @@
     }
 }
 
-/// Waits until nothing outside has answered for a while, or the owner did not answer.
+/// Waits until nothing outside has answered for a while, or until the owner did not answer a request.
+/// Returns at once while this entry is cut off.
 async fn wait_until_check_due(node: &Node) {
     if node.cut_off.get() {
         return;
@@ -115,8 +117,8 @@
     remove_missing(node, &missing, began);
 }
 
-/// Removes the entries that did not answer while one of another data centre did. They may be gone
-/// for good, and make room for those that the others know.
+/// Removes the entries that did not answer, provided that one of another data centre did. They may
+/// be gone for good, and entries that the others know can take their places in the directory.
 fn remove_missing(node: &Node, missing: &[Address], began: Instant) {
     if node.reach.get().has_peer_answered(began) {
         let mut directory = node.directory.borrow_mut();
--- a/crates/havenladder/src/entry/replication/mod.rs
+++ b/crates/havenladder/src/entry/replication/mod.rs
@@ -61,7 +61,7 @@
     }
 
     /// Waits until an entry that has just started has received its first update, or the time for it
-    /// is over. All entries may start together, and what each of them needs to know is large.
+    /// is over. All entries may start together, and the first update of each is large.
     pub async fn wait_for_first_update(&self) {
         let until = Instant::now() + SEED_TIMEOUT;
         while self.recent.borrow().end().is_none() {
@@ -113,9 +113,9 @@
     pub lease: Option<(Lease, Offset)>,
     /// Time for which the response was held back.
     pub held: Duration,
-    /// Time, before the response, since which the records were known to be the newest ones.
+    /// Time between the last confirmation that the records were the newest ones and the response.
     pub age: Duration,
-    /// Time, before the response, since the platform or another data centre last answered.
+    /// Time between the last answer of the platform or of another data centre and the response.
     #[serde(rename = "heard")]
     pub contact_age: Duration,
 }
@@ -129,6 +129,6 @@
     /// The follower should follow this entry instead.
     #[serde(rename = "At")]
     Redirect(Address),
-    /// The receiver knows too little itself.
+    /// The receiver knows too little itself to send an update.
     Nothing,
 }
--- a/crates/havenladder/src/entry/replication/recent.rs
+++ b/crates/havenladder/src/entry/replication/recent.rs
@@ -8,16 +8,16 @@
     time::Duration,
 };
 
-/// Maximum size of the consecutive records that are kept, which is some configurations. A follower
+/// Maximum size of the consecutive records that are kept. It holds a few configurations. A follower
 /// that lags further behind gets the newest record of each key.
 const MAX_BYTES: usize = 512 << 10;
 
 /// Records that a follower is missing.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Missing {
-    /// The consecutive records after those that it has.
+    /// The consecutive records after those that the follower has.
     Records(Vec<Bytes>),
-    /// The newest record of each key, since all that it knows may be outdated.
+    /// The newest record of each key, since all that the follower knows may be outdated.
     Newest(Vec<Bytes>),
 }
 
@@ -29,8 +29,8 @@
     records: VecDeque<Bytes>,
     bytes: usize,
     newest: BTreeMap<String, Bytes>,
-    /// Time at which there was certainly no further record. What peers report without the records
-    /// does not count.
+    /// Last time at which there was certainly no further record. A configuration that peers send
+    /// outside of replication does not count.
     confirmed: Option<Instant>,
 }
 
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Returns what a follower is missing that has all records before `from`, or none at all.
-    /// Returns `None` if this entry knows nothing itself, or less than the follower.
+    /// Returns what a follower is missing. It has all records before `from`, or no records if `from`
+    /// is `None`. Returns `None` if this entry knows nothing itself, or less than the follower.
     pub fn missing_since(&self, from: Option<Offset>) -> Option<Missing> {
         let end = self.end?;
         let missing = end.checked_sub(from.unwrap_or_default())? as usize;
--- a/crates/havenladder/src/entry/replication_client.rs
+++ b/crates/havenladder/src/entry/replication_client.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// Finds a source whenever there is none, and replicates from it. The first source is a random
-/// seed.
+/// Finds a source whenever there is none, and replicates from it. The first source of an entry that
+/// is not a seed is a random seed.
 pub async fn run(node: Rc<Node>) {
     let seeds = &node.settings.seeds;
     if !node.settings.is_seed && !seeds.is_empty() {
@@ -117,8 +117,8 @@
 /// Applies an update that was requested at `sent`. Returns false if the state of the source is too
 /// old to replicate from.
 fn apply_update(node: &Node, from: Option<Offset>, update: Update, sent: Instant) -> bool {
-    // The response was given after its hold time or later, since this process may have been paused
-    // in the meantime.
+    // The source sent its response once the hold time was over. The time of arrival does not count,
+    // since this process may have been paused meanwhile.
     let answered_at = (sent + update.held).min(Instant::now());
     let (confirmed, contacted) = (answered_at - update.age, answered_at - update.contact_age);
     let records = update.records.into_iter();
--- a/crates/havenladder/src/entry/replication_server.rs
+++ b/crates/havenladder/src/entry/replication_server.rs
@@ -45,7 +45,7 @@
 /// Returns whether this entry knows something that the follower does not.
 fn is_behind(node: &Node, request: &Request) -> bool {
     let Some(end) = node.replication.recent.borrow().end() else {
-        // This entry may just have started, and will know more at once.
+        // This entry may just have started, and will soon know more.
         return false;
     };
     request.from.is_none_or(|from| end > from) || node.lease_end.get() > request.end
--- a/crates/havenladder/src/entry/resend.rs
+++ b/crates/havenladder/src/entry/resend.rs
@@ -25,7 +25,8 @@
     /// Time for which the service may hold its response back, in addition to the usual response
     /// time.
     pub hold: Duration,
-    /// Time, beyond `hold`, for which the call is resent. After that the caller decides what to do.
+    /// Time, beyond `hold`, for which the call is resent. After that it is abandoned, and its caller
+    /// decides what to do.
     pub limit: Duration,
 }
 
