--- a/crates/havenladder/src/entry/mod.rs
+++ b/crates/havenladder/src/entry/mod.rs
@@ -1,8 +1,8 @@
 //! An entry, which runs on one of the users' machines: it accepts jobs from callers and, while it
 //! owns the cell, schedules them.
 //!
-//! Everything runs on one thread, because wake-ups are charged there and no background task
-//! computes for long. The tasks share their state in one [`Node`].
+//! Everything runs on one thread, because each wake-up of a thread is charged on those machines and
+//! no background task computes for long. The tasks share their state in one [`Node`].
 
 mod callers;
 mod ends;
@@ -45,7 +45,7 @@
 use tokio::{net::TcpListener, runtime, task::LocalSet};
 use tracing::{error, info, warn};
 
-/// Runs the entry until it is told to stop.
+/// Runs the entry until it receives the signal to stop.
 pub fn run() -> ExitCode {
     logs::start();
     let settings = match settings::read() {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Starts the background tasks and waits until the entry is told to stop.
+/// Starts the background tasks and waits until the entry receives the signal to stop.
 ///
 /// # Errors
 ///
--- a/crates/havenladder/src/entry/node.rs
+++ b/crates/havenladder/src/entry/node.rs
@@ -41,7 +41,8 @@
     pub cloud: Cloud,
     /// Response times of the VM list.
     pub list_times: Cell<ResponseTime>,
-    /// Client of the service that tells which workers may run a step, if there is one.
+    /// Client of the permit service, which says which workers may run a step. `None` if there is no
+    /// such service.
     pub advice: Option<AdviceClient>,
     /// Settings and orders of operators that are in force.
     pub in_force: RefCell<InForce>,
@@ -65,13 +66,13 @@
     pub claim_due: Notify,
     /// State of the owner, while this entry owns the cell.
     pub owner: RefCell<Option<Rc<Owner>>>,
-    /// Whether the process has been told to stop.
+    /// Whether the process has received the signal to stop.
     pub stopping: Cell<bool>,
-    /// Notified when the process is told to stop.
+    /// Notified when the process receives the signal to stop.
     pub stop: Notify,
     /// Which other parties this entry reaches.
     pub reach: Cell<Reach>,
-    /// Notified when it is to be checked at once what this entry reaches.
+    /// Notified when a check of what this entry reaches is due at once.
     pub reach_due: Notify,
     /// Whether this entry is cut off and therefore cannot serve callers.
     pub cut_off: Cell<bool>,
@@ -87,7 +88,7 @@
     /// Creates the state of an entry that has just started.
     pub fn new(settings: Settings) -> Rc<Self> {
         let client = Client::default();
-        let patience = settings.max_config_age;
+        let max_config_age = settings.max_config_age;
         let in_force = RefCell::new(InForce::new(settings.halls.clone()));
         Rc::new(Node {
             incarnation: rand::random(),
@@ -105,7 +106,7 @@
             client,
             settings,
             in_force,
-            freshness: Cell::new(Freshness::new(Instant::now(), patience)),
+            freshness: Cell::new(Freshness::new(Instant::now(), max_config_age)),
             replication: Replication::default(),
             refreshed: Notify::new(),
             lease_end: Cell::new(0),
--- a/crates/havenladder/src/entry/own_cell.rs
+++ b/crates/havenladder/src/entry/own_cell.rs
@@ -1,5 +1,5 @@
 //! The work of an entry that owns the cell. It takes over the state of earlier owners, then
-//! decides, records and acts in rounds, while background tasks look after workers and VMs.
+//! decides, records and acts in rounds, while background tasks watch the workers and manage the VMs.
 
 use super::{
     fleet,
--- a/crates/havenladder/src/entry/peer.rs
+++ b/crates/havenladder/src/entry/peer.rs
@@ -287,7 +287,7 @@
 ///
 /// # Errors
 ///
-/// Fails if there is no usable response. The error tells whether the request may have been
+/// Fails if there is no usable response. The error shows whether the request may have been
 /// received.
 pub async fn call(
     node: &Node,
--- a/crates/havenladder/src/entry/stop.rs
+++ b/crates/havenladder/src/entry/stop.rs
@@ -19,8 +19,8 @@
 /// Interval between two checks of the requests in progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until the process has been told to stop and the requests in progress have been answered or
-/// the time for it is over.
+/// Waits for the signal to stop, and then until the requests in progress have been answered or the
+/// time for that is over.
 pub async fn wait(node: &Rc<Node>) {
     let (Ok(mut term), Ok(mut hup)) = (
         signal(SignalKind::terminate()),
