--- a/crates/havenladder/src/entry/operator_topic.rs
+++ b/crates/havenladder/src/entry/operator_topic.rs
@@ -205,7 +205,7 @@
     }
 }
 
-/// Starts a refresh, unless one is in progress or was started a moment ago.
+/// Starts a refresh, unless one is in progress or the last one was started only recently.
 pub fn refresh_soon(node: &Rc<Node>) {
     let now = Instant::now();
     if node.freshness.get().next_action_for_unknown(now, now) == FreshnessAction::Poll {
--- a/crates/havenladder/src/entry/stop.rs
+++ b/crates/havenladder/src/entry/stop.rs
@@ -35,7 +35,10 @@
             _ = hup.recv() => info!("settings file has changed; it is only read at the start"),
         }
     }
-    info!(in_flight = node.in_flight.get(), "told to stop");
+    info!(
+        in_flight = node.in_flight.get(),
+        "received the signal to stop"
+    );
     node.stopping.set(true);
     node.stop.notify_waiters();
     time::sleep(CONNECT_GRACE).await;
--- a/crates/havenladder/src/entry/worker_list.rs
+++ b/crates/havenladder/src/entry/worker_list.rs
@@ -27,8 +27,8 @@
 /// Time until the next read after the store did not respond.
 const LIST_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Maximum number of unusable entries that are remembered, so that each is logged only once. Another writer may leave
-/// a million of them; further ones are only counted.
+/// Maximum number of unusable list entries that are remembered, so that each is logged only once. Another writer may
+/// leave a million of them; further ones are only counted.
 const MAX_FOREIGN: usize = 1_000;
 
 /// Follows the list of workers and watches each worker until the owner ends.
@@ -135,8 +135,8 @@
     }
 }
 
-/// Records that another worker responded at this incarnation's address. Entries that keep naming the incarnation at
-/// that address come from another writer; each would otherwise count as a new worker and cost a poll and three log
+/// Records that another worker responded at this incarnation's address. List entries that keep naming the incarnation
+/// at that address come from another writer; each would otherwise count as a new worker and cost a poll and three log
 /// lines per heartbeat.
 pub fn record_replaced(owner: &Owner, incarnation: &WorkerId) {
     let mut replaced = owner.replaced.borrow_mut();
