--- a/crates/havenladder/src/entry/stop.rs
+++ b/crates/havenladder/src/entry/stop.rs
@@ -19,8 +19,8 @@
 /// Interval between two checks of the requests in progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until the process has been told to stop and the requests in progress have been answered or
-/// the time for it is over.
+/// Waits for the signal to stop, and then until the requests in progress have been answered or the
+/// time for that is over.
 pub async fn wait(node: &Rc<Node>) {
     let (Ok(mut term), Ok(mut hup)) = (
         signal(SignalKind::terminate()),
@@ -35,7 +35,10 @@
             _ = hup.recv() => info!("settings file has changed; it is only read at the start"),
         }
     }
-    info!(in_flight = node.in_flight.get(), "told to stop");
+    info!(
+        in_flight = node.in_flight.get(),
+        "received the signal to stop"
+    );
     node.stopping.set(true);
     node.stop.notify_waiters();
     time::sleep(CONNECT_GRACE).await;
