--- a/crates/havenladder/src/entry/in_force.rs
+++ b/crates/havenladder/src/entry/in_force.rs
@@ -237,7 +237,7 @@
         info!(
             version = config.version,
             old,
-            queues = config.routes.len(),
+            queues = config.queues.len(),
             workspaces = self.keyring.workspaces().count(),
             odd = ?workspaces.map(|workspaces| workspaces.odd).unwrap_or_default(),
             shared_keys = self.keyring.shared_keys(),
