--- a/crates/serving/src/burn.rs
+++ b/crates/serving/src/burn.rs
@@ -37,72 +37,72 @@
     },
 ];
 
-/// Time that one cell covers.
-const CELL_SPAN: Duration = Duration::from_secs(30);
+/// Period that one bucket covers.
+const BUCKET_SPAN: Duration = Duration::from_secs(30);
 
-/// Number of cells that the longest window needs.
-const MAX_CELLS: usize = 6 * 60 * 2 + 1;
+/// Maximum number of buckets that are kept for a service: those of the longest window.
+const MAX_BUCKETS: usize = 6 * 60 * 2 + 1;
 
-/// Cells of one service, the newest last, each with its number since 1970.
-type Cells = VecDeque<(u64, BurnCounts)>;
+/// Counts of one service by period, the newest last, each with the number of its period since 1970.
+type Buckets = VecDeque<(u64, BurnCounts)>;
 
 /// Counters of one entry.
 #[derive(Clone, Debug, Default)]
 pub struct Burn {
-    services: BTreeMap<ServiceId, Cells>,
+    services: BTreeMap<ServiceId, Buckets>,
 }
 
 impl Burn {
     /// Counts one request as good, or as lost for a cause.
     pub fn count(&mut self, service: &str, loss: Option<Loss>, now: SystemTime) {
         if !self.services.contains_key(service) {
-            self.services.insert(service.to_owned(), Cells::new());
+            self.services.insert(service.to_owned(), Buckets::new());
         }
-        let Some(cells) = self.services.get_mut(service) else {
+        let Some(buckets) = self.services.get_mut(service) else {
             return;
         };
-        let number = cell_number(now);
-        if cells.back().is_none_or(|(newest, _)| *newest < number) {
-            cells.push_back((number, BurnCounts::default()));
+        let number = bucket_number(now);
+        if buckets.back().is_none_or(|(newest, _)| *newest < number) {
+            buckets.push_back((number, BurnCounts::default()));
         }
-        if cells.len() > MAX_CELLS {
-            cells.pop_front();
+        if buckets.len() > MAX_BUCKETS {
+            buckets.pop_front();
         }
-        let Some((_, cell)) = cells.back_mut() else {
+        let Some((_, bucket)) = buckets.back_mut() else {
             return;
         };
         match loss {
-            None => cell.good += 1,
-            Some(loss) => *cell.lost.entry(loss).or_default() += 1,
+            None => bucket.good += 1,
+            Some(loss) => *bucket.lost.entry(loss).or_default() += 1,
         }
     }
 
-    /// Sums the cells of each service over the windows that end at `now`.
+    /// Returns the counts of each service, summed over the windows that end at `now`.
     pub fn sums(&self, now: SystemTime) -> BTreeMap<ServiceId, BurnWindows> {
         self.services
             .iter()
-            .map(|(service, cells)| (service.clone(), sum(cells, now)))
+            .map(|(service, buckets)| (service.clone(), sum(buckets, now)))
             .collect()
     }
 }
 
 /// Returns the rate at which a service consumes its error budget. At 1.0 the budget lasts exactly for the
 /// period.
-pub fn burn_rate(cell: &BurnCounts, objective: f64) -> f64 {
-    let total = cell.total();
+pub fn burn_rate(counts: &BurnCounts, objective: f64) -> f64 {
+    let total = counts.total();
     if total == 0 {
         return 0.0;
     }
-    let bad = cell.bad() as f64 / total as f64;
+    let bad = counts.bad() as f64 / total as f64;
     bad / (1.0 - objective)
 }
 
-fn sum(cells: &Cells, now: SystemTime) -> BurnWindows {
+fn sum(buckets: &Buckets, now: SystemTime) -> BurnWindows {
     let windows = WINDOWS.iter().map(|window| {
-        let oldest = cell_number(now.checked_sub(window.span).unwrap_or(UNIX_EPOCH));
+        let oldest = bucket_number(now.checked_sub(window.span).unwrap_or(UNIX_EPOCH));
         let mut total = BurnCounts::default();
-        for (_, cell) in cells.iter().filter(|(number, _)| *number > oldest) {
-            total.add(cell);
+        for (_, bucket) in buckets.iter().filter(|(number, _)| *number > oldest) {
+            total.add(bucket);
         }
         total
     });
@@ -111,7 +111,7 @@
     }
 }
 
-fn cell_number(time: SystemTime) -> u64 {
+fn bucket_number(time: SystemTime) -> u64 {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.as_secs() / CELL_SPAN.as_secs()
+    since.as_secs() / BUCKET_SPAN.as_secs()
 }
--- a/crates/serving/src/claim.rs
+++ b/crates/serving/src/claim.rs
@@ -59,7 +59,7 @@
     pub id: RecordId,
     /// Entry that appended the record.
     pub by: EntryId,
-    /// Contents of the record.
+    /// Claims and results, in the order in which they are applied.
     pub entries: Vec<ClaimItem>,
 }
 
@@ -161,8 +161,8 @@
             return Vec::new();
         };
         let mut decisions = Vec::new();
-        for entry in claims.entries {
-            match entry {
+        for item in claims.entries {
+            match item {
                 ClaimItem::Claim(claim) => {
                     decisions.push(self.decide(claim, &claims.by, record.at))
                 }
--- a/crates/serving/src/estimate.rs
+++ b/crates/serving/src/estimate.rs
@@ -3,10 +3,11 @@
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
 
-/// Number of samples in a histogram, after which the older histogram is dropped.
+/// Number of samples after which a histogram is full. It then replaces the previous one.
 const WINDOW_SAMPLES: u64 = 256;
 
-/// Time after the last sample from which the estimates are ignored, so that a service is tried again.
+/// Age of the last sample from which the percentile and the minimum are ignored, so that the service is tried
+/// again.
 const MAX_SAMPLE_AGE: Duration = Duration::from_secs(10);
 
 /// Share of runs that the 90th percentile covers.
--- a/crates/serving/src/job.rs
+++ b/crates/serving/src/job.rs
@@ -61,14 +61,14 @@
     pub retry_at: Instant,
 }
 
-/// Outcome of a request. No other outcomes exist.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The complete response of this attempt is the response to the request.
     Done(AttemptId),
     /// The request was certainly not run.
     NotRun(NotRun),
-    /// It is unknown whether the request ran to its end. The last attempt ended like this.
+    /// It is unknown whether the request ran to its end. Holds how the last attempt that may have run ended.
     Unknown(AttemptEnd),
     /// Another request with the same key was first.
     Claimed(ClaimDecision),
--- a/crates/serving/src/scheduler.rs
+++ b/crates/serving/src/scheduler.rs
@@ -89,7 +89,7 @@
         match event {
             Event::Arrived(job) => self.arrive(job, now),
             Event::Cancelled(request) => self.cancel(request, now),
-            Event::Claimed(request, settled) => self.claimed(request, settled, now),
+            Event::Claimed(request, decision) => self.claimed(request, decision, now),
             Event::Ended(attempt, end) => self.ended(attempt, end, now),
             Event::Services(services) => self.services = services,
             Event::Workers(workers) => self.set_workers(workers, now),
@@ -227,12 +227,12 @@
         self.dispatch(&pool_id, now);
     }
 
-    fn claimed(&mut self, id: RequestId, settled: ClaimDecision, now: Instant) {
+    fn claimed(&mut self, id: RequestId, decision: ClaimDecision, now: Instant) {
         if !self.requests.contains_key(&id) {
             // The caller has disconnected. The outcome frees the key again.
             return self.refuse(id, NotRunReason::Cancelled, now);
         }
-        match settled {
+        match decision {
             ClaimDecision::Won => self.enqueue(id, now),
             ClaimDecision::LogDown => self.refuse(id, NotRunReason::LogDown, now),
             other => self.answer(id, Outcome::Claimed(other)),
