--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -13,27 +13,28 @@
 /// The time without a renewal in the log after which another entry claims the cell.
 pub const LEASE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The timeout for an owner that did not respond to two requests of the claiming entry either. Two renewals
-/// fit into it, so that one may be lost; an owner whose store is slow responds to the requests.
+/// The lease timeout for an owner that also did not respond to two requests of the claiming entry. Two
+/// renewals fit into it, so that one may be lost. An owner whose store is merely slow responds to the
+/// requests.
 pub const SILENT_OWNER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The timeout for an owner that responds to the claiming entry. If the owner is isolated from the store,
-/// it releases the cell by itself within half a second. If the store is unavailable for all, the owner
-/// continues, and its first renewal after the store's return must be read before anyone claims; an entry
-/// does not see when that was, since a read of up to 1.7 s may have begun before. An owner that was
-/// replaced at the return left its successor 3.7 s of waits for runs that it might have started.
+/// The lease timeout for an owner that responds to the claiming entry. If the owner is isolated from the
+/// store, it releases the cell by itself within half a second. If the store is unavailable for all, the
+/// owner continues, and its first renewal after the store's return must be read before anyone claims. An
+/// entry cannot tell when the store returned, since its read of up to 1.7 s may have begun before. When an
+/// owner was replaced at the return, its successor waited 3.7 s for runs that the owner might have started.
 pub const ANSWERING_OWNER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The additional delay before an entry claims that knows of a much stronger one. The stronger entry sees
+/// The additional delay of a claim by an entry that knows of a much stronger one. The stronger entry sees
 /// the vacancy at about the same time and needs 10 ms for one append, or 240 ms if the store responds
 /// slowly.
 pub const WEAKER_CLAIM_DELAY: Duration = Duration::from_millis(300);
 
-/// The ratio of CPU from which an entry counts as much stronger. A change of owner costs about 100 ms of
-/// decisions, which a smaller advantage does not recover.
+/// The ratio of CPU from which an entry counts as much stronger. A change of owner stops decisions for about
+/// 100 ms, which a smaller advantage does not make up for.
 const MUCH_STRONGER_RATIO: f64 = 1.5;
 
-/// The time for which an owner is not replaced by a stronger entry after the cell changed hands. It has
+/// The time after a change of owner before a stronger entry may replace the new owner. The new owner has
 /// contacted its workers by then.
 pub const MIN_OWNERSHIP_AGE: Duration = Duration::from_millis(1_500);
 
@@ -121,7 +122,7 @@
 
     /// Returns whether to claim the lease now, or when to check again.
     pub fn next_claim(&mut self, holder: Holder, now: Instant) -> Claim {
-        let lapsed = match holder {
+        let vacant_at = match holder {
             Holder::Unknown | Holder::Other => {
                 self.vacant_since = None;
                 self.last_renewal + LEASE_TIMEOUT
@@ -138,7 +139,7 @@
                 *self.vacant_since.get_or_insert(now)
             }
         };
-        let at = lapsed + self.claim_delay();
+        let at = vacant_at + self.claim_delay();
         if now >= at { Claim::Now } else { Claim::At(at) }
     }
 
--- a/crates/fleet/src/fold.rs
+++ b/crates/fleet/src/fold.rs
@@ -84,7 +84,7 @@
     fn apply_change(&mut self, context: &Context, change: &Change) -> Outcome {
         match change {
             Change::Settings(changes) => self.publish(context, changes),
-            Change::Observe(seen) => self.observe(context, seen),
+            Change::Observe(observations) => self.observe(context, observations),
             Change::Grant(request) => self.grant(context, request),
             Change::Lease(request) => self.lease(context, request),
             Change::Begin { vm, grant } => self.begin(context, vm, *grant),
--- a/crates/fleet/src/grant.rs
+++ b/crates/fleet/src/grant.rs
@@ -99,9 +99,8 @@
         Outcome::Applied
     }
 
-    /// Takes back a grant whose operation has not begun. The VM may already have been drained, or may yet
-    /// be by a call that is still in flight, so that it stays charged until the drain is known to have
-    /// ended.
+    /// Takes back a grant whose operation has not begun. The VM may already be drained, or a drain call that
+    /// is still in flight may yet drain it. Therefore it stays charged until the drain is known to have ended.
     pub(crate) fn undo(&mut self, context: &Context, vm: &str, id: Offset) -> Outcome {
         let Some(grant) = self.find_grant(vm, id) else {
             return no_grant(vm, id);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -10,10 +10,10 @@
 use std::cmp::Reverse;
 
 impl Fleet {
-    /// Applies the observations of an entry. An observation of a VM that has changed since then is ignored.
-    pub(crate) fn observe(&mut self, context: &Context, seen: &[Observation]) -> Outcome {
+    /// Applies the observations of an entry, except those of VMs that have changed since the observation.
+    pub(crate) fn observe(&mut self, context: &Context, observations: &[Observation]) -> Outcome {
         let mut changed = false;
-        for observation in seen {
+        for observation in observations {
             changed |= self.observe_one(context, observation);
         }
         if changed {
--- a/crates/fleet/src/moves.rs
+++ b/crates/fleet/src/moves.rs
@@ -8,7 +8,7 @@
 use settings::admits_hall;
 use std::{cmp::Reverse, collections::BTreeMap};
 
-/// A VM that should be taken out of service, and the operation for which it should be.
+/// A proposal to take a VM out of service for an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProposedGrant {
     /// The VM.
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Reserves the slots of a VM and returns true, if the headroom of its pool suffices.
+    /// Reserves the slots of a VM if the headroom of its pool suffices. Returns whether it did.
     pub fn take(&mut self, vm: &'f Vm) -> bool {
         let fleet = self.fleet;
         let remaining = self
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -13,7 +13,7 @@
     time::{Duration, SystemTime},
 };
 
-/// The key by which the live entries agree on the one that plans; the others are standbys.
+/// The rendezvous key by which the live entries agree on the one that plans. The others are standbys.
 const PLANNER_KEY: &str = "planner";
 
 /// The maximum number of grants in one record.
@@ -256,7 +256,7 @@
 
 fn on_begun(grant: &Grant, observed: &VmObservation) -> Action {
     match &grant.purpose {
-        // A VM that is not up may be rebooting already; a second call could only hit the boot after that.
+        // A VM that is not up may be rebooting already, and a second call could only cause another reboot.
         GrantPurpose::Reboot if !observed.up => Action::Wait,
         GrantPurpose::Reboot if observed.boot == grant.boot => Action::Reboot(grant.boot),
         GrantPurpose::Reboot => Action::Finish(observed.boot),
--- a/crates/fleet/src/replication.rs
+++ b/crates/fleet/src/replication.rs
@@ -21,7 +21,7 @@
 /// takes 0.16 s on a link of 20 Mbit/s.
 pub const MAX_FOLLOWERS: usize = 8;
 
-/// The time without a request after which an entry loses its assignment.
+/// The time since its last request after which an entry loses its assignment.
 pub const ASSIGNMENT_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// The age from which an entry's data is too old to be passed on. A reader that is connected to the
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -38,7 +38,7 @@
     pub granted: BTreeSet<VmId>,
     /// The waves, including those that have ended recently.
     pub waves: BTreeMap<WaveId, Wave>,
-    /// The origins of the records of which a second copy may still arrive, until they expire.
+    /// The origins of the records that have not expired, so that a second copy of them may still arrive.
     pub recent: BTreeMap<RecordId, RecordOrigin>,
     /// The ids in `recent`, ordered by expiry.
     pub expiring: BTreeMap<(SystemTime, RecordId), ()>,
@@ -143,8 +143,8 @@
     pub holder: EntryId,
     /// The end of the holder's lease.
     pub deadline: SystemTime,
-    /// The fencing token: the offset of the last change of the grant that calls to the platform must be
-    /// told apart by.
+    /// The fencing token of calls to the platform: the offset of the last change of the grant after which the
+    /// platform must refuse earlier calls.
     pub token: Offset,
     /// The progress of the operation.
     pub step: Step,
--- a/crates/fleet/src/unrecorded.rs
+++ b/crates/fleet/src/unrecorded.rs
@@ -1,26 +1,26 @@
 //! Decides when an owner may start runs that it cannot record, and how the next owner knows of this.
 //!
-//! An owner whose appends stall continues with the work that the log already holds. The next owner has no
-//! record of these runs and must contact all workers before it starts waiting work. It knows this from its
-//! own trouble with the store, or because the earlier owner announced it in a renewal of its lease
-//! beforehand.
+//! An owner whose appends stall continues to start runs of jobs that the log already holds. The next owner
+//! has no record of these runs and must contact all workers before it starts any run. It knows this because
+//! the store did not respond to it either, or because the earlier owner announced the runs in a renewal of
+//! its lease beforehand.
 
 use clock::Instant;
 use std::time::Duration;
 
-/// The time for which store trouble may have effects: entries of workers that expired return up to 2 s
-/// after its end, and responses to appends may be lost for several seconds.
+/// The time for which a store outage may have effects: workers' entries that expired during it return up to
+/// 2 s after its end, and responses to appends may be lost for several seconds.
 pub const STORE_TROUBLE_AGE: Duration = Duration::from_millis(8_000);
 
-/// Whether the store was recently in trouble, so that the earlier owner may have started runs that it could
+/// Whether there was a store outage recently, so that the earlier owner may have started runs that it could
 /// not record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreTrouble {
-    /// The store was not in trouble.
+    /// There was no outage.
     None,
     /// This entry has not been running for long enough to know.
     Unknown,
-    /// The store was in trouble.
+    /// There was an outage.
     Observed,
 }
 
@@ -31,7 +31,7 @@
     Possible,
     /// There are none, as the owner knew when it released the cell.
     None,
-    /// There were none at that renewal, but the owner continued for a while.
+    /// There were none at the time of this renewal, but the owner continued after it.
     NoneAtRenewal,
 }
 
@@ -58,7 +58,7 @@
 pub struct Stall {
     /// The start of the append.
     pub since: Option<Instant>,
-    /// The time at which the last renewal was sent that announced unrecorded runs and that was confirmed.
+    /// The sending time of the last confirmed renewal that announced unrecorded runs.
     pub announced: Option<Instant>,
     /// Whether other entries report that the store is unavailable for all.
     pub outage_confirmed: bool,
