--- a/crates/platform/src/task.rs
+++ b/crates/platform/src/task.rs
@@ -37,6 +37,6 @@
     pub running: u32,
     /// Whether new tasks are refused.
     pub draining: bool,
-    /// How often the VM has booted.
+    /// Number of times that the VM has booted.
     pub boot: u64,
 }
--- a/crates/platform/src/vms.rs
+++ b/crates/platform/src/vms.rs
@@ -27,7 +27,7 @@
     pub addr: String,
     /// Number of tasks that the worker can run at the same time.
     pub slots: u32,
-    /// How often the VM has booted.
+    /// Number of times that the VM has booted.
     pub boot: u64,
     /// Whether the platform will keep the VM.
     pub state: VmLifecycle,
@@ -58,11 +58,11 @@
         /// The fencing token.
         token: Offset,
     },
-    /// Reboots the VM if its boot count is the given one.
+    /// Reboots the VM if its number of boots is still `boot`.
     Reboot {
         /// The fencing token.
         token: Offset,
-        /// The boot count that the caller knows.
+        /// The number of boots that the caller knows.
         boot: u64,
     },
     /// Returns the VM to the platform.
--- a/crates/workspaces/src/freshness.rs
+++ b/crates/workspaces/src/freshness.rs
@@ -1,10 +1,11 @@
 //! Decides how long an entry may rely on its configuration without confirming that it is the newest one.
 //!
-//! An entry follows the operators' topic and receives each change within some ms. If it has received
-//! nothing for a while, for instance after a freeze or while it is isolated from the platform, or if a call
-//! refers to something that its configuration does not contain, it polls the platform before it responds;
-//! [`Freshness::next_action`] says when. All waiting calls share a poll, and polls have a minimum interval,
-//! so that 1,000 calls per second with guessed keys cause ten polls.
+//! An entry follows the operators' topic and receives each change within some ms. It polls the platform
+//! before it responds to a call in two cases: if it has received nothing for a while, for instance after a
+//! freeze or while it is isolated from the platform, or if the call refers to something that its
+//! configuration does not contain. [`Freshness::next_action`] and [`Freshness::next_action_for_unknown`] say
+//! when. All waiting calls share a poll, and polls have a minimum interval, so that 1,000 calls per second
+//! with guessed keys cause ten polls per second.
 
 use clock::Instant;
 use std::time::Duration;
--- a/crates/workspaces/src/keyring.rs
+++ b/crates/workspaces/src/keyring.rs
@@ -8,7 +8,7 @@
 };
 
 /// The keys of all workspaces. A new configuration is applied as a difference: for a workspace that is the
-/// same value in memory, only two pointers are compared, however many keys it has.
+/// same allocation as before, only two pointers are compared, however many keys it has.
 #[derive(Debug, Default)]
 pub struct Keyring {
     /// The workspaces by name.
