--- a/crates/havenladder/src/outcome.rs
+++ b/crates/havenladder/src/outcome.rs
@@ -41,7 +41,7 @@
 pub fn problem(outcome: &Outcome) -> Problem {
     match outcome {
         Outcome::NotRun(refusal) => not_run(refusal),
-        Outcome::Claimed(settled) => claimed(*settled),
+        Outcome::Claimed(decision) => claimed(*decision),
         Outcome::Done(_) | Outcome::Unknown(_) => unknown(outcome),
     }
 }
@@ -66,7 +66,7 @@
     }
 }
 
-fn claimed(settled: ClaimDecision) -> Problem {
+fn claimed(decision: ClaimDecision) -> Problem {
     let conflict = |kind, detail: &str, outcome, retry_after| Problem {
         status: StatusCode::CONFLICT,
         kind,
@@ -75,7 +75,7 @@
         outcome,
         retry_after,
     };
-    match settled {
+    match decision {
         ClaimDecision::Done => conflict(
             "already-done",
             "a request with this key ran to its end and its caller was answered",
--- a/crates/havenladder/src/threads/claims.rs
+++ b/crates/havenladder/src/threads/claims.rs
@@ -21,10 +21,10 @@
 const SHARDS: u64 = 4;
 
 /// Maximum number of claims and settlements in one record.
-const MAX_ENTRIES: usize = 512;
+const MAX_ITEMS: usize = 512;
 
-/// Longest time for which a read of the log blocks while claims are pending, and delay before the
-/// log is tried again after an error.
+/// Maximum time for which a read of the log blocks while claims are pending, and delay before the
+/// next call to the log after an error.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Maximum difference between the clocks of the entries and the log.
@@ -80,7 +80,7 @@
 struct Shard<'c> {
     ctx: &'c Context,
     stream: String,
-    book: ClaimRegistry,
+    registry: ClaimRegistry,
     next: Option<Offset>,
     /// Time from which on every record of the stream has been read.
     complete_since: SystemTime,
@@ -96,7 +96,7 @@
     let mut shard = Shard {
         ctx,
         stream: format!("claims-{shard}"),
-        book: ClaimRegistry::default(),
+        registry: ClaimRegistry::default(),
         next: None,
         complete_since: SystemTime::UNIX_EPOCH,
         pending: HashMap::new(),
@@ -114,7 +114,7 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
-        while shard.unsent.len() < MAX_ENTRIES {
+        while shard.unsent.len() < MAX_ITEMS {
             let Ok(message) = messages.try_recv() else {
                 break;
             };
@@ -156,7 +156,7 @@
     /// stream from a recent offset is then faster than catching up.
     fn reset(&mut self) {
         self.next = None;
-        self.book = ClaimRegistry::default();
+        self.registry = ClaimRegistry::default();
     }
 
     /// Reads new records of the stream and applies them. The first read begins at the time at
@@ -181,8 +181,8 @@
             };
             self.next = Some(read_from + slice.records.len() as Offset);
             for record in &slice.records {
-                for verdict in self.book.apply(record) {
-                    self.apply_verdict(verdict.claim, verdict.decision);
+                for verdict in self.registry.apply(record) {
+                    self.apply_decision(verdict.claim, verdict.decision);
                 }
             }
             if self.next >= Some(slice.next) {
@@ -231,7 +231,7 @@
         let unsettled_before = self.unsettled();
         // A settlement is retried until its key is too old to be claimed.
         self.unsent
-            .retain(|entry| !is_appended && !is_expired(entry, now));
+            .retain(|item| !is_appended && !is_expired(item, now));
         let settled = unsettled_before - self.unsettled();
         self.ctx.unsettled.fetch_sub(settled, Ordering::Relaxed);
         appended.map(|_| ())
@@ -239,24 +239,24 @@
 
     /// Returns the number of settlements that are not in the log yet.
     fn unsettled(&self) -> usize {
-        let is_settlement = |entry: &&ClaimItem| matches!(entry, ClaimItem::Settle { .. });
+        let is_settlement = |item: &&ClaimItem| matches!(item, ClaimItem::Settle { .. });
         self.unsent.iter().filter(is_settlement).count()
     }
 
-    fn apply_verdict(&mut self, claim: AttemptId, settled: ClaimDecision) {
+    fn apply_decision(&mut self, claim: AttemptId, decision: ClaimDecision) {
         if let Some(pending) = self.pending.remove(&claim) {
-            if settled == ClaimDecision::Won && self.is_undecidable(&pending.claim) {
+            if decision == ClaimDecision::Won && self.is_undecidable(&pending.claim) {
                 self.release_key(pending.claim);
                 self.notify(pending.request, ClaimDecision::TooOld);
             } else {
-                self.notify(pending.request, settled);
+                self.notify(pending.request, decision);
             }
             return;
         }
         // The request was refused since the log could not be reached, and the log has accepted its
         // claim after all.
         if let Some((claim, _)) = self.abandoned.remove(&claim)
-            && settled == ClaimDecision::Won
+            && decision == ClaimDecision::Won
         {
             self.release_key(claim);
         }
@@ -282,7 +282,7 @@
                 continue;
             };
             self.unsent
-                .retain(|entry| !matches!(entry, ClaimItem::Claim(claim) if claim.claim == id));
+                .retain(|item| !matches!(item, ClaimItem::Claim(claim) if claim.claim == id));
             let keep_until = now + self.ctx.config.claims.patience * 2;
             self.abandoned.insert(id, (pending.claim, keep_until));
             self.notify(pending.request, ClaimDecision::LogDown);
@@ -291,15 +291,15 @@
             .retain(|_, (_, keep_until)| now < *keep_until);
     }
 
-    fn notify(&self, request: RequestId, settled: ClaimDecision) {
-        let event = Event::Claimed(request, settled);
+    fn notify(&self, request: RequestId, decision: ClaimDecision) {
+        let event = Event::Claimed(request, decision);
         self.ctx.placement.notify(Message::Event(event));
     }
 }
 
-/// Returns whether an entry is obsolete: a settlement whose key is too old to be claimed.
-fn is_expired(entry: &ClaimItem, now: SystemTime) -> bool {
-    match entry {
+/// Returns whether an item is a settlement whose key is already too old to be claimed.
+fn is_expired(item: &ClaimItem, now: SystemTime) -> bool {
+    match item {
         ClaimItem::Settle { key, .. } => key.datetime() + MAX_KEY_AGE < now,
         ClaimItem::Claim(_) => false,
     }
--- a/crates/havenladder/src/threads/editors/check.rs
+++ b/crates/havenladder/src/threads/editors/check.rs
@@ -22,7 +22,7 @@
 /// Request header with the caller's key, named as in the draft standard.
 const HEADER_KEY: &str = "idempotency-key";
 
-/// Longest time from now that a deadline may have.
+/// Maximum time from now to a deadline.
 const MAX_DEADLINE_AHEAD: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// Request that has passed all checks.
--- a/crates/havenladder/src/threads/placement.rs
+++ b/crates/havenladder/src/threads/placement.rs
@@ -184,7 +184,7 @@
     fn handle_message(&mut self, message: Message) {
         match message {
             Message::Arrived(arrival) => self.arrive(*arrival),
-            Message::Event(Event::Claimed(id, settled)) => self.handle_verdict(id, settled),
+            Message::Event(Event::Claimed(id, decision)) => self.handle_decision(id, decision),
             Message::Event(event) => self.handle_event(event),
             Message::Ended(attempt, end, response) => {
                 if let Some(response) = response {
@@ -225,11 +225,11 @@
         self.handle_event(Event::Arrived(arrival.job));
     }
 
-    fn handle_verdict(&mut self, id: RequestId, settled: ClaimDecision) {
+    fn handle_decision(&mut self, id: RequestId, decision: ClaimDecision) {
         if let Some((_, won)) = self.claims.get_mut(&id) {
-            *won = settled == ClaimDecision::Won;
+            *won = decision == ClaimDecision::Won;
         }
-        self.handle_event(Event::Claimed(id, settled));
+        self.handle_event(Event::Claimed(id, decision));
     }
 
     fn handle_event(&mut self, event: Event) {
