--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -33,8 +33,8 @@
 /// to four workers down for 2.4 s; at 20 jobs per second, that is three of 8 workers.
 const FATAL_RATIO: u32 = 40;
 
-/// The same ratio for seeds below [`CROWDED_BELOW_SEED`]. It is more than 8 workers can bear, so
-/// that jobs may not end in time.
+/// The same ratio for seeds below [`CROWDED_BELOW_SEED`]. 8 workers cannot handle that many such
+/// jobs, so some jobs may not end in time.
 const FATAL_RATIO_CROWDED: u32 = 15;
 
 /// The seed below which [`FATAL_RATIO_CROWDED`] applies.
@@ -165,7 +165,7 @@
     has_workspaces: bool,
 }
 
-/// Submits and polls jobs until told to stop.
+/// Submits and polls jobs until `stop` is set.
 async fn run_caller(mut caller: Caller, stop: Arc<AtomicBool>) {
     let mut known = Vec::new();
     while !stop.load(Relaxed) {
--- a/crates/soak/src/entries.rs
+++ b/crates/soak/src/entries.rs
@@ -76,7 +76,7 @@
         fs::write(clock_file(&path), "0")?;
         let child = spawn(&plan.program, &path, &log)?;
         Ok(Entry {
-            address: address.parse().expect("an address of our own making"),
+            address: address.parse().expect("a valid loopback address"),
             program: plan.program.clone(),
             settings: path,
             log,
@@ -100,9 +100,9 @@
         }
     }
 
-    /// Puts the clock of the process forward, as a suspension of its machine does. Its timers stand
-    /// still during a suspension and don't notice it. No time passes for other processes, so
-    /// nothing may run for which they hold a lease.
+    /// Advances the clock of the process, as a suspension of its machine does. The timers of the
+    /// process are not advanced, since they stop during a suspension. No time passes for other
+    /// processes, so nothing may run for which they hold a lease.
     ///
     /// # Errors
     ///
@@ -145,7 +145,7 @@
     format!("127.0.0.{}", 11 + number)
 }
 
-/// Returns the path of the file from which an entry reads by how much its clock is put forward.
+/// Returns the path of the file from which an entry reads by how much its clock is advanced.
 fn clock_file(settings: &Path) -> PathBuf {
     settings.with_extension("clock")
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -35,7 +35,7 @@
 enum Kind {
     /// An entry is killed.
     Kill,
-    /// An entry is told to stop.
+    /// An entry receives the signal to stop.
     Terminate,
     /// An entry's process is paused.
     Pause,
@@ -70,7 +70,7 @@
     /// Open connections to a VM's worker give no more responses; new connections work.
     SilenceWorker,
     /// An entry's machine is suspended. From outside, this can only be simulated by pausing the
-    /// process while time passes for all others. Putting its clock forward alone would make leases
+    /// process while time passes for all others. Advancing its clock alone would make leases
     /// expire before the time has passed for the workers.
     Suspend,
     /// A VM's worker ends abruptly and restarts under the same id.
--- a/crates/soak/src/invariants.rs
+++ b/crates/soak/src/invariants.rs
@@ -36,7 +36,7 @@
 pub enum Invariant {
     /// A task never has two runs at once, and no run starts after an acknowledged successful end.
     RunsOnce,
-    /// Nothing runs of a job that every response refused, or that nobody submitted.
+    /// A job that every response refused, or that nobody submitted, has no runs.
     RefusedNeverRuns,
     /// A step begins only after the previous step has ended.
     StepsInOrder,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -40,7 +40,7 @@
 pub struct Plan {
     /// Path of the program under test.
     pub program: PathBuf,
-    /// Seed that decides which faults and jobs come when.
+    /// Seed that determines the faults, the jobs and their times.
     pub seed: u64,
     /// Time for which faults are injected.
     pub span: Duration,
@@ -100,7 +100,7 @@
 async fn wait_for_jobs(site: &mut Site, ledger: &Ledger, until: Instant) -> io::Result<()> {
     let mut round = 0;
     while Instant::now() < until && ledger.is_open() {
-        // A process that was told to stop may have ended only now.
+        // A process that received the signal to stop may have ended only now.
         site.heal()?;
         caller::poll_open_jobs(site, ledger, round).await;
         round += 1;
