--- a/crates/standin/src/users/cloud.rs
+++ b/crates/standin/src/users/cloud.rs
@@ -63,7 +63,7 @@
     vms: Arc<Mutex<BTreeMap<String, Vm>>>,
     /// Whether a worker that has ended restarts under the same id instead of a new one.
     keeps_ids: Arc<AtomicBool>,
-    /// VM of each worker id so far, in the order in which the ids were given out.
+    /// VM of each worker id so far, in the order in which the ids were assigned.
     worker_vms: Arc<Mutex<Vec<String>>>,
     /// Accepted orders in the order in which they were received.
     orders: Arc<Mutex<Vec<VmOrder>>>,
--- a/crates/standin/src/users/worker.rs
+++ b/crates/standin/src/users/worker.rs
@@ -38,7 +38,8 @@
 /// The specification of a task that ends each worker that starts it.
 pub const ENDS_WORKER: &str = "ends-worker";
 
-/// The time from the start of such a task to the end of its worker: users saw 2 to 10 ms.
+/// The time from the start of a task that ends its worker to the end of the worker: users saw 2 to
+/// 10 ms.
 const CRASH_DELAY: Duration = Duration::from_millis(10);
 
 /// The maximum time for which a `/hold` request waits for ended runs, even if it asks for more.
@@ -73,7 +74,7 @@
 
 /// The state of one incarnation of a worker.
 struct State {
-    /// Start of this incarnation; it may lie in the future, and no request is answered before.
+    /// Start of this incarnation; it may lie in the future, and requests get no response before it.
     starts_at: Instant,
     /// The same start time in milliseconds since 1970.
     started_at_ms: u64,
