--- a/crates/fleet/tests/bound.rs
+++ b/crates/fleet/tests/bound.rs
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn vms_ordered_down_by_an_earlier_owner_count() {
+fn vms_ordered_down_by_an_earlier_owner_count_against_the_limit() {
     assert_eq!(wave_headroom(3, [Up, Up, Up]), 3);
     assert_eq!(wave_headroom(3, [Up, Ordered, Down]), 1);
     assert_eq!(wave_headroom(3, [Unconfirmed, Ordered, Down]), 0);
--- a/crates/fleet/tests/reach.rs
+++ b/crates/fleet/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Whether an entry is cut off, judged by what it reaches.
+//! Whether an entry is cut off, which depends on what it reaches.
 
 use clock::Instant;
 use havenladder_fleet::{
--- a/crates/fleet/tests/response_time.rs
+++ b/crates/fleet/tests/response_time.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_recovered_store_is_learned_within_twenty_responses() {
+fn the_timeout_adapts_to_a_recovered_store_within_twenty_responses() {
     let mut times = learned(50, SLOW);
     (0..20).for_each(|_| times.record(USUAL));
     assert!(times.initial_timeout() <= USUAL * 6, "{times:?}");
--- a/crates/havenladder/tests/lost_starts.rs
+++ b/crates/havenladder/tests/lost_starts.rs
@@ -4,11 +4,11 @@
 //! milliseconds when it is resent, and a worker has a run once however often it is ordered to start it. The owner
 //! waited for up to a second, stopped the run though it worked, and started the task elsewhere once a later report no
 //! longer listed the run. Polls had the same fault: a worker was not polled again for half a second after its
-//! response was due, and got no new tasks meanwhile. With one order in twenty unanswered, two fifths of what was owed
-//! was not earned.
+//! response was due, and got no new tasks meanwhile. With one order in twenty without a response, two fifths of the
+//! value of the requests were lost.
 //!
-//! Seen on a day with only this fault for 30 s: queues earned 0.54 and 0.58 of what was owed; with starts resent once,
-//! 0.75 and 0.73; with polls resent as well, 0.91 and 0.90.
+//! Seen on a day with only this fault for 30 s: two queues got 0.54 and 0.58 of the value of their requests; with starts
+//! resent once, 0.75 and 0.73; with polls resent as well, 0.91 and 0.90.
 
 mod entries;
 
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_run_whose_start_has_no_response_goes_on() {
+fn a_run_whose_start_has_no_response_continues() {
     block_on(resend_starts());
 }
 
--- a/crates/havenladder/tests/outcomes.rs
+++ b/crates/havenladder/tests/outcomes.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_answer_arrives_complete() {
+fn a_response_arrives_complete() {
     let site = one_hall();
     let reply = site.post(0, PREVIEW, "run=5 size=200000 tag=whole", &[]);
     assert_eq!((reply.status, reply.outcome.as_str()), (200, "done"));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_answer_that_is_cut_short_is_never_forwarded() {
+fn a_response_that_is_cut_short_is_never_forwarded() {
     let site = one_hall();
     let reply = site.post(0, PREVIEW, "run=5 short tag=cut", &[]);
     assert_eq!((reply.status, reply.outcome.as_str()), (502, "unknown"));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_cut_during_an_answer_is_retried_only_where_repeats_are_allowed() {
+fn a_cut_during_a_response_is_retried_only_where_repeats_are_allowed() {
     let site = one_hall();
     let links = site.worker_links();
     links.iter().for_each(|link| link.truncate_responses(1));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_answer_lost_before_its_first_byte_leaves_the_outcome_unknown() {
+fn a_response_lost_before_its_first_byte_leaves_the_outcome_unknown() {
     let site = one_hall();
     let links = site.worker_links();
     // Probes may use up some of the lost responses before the order is sent, so many are lost.
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn callers_get_their_own_answers_when_they_arrive_out_of_order() {
+fn callers_get_their_own_responses_when_they_arrive_out_of_order() {
     let site = one_hall();
     let replies: Vec<(String, site::Reply)> = thread::scope(|scope| {
         let calls: Vec<_> = (0..60)
--- a/crates/havenladder/tests/suspended.rs
+++ b/crates/havenladder/tests/suspended.rs
@@ -1,10 +1,10 @@
 //! The machines of the entries are suspended for seconds.
 //!
-//! Guards against times that are measured by the steady clock, which stands still while a machine is suspended:
+//! Guards against times that are measured by the monotonic clock, which stops while a machine is suspended:
 //! callers that had timed out long ago would get late responses, and an owner would act as if it still held its lease.
 //!
-//! A test cannot suspend its machine. Instead, the entries read from a file how far to put their clock forward, while
-//! their timers stay on the steady clock: this is what a process observes when its machine resumes.
+//! A test cannot suspend its machine. Instead, the entries read from a file how far to advance their clock, while their
+//! timers stay on the monotonic clock: this is what a process observes when its machine resumes.
 
 mod entries;
 
@@ -17,11 +17,11 @@
 /// Time for an entry to become owner of the cell and to contact its workers.
 const STARTUP_TIME: Duration = Duration::from_secs(4);
 
-/// Time for which a call waits before the suspension. By the steady clock it would get its response after 1.2 s.
+/// Time for which a call waits before the suspension. By the monotonic clock it would get its response after 1.2 s.
 const CALL_WAIT: Duration = Duration::from_millis(200);
 
-/// Time within which a call whose deadline passed in the suspension must get its response: half of what the steady
-/// clock leaves it.
+/// Time within which a call whose deadline passed in the suspension must get its response: half of what the
+/// monotonic clock leaves it.
 const MAX_RESPONSE_TIME: Duration = Duration::from_millis(500);
 
 /// Body of a job of one short task.
--- a/crates/workspaces/tests/keys.rs
+++ b/crates/workspaces/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Which keys and headers open a workspace.
+//! Which keys grant access to a workspace, and how they are read from headers.
 
 use havenladder_workspaces::{Authorization, Key, Keyring, Workspace, read_authorization};
 use jobs::Bound;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_key_opens_its_workspace_and_no_other_does() {
+fn a_key_grants_access_to_its_workspace_only() {
     let mut keyring = Keyring::default();
     keyring.replace(&[workspace("a", &["k1", "k2"]), workspace("b", &["k3"])]);
     assert_eq!(keyring.find(&key("k2")).map(String::as_str), Some("a"));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_shared_key_opens_no_workspace_until_one_has_removed_it() {
+fn a_shared_key_grants_no_access_until_one_workspace_has_removed_it() {
     let mut keyring = Keyring::default();
     let b = workspace("b", &["k1"]);
     keyring.replace(&[workspace("a", &["k1", "k2"]), Rc::clone(&b)]);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_removed_key_opens_nothing_until_it_is_added_again() {
+fn a_removed_key_grants_no_access_until_it_is_added_again() {
     let mut keyring = Keyring::default();
     keyring.replace(&[workspace("a", &["k1"])]);
     keyring.replace(&[workspace("a", &[])]);
@@ -95,7 +95,7 @@
     two_words = { &["Token abc def"], "malformed" },
     twice = { &["Token abc", "Token abc"], "malformed" },
 )]
-fn an_authorization_is_one_scheme_and_one_key(values: &[&str], expected: &str) {
+fn an_authorization_has_one_scheme_and_one_key(values: &[&str], expected: &str) {
     let read = read_authorization("Token", values.iter().map(|value| Some(*value)));
     let name = match read {
         Authorization::Missing => "missing",
