--- a/crates/havenladder/src/configs/watch.rs
+++ b/crates/havenladder/src/configs/watch.rs
@@ -13,7 +13,7 @@
     /// Time limit for a worker to respond to a probe.
     pub patience: Duration,
     /// Maximum number of probes per second. In a larger data centre workers are probed in rotation,
-    /// suspects first.
+    /// except that those whose last probe failed are probed in every round.
     pub probes: usize,
 }
 
--- a/crates/havenladder/src/local_observations.rs
+++ b/crates/havenladder/src/local_observations.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns the VMs whose last probe failed.
-    pub fn suspects(&self) -> BTreeSet<VmId> {
+    pub fn unanswered(&self) -> BTreeSet<VmId> {
         let observations = lock(&self.observations);
         let missed = observations
             .iter()
--- a/crates/havenladder/src/threads/watch.rs
+++ b/crates/havenladder/src/threads/watch.rs
@@ -132,10 +132,10 @@
         .collect()
 }
 
-/// Returns the VMs to probe in this round: all suspects, and others in rotation as far as the limit
-/// allows.
+/// Returns the VMs to probe in this round: all VMs whose last probe failed, and others in rotation
+/// as far as the limit allows.
 fn targets(ctx: &Context, next_index: &mut usize) -> Vec<Target> {
-    let suspects = ctx.observations.suspects();
+    let unanswered = ctx.observations.unanswered();
     let known: Vec<Target> = {
         let fleet = ctx.fleet.get();
         let in_hall = |vm: &Vm| vm.hall == ctx.config.entry.hall;
@@ -146,10 +146,11 @@
         .retain(&known.iter().map(|(id, _)| id.clone()).collect());
     let rounds_per_second = 1.0 / ctx.config.watch.interval.as_secs_f64();
     let max_probes = (ctx.config.watch.probes as f64 / rounds_per_second).ceil() as usize;
-    let (suspected, others): (Vec<Target>, Vec<Target>) =
-        known.into_iter().partition(|(id, _)| suspects.contains(id));
+    let (first, others): (Vec<Target>, Vec<Target>) = known
+        .into_iter()
+        .partition(|(id, _)| unanswered.contains(id));
     let count = max_probes
-        .saturating_sub(suspected.len())
+        .saturating_sub(first.len())
         .clamp(1, others.len().max(1));
     let start = *next_index;
     *next_index = start.wrapping_add(count);
@@ -159,7 +160,7 @@
         .skip(start % others.len().max(1))
         .take(count.min(others.len()));
     let batch: Vec<Target> = batch.cloned().collect();
-    suspected.into_iter().chain(batch).collect()
+    first.into_iter().chain(batch).collect()
 }
 
 async fn probe_all(
