--- a/crates/standin/src/users/cloud.rs
+++ b/crates/standin/src/users/cloud.rs
@@ -129,7 +129,8 @@
         self.orders.lock().expect("no thread panics here").clone()
     }
 
-    /// Crashes a VM's worker abruptly; a new incarnation starts after the usual downtime.
+    /// Crashes a VM's worker abruptly. After the usual downtime the VM has a new worker, or the same one
+    /// after a restart if workers keep their ids.
     pub fn crash(&self, name: &str) {
         self.take_down(name, "down");
     }
