--- a/crates/havenladder/tests/layers.rs
+++ b/crates/havenladder/tests/layers.rs
@@ -1,8 +1,8 @@
 //! Finds files of the entry that import each other in a cycle, from their `use` lines.
 //!
 //! Files of a cycle cannot be understood, tested or changed independently. `in_force`, which holds the settings and
-//! keys in force, must import nothing else of the entry. Tasks of an entry stand above its node, and tasks of the
-//! owner stand above the owner.
+//! keys in force, must import nothing else of the entry. Tasks of an entry import its node and tasks of the owner
+//! import the owner, not the other way round.
 
 #![expect(clippy::unwrap_used, reason = "a test stops where it fails")]
 
