--- a/crates/havenladder/src/entry/watch.rs
+++ b/crates/havenladder/src/entry/watch.rs
@@ -13,7 +13,7 @@
     workers::{ClockMs, WorkerError},
 };
 use clock::Instant;
-use jobs::{AnswerOutcome, Loss, Refusal, Report, WorkerId};
+use jobs::{Loss, Refusal, Report, ResponseOutcome, WorkerId};
 use std::{rc::Rc, time::Duration};
 use tokio::{task, time};
 use tracing::info;
@@ -140,18 +140,18 @@
             .borrow_mut()
             .record_response(id, response.started_at, *sent_at, now);
     match attribution {
-        AnswerOutcome::Same { restarted } => {
+        ResponseOutcome::Same { restarted } => {
             if restarted {
                 record_restart(owner, id, now);
             }
             apply_report(owner, id, polled, now);
             PollOutcome::Continue
         }
-        AnswerOutcome::Outdated => {
+        ResponseOutcome::Outdated => {
             info!(worker = %id, "response of an earlier incarnation was overtaken");
             PollOutcome::Retry
         }
-        AnswerOutcome::Replaced { next, restarted } => {
+        ResponseOutcome::Replaced { next, restarted } => {
             if !owner.contacts.borrow().contains_key(&next) {
                 contact_worker(owner, next.clone(), owner.inherited_leases_until);
             }
--- a/crates/jobs/src/cell/incarnations.rs
+++ b/crates/jobs/src/cell/incarnations.rs
@@ -1,6 +1,6 @@
 //! Tracks the incarnations of workers that list entries name and that respond.
 
-use crate::{AnswerOutcome, Cell, Listing, Loss, StartedAtMs, WorkerId, WorkerInfo};
+use crate::{Cell, Listing, Loss, ResponseOutcome, StartedAtMs, WorkerId, WorkerInfo};
 use clock::Instant;
 
 impl Cell {
@@ -34,19 +34,19 @@
         started_at: Option<StartedAtMs>,
         requested_at: Instant,
         now: Instant,
-    ) -> AnswerOutcome {
+    ) -> ResponseOutcome {
         if self.workers.get(recipient).is_none() {
             // The worker was abandoned in the meantime.
-            return AnswerOutcome::Outdated;
+            return ResponseOutcome::Outdated;
         }
-        let response = self
+        let outcome = self
             .incarnations
-            .record_answer(recipient, started_at, requested_at, now);
-        if let AnswerOutcome::Replaced { next, .. } = &response {
+            .record_response(recipient, started_at, requested_at, now);
+        if let ResponseOutcome::Replaced { next, .. } = &outcome {
             self.mark_silent(recipient, now);
             self.add_successor(recipient, next, now);
         }
-        response
+        outcome
     }
 
     /// Adds an incarnation that responds in place of a former one. It gets no runs until its own entry has
--- a/crates/jobs/src/incarnations.rs
+++ b/crates/jobs/src/incarnations.rs
@@ -27,19 +27,19 @@
 /// list a million, and each would be polled over a connection of its own.
 const MAX_WORKERS: usize = 50_000;
 
-/// What an answer tells about the incarnation that the request was meant for.
+/// What a response tells about the incarnation that the request was sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AnswerOutcome {
-    /// This incarnation has answered.
+pub enum ResponseOutcome {
+    /// This incarnation has responded.
     Same {
-        /// Whether this is its first answer after another incarnation had answered.
+        /// Whether this is its first response after another incarnation had responded.
         restarted: bool,
     },
-    /// This incarnation has ended; another one has answered in its place.
+    /// This incarnation has ended; another one has responded in its place.
     Replaced {
         /// The incarnation that is running.
         next: WorkerId,
-        /// Whether this is the first answer of the running incarnation after another one had answered.
+        /// Whether this is the first response of the running incarnation after another one had responded.
         restarted: bool,
     },
     /// Nothing: the request was sent before the incarnation that now answers was known, and the answer
@@ -60,7 +60,7 @@
 
 /// The incarnation of a worker that answered last.
 #[derive(Clone, Debug)]
-struct LastAnswer {
+struct LastResponse {
     incarnation: WorkerId,
     /// When the latest answer arrived.
     at: Instant,
@@ -86,7 +86,7 @@
     known: Vec<Known>,
     /// The incarnation that the latest entry names.
     listed: Option<WorkerId>,
-    last_answer: Option<LastAnswer>,
+    last_response: Option<LastResponse>,
     /// The last incarnations that are known to have ended.
     ended: VecDeque<WorkerId>,
     /// How often a different incarnation was found to answer.
@@ -107,12 +107,14 @@
     }
 
     /// Records an answer of an incarnation.
-    fn record_answer_of(&mut self, incarnation: WorkerId, requested_at: Instant, now: Instant) {
+    fn record_response_of(&mut self, incarnation: WorkerId, requested_at: Instant, now: Instant) {
         self.ended.retain(|ended| *ended != incarnation);
-        match &mut self.last_answer {
-            Some(last_answer) if last_answer.incarnation == incarnation => last_answer.at = now,
-            last_answer => {
-                *last_answer = Some(LastAnswer {
+        match &mut self.last_response {
+            Some(last_response) if last_response.incarnation == incarnation => {
+                last_response.at = now
+            }
+            last_response => {
+                *last_response = Some(LastResponse {
                     incarnation,
                     at: now,
                     since: now,
@@ -139,9 +141,9 @@
     /// Records that an incarnation has ended, if a different one has answered since.
     fn mark_ended(&mut self, incarnation: &str) {
         let replaced = self
-            .last_answer
+            .last_response
             .as_ref()
-            .is_some_and(|last_answer| last_answer.incarnation != *incarnation);
+            .is_some_and(|last_response| last_response.incarnation != *incarnation);
         if replaced && !self.ended.iter().any(|ended| ended == incarnation) {
             self.ended.push_back(incarnation.into());
         }
@@ -216,11 +218,11 @@
             return Listing::Ended;
         }
         // An entry without a start time is attributed to the incarnation that answers.
-        let last_answer = incarnations
-            .last_answer
+        let last_response = incarnations
+            .last_response
             .as_ref()
-            .map(|last_answer| last_answer.incarnation.clone());
-        let incarnation = last_answer
+            .map(|last_response| last_response.incarnation.clone());
+        let incarnation = last_response
             .filter(|_| started_at.is_none())
             .unwrap_or(incarnation);
         incarnations.listed = Some(incarnation.clone());
@@ -243,48 +245,48 @@
         let Some(incarnations) = self.workers.get(name) else {
             return Vec::new();
         };
-        let last_answer = incarnations
-            .last_answer
+        let last_response = incarnations
+            .last_response
             .as_ref()
-            .map(|last_answer| &last_answer.incarnation);
+            .map(|last_response| &last_response.incarnation);
         let known = incarnations.known.iter().map(|known| &known.incarnation);
         let mut others: Vec<WorkerId> = known
-            .filter(|incarnation| Some(*incarnation) != last_answer)
+            .filter(|incarnation| Some(*incarnation) != last_response)
             .cloned()
             .collect();
         others.truncate(others.len().saturating_sub(MAX_LISTED_ONLY));
         others
     }
 
-    /// Records which incarnation answered at `now` to a request that was sent to `addressee` at
+    /// Records which incarnation answered at `now` to a request that was sent to `recipient` at
     /// `requested_at`.
-    pub(crate) fn record_answer(
+    pub(crate) fn record_response(
         &mut self,
-        addressee: &WorkerId,
+        recipient: &WorkerId,
         started_at: Option<StartedAtMs>,
         requested_at: Instant,
         now: Instant,
-    ) -> AnswerOutcome {
-        let worker = self.get_mut(addressee.name());
+    ) -> ResponseOutcome {
+        let worker = self.get_mut(recipient.name());
         // An answer without a start time is attributed to the listed incarnation.
-        let listed = || worker.listed.clone().unwrap_or_else(|| addressee.clone());
+        let listed = || worker.listed.clone().unwrap_or_else(|| recipient.clone());
         let incarnation =
-            started_at.map_or_else(listed, |_| WorkerId::new(addressee.name(), started_at));
+            started_at.map_or_else(listed, |_| WorkerId::new(recipient.name(), started_at));
         let other = worker
-            .last_answer
+            .last_response
             .as_ref()
-            .filter(|last_answer| last_answer.incarnation != incarnation);
+            .filter(|last_response| last_response.incarnation != incarnation);
         let restarted = other.is_some();
         // The request was sent before the other incarnation answered, so either may be the later one.
-        if other.is_some_and(|last_answer| requested_at < last_answer.at) {
-            return AnswerOutcome::Outdated;
+        if other.is_some_and(|last_response| requested_at < last_response.at) {
+            return ResponseOutcome::Outdated;
         }
         worker.changes += u64::from(restarted);
-        worker.record_answer_of(incarnation.clone(), requested_at, now);
-        if incarnation == *addressee {
-            AnswerOutcome::Same { restarted }
+        worker.record_response_of(incarnation.clone(), requested_at, now);
+        if incarnation == *recipient {
+            ResponseOutcome::Same { restarted }
         } else {
-            AnswerOutcome::Replaced {
+            ResponseOutcome::Replaced {
                 next: incarnation,
                 restarted,
             }
@@ -301,14 +303,14 @@
         else {
             return Vec::new();
         };
-        let Some(last_answer) = incarnations
-            .last_answer
+        let Some(last_response) = incarnations
+            .last_response
             .as_ref()
-            .filter(|last_answer| last_answer.incarnation == *incarnation)
+            .filter(|last_response| last_response.incarnation == *incarnation)
         else {
             return Vec::new();
         };
-        if incarnations.changes > 0 && requested_at <= last_answer.since {
+        if incarnations.changes > 0 && requested_at <= last_response.since {
             return Vec::new();
         }
         incarnations
@@ -323,12 +325,13 @@
         let Some(incarnations) = self.get(incarnation) else {
             return Vec::new();
         };
-        let last_answer = incarnations
-            .last_answer
+        let last_response = incarnations
+            .last_response
             .as_ref()
-            .filter(|last_answer| last_answer.incarnation == *incarnation);
-        let predecessors = last_answer
-            .map(|last_answer| incarnations.known_before(incarnation, last_answer.requested_at));
+            .filter(|last_response| last_response.incarnation == *incarnation);
+        let predecessors = last_response.map(|last_response| {
+            incarnations.known_before(incarnation, last_response.requested_at)
+        });
         predecessors.into_iter().flatten().cloned().collect()
     }
 
@@ -343,14 +346,14 @@
     /// any known one.
     pub(crate) fn current(&self, name: &str) -> Option<&WorkerId> {
         let incarnations = self.workers.get(name)?;
-        let last_answer = incarnations
-            .last_answer
+        let last_response = incarnations
+            .last_response
             .as_ref()
-            .map(|last_answer| &last_answer.incarnation);
+            .map(|last_response| &last_response.incarnation);
         let known = |incarnation: &&WorkerId| incarnations.is_known(incarnation);
         let listed = incarnations.listed.as_ref();
         let first = || incarnations.known.first().map(|known| &known.incarnation);
-        last_answer
+        last_response
             .filter(known)
             .or(listed.filter(known))
             .or_else(first)
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -42,7 +42,7 @@
 pub use explain::Obstacle;
 pub use hall::HallId;
 pub use hall_drains::{HallDrains, HallOrder};
-pub use incarnations::{AnswerOutcome, Listing};
+pub use incarnations::{Listing, ResponseOutcome};
 pub use job::{Job, Phase, Round, Task, TaskPhase};
 pub use loss::{Ending, Involvement, Loss, LostRun, LostWorker};
 pub use need::{Need, Resource};
--- a/crates/jobs/tests/history/calls.rs
+++ b/crates/jobs/tests/history/calls.rs
@@ -1,7 +1,7 @@
 //! Simulated calls to workers, which may be lost or arrive late.
 
 use super::{History, LEASE_MS, LOG_OUTAGE_LIMIT_MS, host::report_of, restarts::MAX_LEASE_MS};
-use havenladder_jobs::{AnswerOutcome, EndRow, Loss, Order, Refusal, RunOutcome, WorkerId};
+use havenladder_jobs::{EndRow, Loss, Order, Refusal, ResponseOutcome, RunOutcome, WorkerId};
 use rand::Rng;
 
 /// An order that arrives late.
@@ -70,12 +70,12 @@
                 .cell
                 .record_response(&id, started_at, polled_at, polled_at)
             {
-                AnswerOutcome::Same { restarted: false } => host.polled = true,
-                AnswerOutcome::Same { restarted: true } => {
+                ResponseOutcome::Same { restarted: false } => host.polled = true,
+                ResponseOutcome::Same { restarted: true } => {
                     self.leased.insert(id.clone(), now + MAX_LEASE_MS);
                 }
-                AnswerOutcome::Outdated => continue,
-                AnswerOutcome::Replaced { next, .. } => {
+                ResponseOutcome::Outdated => continue,
+                ResponseOutcome::Replaced { next, .. } => {
                     self.leased.insert(next, now + MAX_LEASE_MS);
                     continue;
                 }
--- a/crates/jobs/tests/incarnations.rs
+++ b/crates/jobs/tests/incarnations.rs
@@ -8,7 +8,7 @@
 use fixture::{job, step, worker};
 use harness::{Harness, row, task};
 use havenladder_jobs::{
-    AnswerOutcome, EndRow, Ending, Limits, Listing, Loss, Phase, Report, RunId, RunOutcome,
+    EndRow, Ending, Limits, Listing, Loss, Phase, Report, ResponseOutcome, RunId, RunOutcome,
     StartedAtMs, TaskId, WorkerId, WorkerInfo, name_of,
 };
 use std::time::Duration;
@@ -38,7 +38,7 @@
     harness: &mut Harness,
     polled: &WorkerId,
     started_at: Option<StartedAtMs>,
-) -> AnswerOutcome {
+) -> ResponseOutcome {
     harness.advance(1);
     let polled_at = harness.now;
     harness.advance(1);
@@ -51,7 +51,10 @@
 /// returns their ids.
 fn respond(harness: &mut Harness, incarnation: &WorkerId, report: &Report) -> Vec<WorkerId> {
     let outcome = poll(harness, incarnation, incarnation.started_at());
-    assert!(matches!(outcome, AnswerOutcome::Same { .. }), "{outcome:?}");
+    assert!(
+        matches!(outcome, ResponseOutcome::Same { .. }),
+        "{outcome:?}"
+    );
     let polled_at = harness.now - Duration::from_millis(1);
     harness
         .cell
@@ -103,7 +106,7 @@
 
     assert_eq!(
         poll(&mut harness, &incarnation(5), Some(9)),
-        AnswerOutcome::Replaced {
+        ResponseOutcome::Replaced {
             next: incarnation(9),
             restarted: true
         }
@@ -175,7 +178,7 @@
     apply_entry(&mut harness, Some(9));
     assert_eq!(
         poll(&mut harness, &incarnation(9), Some(9)),
-        AnswerOutcome::Same { restarted: true }
+        ResponseOutcome::Same { restarted: true }
     );
     let polled_at = harness.now - Duration::from_millis(1);
     assert!(
@@ -226,7 +229,7 @@
     let late = harness
         .cell
         .record_response(&incarnation(9), Some(5), early, harness.now);
-    assert_eq!(late, AnswerOutcome::Outdated);
+    assert_eq!(late, ResponseOutcome::Outdated);
     assert_eq!(
         harness.cell.current_incarnation("a1"),
         Some(&incarnation(9))
@@ -258,7 +261,7 @@
     // The entry came from another writer: the worker still responds as the first incarnation.
     assert_eq!(
         poll(&mut harness, &incarnation(9), Some(5)),
-        AnswerOutcome::Replaced {
+        ResponseOutcome::Replaced {
             next: incarnation(5),
             restarted: false
         }
@@ -306,19 +309,19 @@
     apply_entry(&mut harness, Some(5));
     assert_eq!(
         poll(&mut harness, &incarnation(5), None),
-        AnswerOutcome::Same { restarted: false }
+        ResponseOutcome::Same { restarted: false }
     );
     apply_entry(&mut harness, Some(9));
     assert_eq!(
         poll(&mut harness, &incarnation(5), None),
-        AnswerOutcome::Replaced {
+        ResponseOutcome::Replaced {
             next: incarnation(9),
             restarted: true
         }
     );
     assert_eq!(
         poll(&mut harness, &incarnation(9), None),
-        AnswerOutcome::Same { restarted: false }
+        ResponseOutcome::Same { restarted: false }
     );
 }
 
