--- a/crates/jobs/src/cell/limits.rs
+++ b/crates/jobs/src/cell/limits.rs
@@ -12,11 +12,11 @@
     /// The longest lease that a worker grants, whatever it is asked for, measured on a clock that is as slow
     /// as allowed.
     pub max_lease: Duration,
-    /// The number of consecutive bad ends after which a worker is suspended.
+    /// The number of consecutive bad ends after which a worker is excluded from new runs.
     pub max_failures: u32,
-    /// The time for which a worker is suspended.
-    pub suspension: Duration,
-    /// The factor by which a task takes longer on a worker that is not near its data.
+    /// The time for which a worker is excluded.
+    pub exclusion: Duration,
+    /// The factor by which a task takes longer on a worker that is far from its data.
     pub remote_slowdown: f64,
 }
 
@@ -32,7 +32,7 @@
             // One run in 500 fails by its own fault, so that three in a row do so once in 10^8.
             max_failures: 3,
             // Twice the mean duration of a run, so that a worker that has recovered is soon used again.
-            suspension: Duration::from_millis(3_000),
+            exclusion: Duration::from_millis(3_000),
             // The platform supplies this value; 2 is the lower of the two that it has supplied so far.
             remote_slowdown: 2.0,
         }
--- a/crates/jobs/src/cell/runs.rs
+++ b/crates/jobs/src/cell/runs.rs
@@ -6,11 +6,11 @@
 
 /// The time for which a worker gets no new runs after it refused one for lack of capacity. Its own view of
 /// its capacity is at most one report ahead of the owner's.
-const FULL_SUSPENSION: Duration = Duration::from_millis(200);
+const FULL_EXCLUSION: Duration = Duration::from_millis(200);
 
 /// The time for which a worker gets no new runs after it was unhealthy, refused a connection, or has not
 /// reported its clock.
-const UNHEALTHY_SUSPENSION: Duration = Duration::from_millis(1_000);
+const UNHEALTHY_EXCLUSION: Duration = Duration::from_millis(1_000);
 
 impl Cell {
     /// Returns whether a start whose record is durable is still to be sent, and marks it as sent. Withdraws
@@ -71,8 +71,8 @@
             return;
         }
         match why {
-            Refusal::Room => host.excluded_until = Some(now + FULL_SUSPENSION),
-            Refusal::Unwell => host.excluded_until = Some(now + UNHEALTHY_SUSPENSION),
+            Refusal::Room => host.excluded_until = Some(now + FULL_EXCLUSION),
+            Refusal::Unwell => host.excluded_until = Some(now + UNHEALTHY_EXCLUSION),
             Refusal::Ticket => self.drop_permit(task, worker),
             Refusal::Fenced | Refusal::Old | Refusal::Late | Refusal::Invalid => {}
         }
--- a/crates/jobs/src/observe.rs
+++ b/crates/jobs/src/observe.rs
@@ -20,7 +20,7 @@
 /// The minimum time between two changes of a run's pace; reported figures cover the last half second.
 const PACE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The weight of one run in the pace learned for its queue; about the last 50 runs count.
+/// The weight of one run in the estimate factor learned for its queue; about the last 50 runs count.
 const LEARNING_RATE: f64 = 0.02;
 
 /// The time between two checks for stalled runs: a tenth of the time after which a run counts as stalled.
@@ -30,8 +30,8 @@
 const PACE_STEP: u64 = 20;
 
 impl Cell {
-    /// Applies a worker's report on a poll that was sent at `sent_at`. Returns the runs that the worker had
-    /// reported before and that are gone without an end.
+    /// Applies the report with which a worker responded to a poll that was sent at `sent_at`. Returns the
+    /// runs that the worker had reported before and that are gone without an end.
     pub fn apply_report(
         &mut self,
         worker: &str,
@@ -107,7 +107,7 @@
             }
         }
         if let (Some(runtime), RunOutcome::Done) = (runtime, end.how) {
-            self.learn_pace(worker, end.task, runtime);
+            self.learn_estimate_factor(worker, end.task, runtime);
         }
         if end.how == RunOutcome::Failed {
             self.count_worker_failure(worker, now);
@@ -119,8 +119,8 @@
         self.end_run(worker, end.task, end.run, end.how, &end.saved);
     }
 
-    /// Learns how long the runs of a queue take compared with the callers' estimates.
-    fn learn_pace(&mut self, worker: &str, task: TaskId, runtime: Duration) {
+    /// Updates the ratio of actual to estimated run time of a queue with a run that has succeeded.
+    fn learn_estimate_factor(&mut self, worker: &str, task: TaskId, runtime: Duration) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -132,11 +132,11 @@
         }
         let near_runtime = runtime.as_millis() as f64 / self.far_factor(worker, step);
         let ratio = near_runtime / step.estimate_ms as f64;
-        let pace = self
+        let factor = self
             .estimate_factors
             .entry(job.submission.queue.clone())
             .or_insert(1.0);
-        *pace += (ratio.min(10.0) - *pace) * LEARNING_RATE;
+        *factor += (ratio.min(10.0) - *factor) * LEARNING_RATE;
     }
 
     /// Counts a failed run of a worker and excludes the worker for a while after several in a row.
@@ -154,17 +154,17 @@
         let excluded = of_service()
             .filter(|w| w.excluded_until.is_some_and(|until| until > now))
             .count();
-        // At most a third of a pool is excluded: if all workers fail, the fault is not theirs.
+        // At most a third of a service's workers is excluded: if all workers fail, the fault is not theirs.
         if (excluded + 1) * 3 > of_service().count() {
             return;
         }
         if let Some(host) = self.workers.get_mut(worker) {
-            host.excluded_until = Some(now + limits.suspension);
+            host.excluded_until = Some(now + limits.exclusion);
             host.failures = 0;
         }
     }
 
-    /// Applies what a worker reports of a running run; the poll was sent at `sent_at`.
+    /// Applies what a worker reports about a running run in response to a poll that was sent at `sent_at`.
     fn apply_row(&mut self, worker: &str, row: &RunRow, sent_at: Instant, now: Instant) {
         self.mark_begun(row.task.job);
         if self.run_mut(worker, row.task, row.run).is_none() {
@@ -210,8 +210,8 @@
         }
     }
 
-    /// Adds a run that was not known: one of a task that was dropped too early, or one that is no longer
-    /// needed and is stopped.
+    /// Adds a run that was not known. It becomes the current run of its task if it is newer than what is
+    /// known of the task, and is stopped if it is not the current one.
     fn add_unknown_run(&mut self, worker: &str, row: &RunRow, now: Instant) {
         let job = self.jobs.get(&row.task.job);
         let free = Load {
