--- a/crates/jobs/src/disruption.rs
+++ b/crates/jobs/src/disruption.rs
@@ -9,7 +9,7 @@
     Free,
     /// This many runs that end by themselves would be lost.
     Busy(usize),
-    /// A long-running step would have more tasks away than its budget allows.
+    /// A long-running step would have more unavailable tasks than its budget allows.
     Guarded,
 }
 
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Sets whether a worker gets no new runs.
+    /// Sets whether a worker gets no new runs because its VM is to be disrupted.
     pub fn set_closed(&mut self, id: &str, closed: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.closed = closed;
         }
     }
 
-    /// Sets whether a worker's VM is being disrupted, in which case all its runs count as away.
+    /// Sets whether a worker's VM is being disrupted, in which case all its runs count as unavailable.
     pub fn set_disrupted(&mut self, id: &str, disrupted: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.disrupted = disrupted;
@@ -69,15 +69,15 @@
     }
 
     /// Stops one long-running task on a worker that is to be disrupted, if the worker has more tasks of the
-    /// step than its budget allows to be away at once. The tasks restart elsewhere one after the other.
-    /// Returns how many were stopped, 0 or 1.
+    /// step than its budget allows to be unavailable at once. The tasks restart elsewhere one after the
+    /// other. Returns how many were stopped, 0 or 1.
     pub fn shed(&mut self, id: &str) -> usize {
         let Some(worker) = self.workers.get(id) else {
             return 0;
         };
         let may_go = |task: &TaskId| {
             self.budget(*task).is_some_and(|budget| {
-                worker.siblings(*task) > budget && self.count_away(*task, None) < budget
+                worker.siblings(*task) > budget && self.count_unavailable(*task, None) < budget
             })
         };
         let mut runs = worker.runs.iter();
@@ -89,13 +89,14 @@
         usize::from(chosen.is_some())
     }
 
-    /// Returns whether too many tasks of a task's step would be away if a worker that has the task left.
+    /// Returns whether too many tasks of a task's step would be unavailable if `worker`, which has the task,
+    /// left.
     fn exceeds_budget(&self, worker: &Worker, task: TaskId) -> bool {
         let budget = self.budget(task);
-        budget.is_some_and(|budget| self.count_away(task, Some(&worker.info.id)) >= budget)
+        budget.is_some_and(|budget| self.count_unavailable(task, Some(&worker.info.id)) >= budget)
     }
 
-    /// Returns how many tasks of a task's step may be away; `None` if there is no limit.
+    /// Returns how many tasks of a task's step may be unavailable; `None` if there is no limit.
     fn budget(&self, task: TaskId) -> Option<u32> {
         let job = self
             .jobs
@@ -104,8 +105,9 @@
         job.find_step(task)?.disruption_budget
     }
 
-    /// Returns how many other tasks of a task's step are not operational, or are on the worker that leaves.
-    pub(crate) fn count_away(&self, task: TaskId, leaving: Option<&str>) -> u32 {
+    /// Returns how many other tasks of a task's step are unavailable: not operational, or on the worker
+    /// `leaving`.
+    pub(crate) fn count_unavailable(&self, task: TaskId, leaving: Option<&str>) -> u32 {
         let round = self
             .jobs
             .get(&task.job)
@@ -113,17 +115,17 @@
         let Some(tasks) = round.and_then(|round| round.steps.get(task.step as usize)) else {
             return 0;
         };
-        let is_away = |(index, state): &(u32, &Task)| {
+        let is_unavailable = |(index, state): &(u32, &Task)| {
             let sibling = TaskId {
                 index: *index,
                 ..task
             };
             sibling != task && !self.is_operational(sibling, state, leaving)
         };
-        (0..).zip(tasks).filter(is_away).count() as u32
+        (0..).zip(tasks).filter(is_unavailable).count() as u32
     }
 
-    /// Returns whether a task is operational on a worker that stays, other than the one that leaves.
+    /// Returns whether a task is operational on a worker that is expected to stay and is not `leaving`.
     fn is_operational(&self, task: TaskId, state: &Task, leaving: Option<&str>) -> bool {
         let TaskPhase::Placed(on) = &state.phase else {
             return false;
--- a/crates/jobs/src/hall.rs
+++ b/crates/jobs/src/hall.rs
@@ -1,7 +1,7 @@
 //! Drains data centres: no run starts there, and runs that can continue elsewhere are moved.
 //!
 //! Runs that end by themselves and save no progress are left to end. Long-running tasks leave one by one, so
-//! that a step never has more of them away than its budget allows.
+//! that a step never has more unavailable tasks than its budget allows.
 
 use crate::{Cell, RunId, RunPhase, TaskId, Worker, WorkerId, cell::need_of, place::may_join};
 use clock::Instant;
@@ -10,8 +10,8 @@
 /// The name of a data centre.
 pub type HallId = String;
 
-/// How many long-running tasks of a step without a budget may be away at once.
-const DEFAULT_MAX_AWAY: u32 = 1;
+/// How many long-running tasks of a step without a budget may be unavailable at once.
+const DEFAULT_MAX_UNAVAILABLE: u32 = 1;
 
 impl Cell {
     /// Sets which data centres are to be drained.
@@ -53,7 +53,7 @@
         stopped
     }
 
-    /// Returns a run of a long-running task of a worker that may leave now and fits elsewhere.
+    /// Returns a run of a long-running task on a worker that may be stopped now and fits elsewhere.
     fn next_long_running(&self, id: &str, now: Instant) -> Option<(TaskId, RunId)> {
         let worker = self.workers.get(id)?;
         let mut runs = worker.runs.iter();
@@ -63,7 +63,7 @@
         found.map(|(key, _)| *key)
     }
 
-    /// Returns whether a task is long-running, may be away now, and fits on another worker.
+    /// Returns whether a task is long-running, may be unavailable now, and fits on another worker.
     fn may_leave(&self, worker: &Worker, task: TaskId, now: Instant) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
@@ -80,7 +80,8 @@
                 && need.fits(host.used, host.info.capacity)
                 && may_join(step, || host.siblings(task))
         };
-        let budget = step.disruption_budget.unwrap_or(DEFAULT_MAX_AWAY);
-        self.count_away(task, None) < budget && self.workers.of(&worker.info.service).any(fits)
+        let budget = step.disruption_budget.unwrap_or(DEFAULT_MAX_UNAVAILABLE);
+        self.count_unavailable(task, None) < budget
+            && self.workers.of(&worker.info.service).any(fits)
     }
 }
