--- a/crates/jobs/src/cell/backlog.rs
+++ b/crates/jobs/src/cell/backlog.rs
@@ -7,15 +7,15 @@
 
 use crate::{
     Cell, Need, Step, Submission, WorkspaceId,
-    job::{longest_chain, work_of_steps},
+    job::{critical_path_ms, work_of_steps},
     rank::Rank,
 };
 use std::collections::HashMap;
 
-/// The highest forecast, as a multiple of the objective, at which a job of a workspace is accepted. Under
-/// sustained overload, jobs with a later forecast are queued behind those that can end in time. At a factor
-/// of 2, 67 of 426 jobs of a workspace that sent eight times its usual load were accepted in vain; at 1.2 it
-/// was 28, and 23 more ended in time (tests/overload.rs).
+/// The highest forecast, as a multiple of the objective (the duration within which the job is in time), at
+/// which a job of a workspace is accepted. Under sustained overload, jobs with a later forecast are queued
+/// behind those that can end in time. At a factor of 2, 67 of 426 jobs of a workspace that sent eight times
+/// its usual load were accepted in vain; at 1.2 it was 28, and 23 more ended in time (tests/overload.rs).
 const MAX_OBJECTIVE_FACTOR: f64 = 1.2;
 
 /// The highest forecast, as a multiple of the objective, at which a job without a workspace is accepted. No
@@ -92,12 +92,13 @@
             return Forecast::Worthwhile;
         };
         let factor = self.estimate_factor(&submission.queue);
-        let chain = longest_chain(&submission.spec.steps) as f64 * factor;
+        let critical_path = critical_path_ms(&submission.spec.steps) as f64 * factor;
         let limit = match submission.workspace {
             Some(_) => MAX_OBJECTIVE_FACTOR,
             None => MAX_OBJECTIVE_FACTOR_WITHOUT_WORKSPACES,
         };
-        let allowed_ms = limit * (submission.stretch * chain + submission.slack as f64) - chain;
+        let allowed_ms =
+            limit * (submission.stretch * critical_path + submission.slack as f64) - critical_path;
         let workspace = submission.workspace.as_ref();
         let share = workspace.map_or(1.0, |id| self.shares.share(&submission.service, id));
         let wait_ms = backlog.queue_wait_ms(workspace, share);
@@ -107,7 +108,7 @@
         Forecast::TooLate((wait_ms - allowed_ms) as u64)
     }
 
-    /// Returns the processor time of a service's pool that its jobs can use, in thousandths of a core; none
+    /// Returns the processor time of a service's pool that its jobs can use, in thousandths of a core; `None`
     /// if it is not known.
     pub(super) fn usable_cpu(&self, service: &str) -> Option<f64> {
         let backlog = self.backlogs.get(service);
--- a/crates/jobs/src/cell/shares.rs
+++ b/crates/jobs/src/cell/shares.rs
@@ -12,13 +12,14 @@
 
 use crate::{
     Cell, Job, JobId, ServiceId, WorkspaceId,
-    job::{longest_chain, work_of_steps},
+    job::{critical_path_ms, work_of_steps},
 };
 use std::collections::HashMap;
 
-/// The forecast, as a multiple of the objective, above which a job exceeds its workspace's share, if the
-/// workspace had only that share. With a lower factor, workspaces slightly above their usual load at a peak
-/// are queued behind the others although capacity suffices for all in time.
+/// The wait at which a job exceeds its workspace's share, as a multiple of the job's objective. The wait is
+/// the one that the job would have if its workspace had only that share. With a lower factor, workspaces
+/// slightly above their usual load at a peak are queued behind the others although capacity suffices for all
+/// in time.
 const OVER_SHARE_FACTOR: f64 = 3.0;
 
 /// The virtual time of a service, in thousandths of a core times ms for a workspace of weight 1.
@@ -30,7 +31,7 @@
     finish_times: HashMap<WorkspaceId, f64>,
 }
 
-/// The weights of workspaces, and the virtual time of each service.
+/// The weights of workspaces, and the virtual clock of each service.
 #[derive(Debug, Default)]
 pub(super) struct Shares {
     weights: HashMap<WorkspaceId, f64>,
@@ -92,8 +93,8 @@
         let factor = self.estimate_factor(&job.submission.queue);
         let steps = &job.submission.spec.steps;
         let work = work_of_steps(steps) * factor;
-        let chain = longest_chain(steps) as f64 * factor;
-        let objective = job.submission.stretch * chain + job.submission.slack as f64;
+        let critical_path = critical_path_ms(steps) as f64 * factor;
+        let objective = job.submission.stretch * critical_path + job.submission.slack as f64;
         let (begin, ahead) = self.shares.submit(&service, &workspace, work);
         let active_weight = self.shares.active_weight(&service, &workspace);
         let cpu = self.usable_cpu(&service);
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -119,7 +119,8 @@
     pub rounds: Vec<Round>,
     /// The position of the job in the order of arrival.
     pub order: u64,
-    /// For each step, the length of the longest chain of estimated work that starts with it, in ms.
+    /// For each step, the length of its critical path in ms: the longest chain of estimated work that starts
+    /// with the step.
     pub critical_paths: Vec<u64>,
     /// The start of the job in the virtual time of its service.
     pub virtual_start: f64,
@@ -157,12 +158,14 @@
         Some(schedule.first_due_ms + u64::from(round) * schedule.interval_ms)
     }
 
-    /// Returns until when a round is in time, in ms since 1970, if its work takes `pace` times as long as
+    /// Returns until when a round is in time, in ms since 1970, if its work takes `factor` times as long as
     /// estimated.
-    pub fn target_time(&self, round: u32, pace: f64) -> f64 {
+    pub fn target_time(&self, round: u32, factor: f64) -> f64 {
         let begin = self.due_at(round).unwrap_or(self.submission.submitted_at);
-        let chain = self.critical_paths.iter().max().copied().unwrap_or(0) as f64;
-        begin as f64 + self.submission.stretch * chain * pace + self.submission.slack as f64
+        let critical_path = self.critical_paths.iter().max().copied().unwrap_or(0) as f64;
+        begin as f64
+            + self.submission.stretch * critical_path * factor
+            + self.submission.slack as f64
     }
 
     /// Returns whether `rounds` match this job: their number, and the steps and tasks of each.
@@ -197,7 +200,7 @@
             .get(index as usize)
     }
 
-    /// Returns the same task of all rounds.
+    /// Returns the task with this step and index in each round.
     pub(crate) fn repeats_mut(&mut self, step: u32, index: u32) -> impl Iterator<Item = &mut Task> {
         let tasks = self.rounds.iter_mut();
         tasks.filter_map(move |round| {
@@ -241,12 +244,13 @@
     work.sum()
 }
 
-/// Returns the length of the longest chain of estimated work of a job, in ms.
-pub(crate) fn longest_chain(steps: &[Step]) -> u64 {
+/// Returns the length of the critical path of a job, in ms: its longest chain of estimated work.
+pub(crate) fn critical_path_ms(steps: &[Step]) -> u64 {
     critical_paths(steps).into_iter().max().unwrap_or(0)
 }
 
-/// Returns for each step the length of the longest chain of estimated work that starts with it, in ms.
+/// Returns for each step the length of its critical path in ms: the longest chain of estimated work that
+/// starts with the step.
 fn critical_paths(steps: &[Step]) -> Vec<u64> {
     let mut critical_paths: Vec<u64> = steps.iter().map(|step| step.estimate_ms).collect();
     for number in (0..steps.len()).rev() {
