--- a/crates/jobs/src/cell/crashes.rs
+++ b/crates/jobs/src/cell/crashes.rs
@@ -12,8 +12,8 @@
 type RepeatedTask = (JobId, u32, u32);
 
 impl Cell {
-    /// Attributes the crash of a worker to the runs that may have caused it. Returns the tasks that fail for
-    /// it.
+    /// Attributes the crash of a worker to the runs that may have caused it. Returns the tasks that fail
+    /// because of it.
     ///
     /// A crashed worker lists no ends: without this, four crashing tasks on 20 workers at half load were
     /// started up to 38 times in a minute and ended 1,679 other runs; with it, they were started twice each
@@ -59,8 +59,8 @@
         failed
     }
 
-    /// Attributes the crash of a worker to a task in all repeats of its job. Returns false if it does not
-    /// count.
+    /// Attributes the crash of a worker to the task of a run, in all repeats of its job. Returns whether the
+    /// crash counts against the task.
     fn attribute_crash_to_run(&mut self, run: &LostRun, only_fresh: bool) -> bool {
         let fresh = run.involvement.is_fresh();
         let crash = Crash {
@@ -79,9 +79,9 @@
             return false;
         }
         let mut counts = false;
-        let lived = run.known_runtime.as_millis() as u64;
+        let runtime = run.known_runtime.as_millis() as u64;
         for task in state.repeats_mut(step, index) {
-            counts |= task.history.record_crash(crash, lived);
+            counts |= task.history.record_crash(crash, runtime);
         }
         self.mark_dirty(job);
         counts
@@ -112,7 +112,7 @@
         Some(&state.history)
     }
 
-    /// Returns the age that a run of a task must reach to end its quarantine; none if the task is not in
+    /// Returns the age that a run of a task must reach to end its quarantine; `None` if the task is not in
     /// quarantine.
     pub(crate) fn quarantine_threshold(&self, task: TaskId, now: Instant) -> Option<Duration> {
         if !self.suspicions.tasks.contains(&task) {
@@ -120,14 +120,15 @@
         }
         match self.standing(task, now) {
             Standing::Quarantined(threshold) => Some(threshold),
-            // An earlier owner has not failed the task: it knew of accidental crashes that this owner does
-            // not know of.
+            // An earlier owner did not let the task fail, since it knew of accidental crashes that this owner
+            // does not know of.
             Standing::Failed => Some(self.crash_history(task)?.threshold()),
             Standing::Clear => None,
         }
     }
 
-    /// Clears the tasks whose runs on a worker have outlived the threshold of their suspicion.
+    /// Clears of suspicion the tasks whose runs on a worker are old enough to show that they are not the
+    /// cause.
     pub(crate) fn clear_outlived_suspects(&mut self, worker: &str, now: Instant) {
         let Some(host) = self.workers.get_mut(worker) else {
             return;
@@ -139,36 +140,36 @@
         let Some(host) = self.workers.get(worker) else {
             return;
         };
-        let lived = host
+        let runtimes = host
             .runs
             .iter()
             .map(|((task, _), state)| (*task, host.known_runtime(state)));
-        let outlived: Vec<(TaskId, Duration)> = lived
-            .filter(|(task, lived)| self.outlives_suspicion(*task, *lived))
+        let outlived: Vec<(TaskId, Duration)> = runtimes
+            .filter(|(task, runtime)| self.outlives_suspicion(*task, *runtime))
             .collect();
-        for (task, lived) in outlived {
-            self.clear_suspicion(task, lived, now);
+        for (task, runtime) in outlived {
+            self.clear_suspicion(task, runtime, now);
         }
     }
 
-    /// Returns whether a task is suspected and a run of this age shows that it is not the cause.
-    fn outlives_suspicion(&self, task: TaskId, lived: Duration) -> bool {
+    /// Returns whether a task is suspected and a run of it with this runtime shows that it is not the cause.
+    fn outlives_suspicion(&self, task: TaskId, runtime: Duration) -> bool {
         if !self.suspicions.tasks.contains(&task) {
             return false;
         }
         self.crash_history(task)
-            .is_some_and(|history| lived >= history.threshold())
+            .is_some_and(|history| runtime >= history.threshold())
     }
 
-    /// Clears a task of suspicion in all repeats of its job, since a run of it has reached this age.
-    pub(crate) fn clear_suspicion(&mut self, task: TaskId, lived: Duration, now: Instant) {
+    /// Clears a task of suspicion in all repeats of its job, since a run of it has reached this runtime.
+    pub(crate) fn clear_suspicion(&mut self, task: TaskId, runtime: Duration, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         for state in job.repeats_mut(task.step, task.index) {
             state.history.crashes.clear();
-            let lived = lived.as_millis() as u64;
-            state.history.max_runtime_ms = state.history.max_runtime_ms.max(lived);
+            let runtime = runtime.as_millis() as u64;
+            state.history.max_runtime_ms = state.history.max_runtime_ms.max(runtime);
         }
         if self.suspicions.tasks.contains(&task) {
             for repeat in self.repeats(task) {
@@ -199,7 +200,8 @@
     if !quarantined.is_empty() {
         return quarantined;
     }
-    // A run that an earlier owner started and that this one has seen running is older than is known.
+    // A run that an earlier owner started may be older than is known. If this owner has seen it run for
+    // [`PROVEN_AGE`], it is not suspected.
     let is_old = |run: &LostRun| run.age.is_none() && run.known_runtime >= PROVEN_AGE;
     runs.iter()
         .filter(|run| run.involvement != Involvement::Unsent && !is_old(run))
--- a/crates/jobs/src/suspicion.rs
+++ b/crates/jobs/src/suspicion.rs
@@ -19,9 +19,9 @@
 /// as long, so a higher value would hold capacity back from other tasks.
 pub(crate) const PROVEN_AGE: Duration = Duration::from_millis(250);
 
-/// The runtime beyond which a crash no longer counts against a task, since the start did not cause it; 100
-/// times what users saw. Without this limit, a long-running task would fail after some days because of
-/// unrelated crashes.
+/// The runtime of a run beyond which a crash of its worker no longer counts against its task, since the start
+/// did not cause the crash; 100 times what users saw. Without this limit, a long-running task would fail
+/// after some days because of unrelated crashes.
 pub(crate) const MAX_SUSPECT_RUNTIME: Duration = Duration::from_millis(1_000);
 
 /// The age up to which a run is the most likely cause of a crash. Users saw 2 to 10 ms, and an owner at full
@@ -41,9 +41,9 @@
 const MAX_CRASHES: usize = 4;
 
 /// How many crashes not caused by a task, within [`ACCIDENT_SPAN`], make accidents common; they must also be
-/// at least as many as the tasks proven to be a cause. Where tasks crash workers all the time, a few accidents would
-/// otherwise require four crashes of each task: with 40 such tasks in 20 s on 8 workers, harmless suspects
-/// waited 18 s to start.
+/// at least as many as the tasks that were proven in that time to crash workers. Where tasks crash workers
+/// all the time, a few accidents would otherwise require four crashes of each task: with 40 such tasks in
+/// 20 s on 8 workers, harmless suspects waited 18 s to start.
 const COMMON_ACCIDENTS: usize = 2;
 
 /// The time span over which [`COMMON_ACCIDENTS`] are counted.
@@ -120,8 +120,8 @@
     /// which a worker crashed, since a task does its work at about the same pace everywhere.
     pub(crate) fn threshold(&self) -> Duration {
         let ages = self.crashes.iter().filter_map(|crash| crash.age_ms);
-        let least = Duration::from_millis(ages.min().unwrap_or(0));
-        PROVEN_AGE.max(least * 2)
+        let min_age = Duration::from_millis(ages.min().unwrap_or(0));
+        PROVEN_AGE.max(min_age * 2)
     }
 
     /// Returns the standing of the task.
@@ -156,11 +156,11 @@
 /// How often workers crash without a task being the cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Accidents {
-    /// Hardly ever.
+    /// Workers hardly ever crash by accident.
     Rare,
     /// Workers have crashed on which no run had just begun, by accident or by a task that causes it later.
     Suspected,
-    /// Often enough that one more crash is little evidence against a task.
+    /// Workers crash by accident so often that one more crash is little evidence against a task.
     Common,
 }
 
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Returns how often workers crash without a task being the cause.
+    /// Returns how often workers have recently crashed without a task being the cause.
     pub(crate) fn accidents(&self, now: Instant) -> Accidents {
         let enough = COMMON_ACCIDENTS.max(self.proven.count(now));
         if self.accidents.count(now) >= enough {
@@ -244,7 +244,8 @@
         }
     }
 
-    /// Records a crash as late if none of the runs that may have caused it had just begun, by their ages.
+    /// Records that a worker on which no run had just begun has crashed, if `ages`, the ages of the runs that
+    /// may have caused the crash, show that.
     pub(crate) fn record_ages(
         &mut self,
         mut ages: impl Iterator<Item = Option<Duration>>,
