--- a/crates/jobs/src/cell/incarnations.rs
+++ b/crates/jobs/src/cell/incarnations.rs
@@ -25,9 +25,9 @@
         listing
     }
 
-    /// Records which incarnation of a worker responded at `now` to a request sent to `recipient` at `requested_at`. If
-    /// `recipient` has ended, it gets no new runs; it is abandoned once its successor has been asked which runs
-    /// it has ([`Cell::outlived_incarnations`]).
+    /// Records which incarnation of a worker responded at `now` to a request sent to `recipient` at
+    /// `requested_at`. If `recipient` has ended, it gets no new runs; the caller abandons it once its
+    /// successor has reported its runs ([`Cell::outlived_incarnations`]).
     pub fn record_response(
         &mut self,
         recipient: &WorkerId,
@@ -72,8 +72,8 @@
     }
 
     /// Returns the incarnations of a worker that have certainly ended, now that this one has responded to a
-    /// request sent at `requested_at`: their runs ended with them, and starts on their way to them are either listed
-    /// by this one or will never be carried out.
+    /// request sent at `requested_at`. Their runs have ended with them, and a start that was in transit to
+    /// them is either listed by this one or will never be carried out.
     pub fn outlived_incarnations(&self, incarnation: &str, requested_at: Instant) -> Vec<WorkerId> {
         self.incarnations.ended_by(incarnation, requested_at)
     }
@@ -84,7 +84,7 @@
         self.incarnations.predecessors(incarnation)
     }
 
-    /// Returns the current incarnation of a worker, by the worker's name; none if the worker is unknown.
+    /// Returns the current incarnation of a worker, by the worker's name; `None` if the worker is unknown.
     pub fn current_incarnation(&self, name: &str) -> Option<&WorkerId> {
         self.incarnations.current(name)
     }
--- a/crates/jobs/src/incarnations.rs
+++ b/crates/jobs/src/incarnations.rs
@@ -5,9 +5,9 @@
 //! worker is therefore kept per incarnation, identified by a [`WorkerId`]; the name alone identifies where
 //! the worker is listed and called.
 //!
-//! Only the worker's own answers tell which of two incarnations is the later one. Entries of the list may be
-//! read seconds late, and start times give no order since a machine's clock may have been set back. But
-//! incarnations follow each other: if one is known and a request sent after that is answered by another, the
+//! Only the worker's own responses show which of two incarnations is the later one. Entries of the list may
+//! be read seconds late, and start times give no order since a machine's clock may have been set back. But
+//! incarnations follow each other: if one is known and another one responds to a request sent after that, the
 //! former has ended.
 
 use crate::{StartedAtMs, WorkerId, WorkerName, name_of};
@@ -27,7 +27,7 @@
 /// list a million, and each would be polled over a connection of its own.
 const MAX_WORKERS: usize = 50_000;
 
-/// What a response tells about the incarnation that the request was sent to.
+/// What a response shows about the incarnation that the request was sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponseOutcome {
     /// This incarnation has responded.
@@ -42,12 +42,12 @@
         /// Whether this is the first response of the running incarnation after another one had responded.
         restarted: bool,
     },
-    /// Nothing: the request was sent before the incarnation that now answers was known, and the answer
-    /// arrived late.
+    /// Nothing: the request was sent before another incarnation last responded, so that either may be the
+    /// later one, or the worker has been abandoned in the meantime.
     Outdated,
 }
 
-/// What an entry of the list tells about a worker's incarnations.
+/// What an entry of the worker list shows about a worker's incarnations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Listing {
     /// The entry belongs to this incarnation.
@@ -58,16 +58,16 @@
     LimitReached,
 }
 
-/// The incarnation of a worker that answered last.
+/// The incarnation of a worker that responded last.
 #[derive(Clone, Debug)]
 struct LastResponse {
     incarnation: WorkerId,
-    /// When the latest answer arrived.
+    /// When the latest response arrived.
     at: Instant,
-    /// When the first answer arrived. Requests sent later carry a fencing token that invalidates calls to the
-    /// previous incarnation.
+    /// When the first response arrived. Requests sent later carry a fencing token that invalidates calls to
+    /// the previous incarnation.
     since: Instant,
-    /// When the request of the first answer was sent. All other incarnations known by then have ended.
+    /// When the request for the first response was sent. All other incarnations known by then have ended.
     requested_at: Instant,
 }
 
@@ -89,7 +89,7 @@
     last_response: Option<LastResponse>,
     /// The last incarnations that are known to have ended.
     ended: VecDeque<WorkerId>,
-    /// How often a different incarnation was found to answer.
+    /// How often a different incarnation was found to respond.
     changes: u64,
 }
 
@@ -100,13 +100,14 @@
             .any(|known| known.incarnation == *incarnation)
     }
 
-    /// Returns whether nothing needs to be remembered of the worker. The number of changes does: it raises the
-    /// fencing token of calls to the worker, which refuses lower tokens as long as it runs.
+    /// Returns whether nothing needs to be remembered about the worker. The number of changes must be
+    /// remembered, since it raises the fencing token of calls to the worker, which refuses lower tokens as
+    /// long as it runs.
     fn is_empty(&self) -> bool {
         self.known.is_empty() && self.changes == 0 && self.listed.is_none()
     }
 
-    /// Records an answer of an incarnation.
+    /// Records a response of an incarnation.
     fn record_response_of(&mut self, incarnation: WorkerId, requested_at: Instant, now: Instant) {
         self.ended.retain(|ended| *ended != incarnation);
         match &mut self.last_response {
@@ -138,7 +139,7 @@
         others.filter(before).map(|known| &known.incarnation)
     }
 
-    /// Records that an incarnation has ended, if a different one has answered since.
+    /// Records that an incarnation has ended, if a different one has responded since.
     fn mark_ended(&mut self, incarnation: &str) {
         let replaced = self
             .last_response
@@ -177,7 +178,7 @@
         self.workers.keys()
     }
 
-    /// Adds an incarnation that is known from now on.
+    /// Adds an incarnation that has been known since `since`; `None` means that an earlier owner knew it.
     pub(crate) fn add(&mut self, incarnation: &WorkerId, since: Option<Instant>) {
         let incarnations = self.get_mut(incarnation.name());
         if !incarnations.is_known(incarnation) {
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Records the incarnation that the latest entry names, if the entry tells it.
+    /// Records the incarnation that the latest entry of a worker names.
     pub(crate) fn record_listing(
         &mut self,
         name: &str,
@@ -217,7 +218,7 @@
         if incarnations.ended.contains(&incarnation) {
             return Listing::Ended;
         }
-        // An entry without a start time is attributed to the incarnation that answers.
+        // An entry without a start time is attributed to the incarnation that responded last.
         let last_response = incarnations
             .last_response
             .as_ref()
@@ -240,7 +241,8 @@
         }
     }
 
-    /// Returns the incarnations of a worker, oldest first, that exceed the answering one and the last few.
+    /// Returns the incarnations of a worker, oldest first, except the one that responded last and the
+    /// [`MAX_LISTED_ONLY`] latest others.
     pub(crate) fn excess(&self, name: &str) -> Vec<WorkerId> {
         let Some(incarnations) = self.workers.get(name) else {
             return Vec::new();
@@ -258,7 +260,7 @@
         others
     }
 
-    /// Records which incarnation answered at `now` to a request that was sent to `recipient` at
+    /// Records which incarnation responded at `now` to a request that was sent to `recipient` at
     /// `requested_at`.
     pub(crate) fn record_response(
         &mut self,
@@ -268,7 +270,7 @@
         now: Instant,
     ) -> ResponseOutcome {
         let worker = self.get_mut(recipient.name());
-        // An answer without a start time is attributed to the listed incarnation.
+        // A response without a start time is attributed to the listed incarnation.
         let listed = || worker.listed.clone().unwrap_or_else(|| recipient.clone());
         let incarnation =
             started_at.map_or_else(listed, |_| WorkerId::new(recipient.name(), started_at));
@@ -277,7 +279,7 @@
             .as_ref()
             .filter(|last_response| last_response.incarnation != incarnation);
         let restarted = other.is_some();
-        // The request was sent before the other incarnation answered, so either may be the later one.
+        // The request was sent before the other incarnation last responded, so either may be the later one.
         if other.is_some_and(|last_response| requested_at < last_response.at) {
             return ResponseOutcome::Outdated;
         }
@@ -294,8 +296,8 @@
     }
 
     /// Returns the other incarnations of a worker that have ended and whose runs, if they still exist, this
-    /// one lists. This holds once it has answered a request sent at `requested_at`, after the others were
-    /// known, with a fencing token that invalidates calls meant for them.
+    /// one lists. This holds once it has responded to a request that was sent at `requested_at`, after the
+    /// others were known, with a fencing token that invalidates calls meant for them.
     pub(crate) fn ended_by(&self, incarnation: &str, requested_at: Instant) -> Vec<WorkerId> {
         let Some(incarnations) = self
             .get(incarnation)
@@ -319,8 +321,8 @@
             .collect()
     }
 
-    /// Returns the other incarnations of a worker that have ended because this one has answered, whatever it
-    /// lists.
+    /// Returns the other incarnations of a worker that have ended because this one has responded, even if it
+    /// may still list runs that were ordered from them.
     pub(crate) fn predecessors(&self, incarnation: &str) -> Vec<WorkerId> {
         let Some(incarnations) = self.get(incarnation) else {
             return Vec::new();
@@ -342,7 +344,7 @@
             .flat_map(|incarnations| incarnations.known.iter().map(|known| &known.incarnation))
     }
 
-    /// Returns the relevant incarnation of a worker: the one that answered last, or the one listed last, or
+    /// Returns the current incarnation of a worker: the one that responded last, or the one listed last, or
     /// any known one.
     pub(crate) fn current(&self, name: &str) -> Option<&WorkerId> {
         let incarnations = self.workers.get(name)?;
@@ -359,7 +361,7 @@
             .or_else(first)
     }
 
-    /// Returns how often a different incarnation of a worker was found to answer.
+    /// Returns how often a different incarnation of a worker was found to respond.
     pub(crate) fn changes(&self, incarnation: &str) -> u64 {
         self.get(incarnation)
             .map_or(0, |incarnations| incarnations.changes)
