--- a/crates/jobs/src/cell/demand.rs
+++ b/crates/jobs/src/cell/demand.rs
@@ -23,8 +23,8 @@
     pub forecast_inflow: Need,
     /// Whether the service has had a job whose steps all end by themselves.
     pub has_finite_jobs: bool,
-    /// The number of workers for the widest step with anti-affinity, plus one, so that a task whose worker is
-    /// lost or disrupted finds another; 0 without such a step.
+    /// The number of workers that the widest step with anti-affinity needs, plus one, so that a task whose
+    /// worker is lost or disrupted finds another; 0 without such a step.
     pub anti_affinity_workers: usize,
     /// The long-running tasks that could not be placed.
     pub unschedulable: Unschedulable,
@@ -149,10 +149,10 @@
     }
 }
 
-/// Returns the number of workers that the widest step of a job with anti-affinity needs; none without such a
-/// step.
+/// Returns the number of workers that the widest step of a job with anti-affinity needs; `None` without such
+/// a step.
 fn widest_anti_affinity(job: &Job) -> Option<usize> {
     let steps = job.submission.spec.steps.iter();
-    let apart = steps.filter_map(|step| Some(step.count.div_ceil(step.max_per_worker?)));
-    apart.max().map(|widest| widest as usize)
+    let widths = steps.filter_map(|step| Some(step.count.div_ceil(step.max_per_worker?)));
+    widths.max().map(|widest| widest as usize)
 }
--- a/crates/jobs/src/cell/ends.rs
+++ b/crates/jobs/src/cell/ends.rs
@@ -19,11 +19,11 @@
         let Some(step) = self.record_end(task, run, progress) else {
             return;
         };
-        let (gang, lasting) = (step.gang, step.long_running);
+        let (gang, long_running) = (step.gang, step.long_running);
         self.mark_dirty(task.job);
         match how {
-            RunOutcome::Done if !lasting => return self.complete(task, gang),
-            RunOutcome::Failed if !lasting && self.count_failure(task, run, gang) => {
+            RunOutcome::Done if !long_running => return self.complete(task, gang),
+            RunOutcome::Failed if !long_running && self.count_failure(task, run, gang) => {
                 return self.finish(task.job, Phase::Failed);
             }
             _ => {}
--- a/crates/jobs/src/cell/ledger.rs
+++ b/crates/jobs/src/cell/ledger.rs
@@ -13,12 +13,12 @@
     rc::Rc,
 };
 
-/// The accounts of workspaces, and the tasks that are blocked by them.
+/// The accounts of workspaces, and the tasks that are blocked by their bounds.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     /// The accounts of workspaces that have had a job.
     accounts: HashMap<WorkspaceId, Rc<Account>>,
-    /// The bounds in force; none before a configuration is known.
+    /// The bounds in force; `None` before a configuration is known.
     bounds: Option<HashMap<WorkspaceId, Bound>>,
     /// The tasks that wait for their workspace's bound, in the order in which they are released.
     blocked: HashMap<WorkspaceId, BTreeSet<Rank>>,
@@ -88,7 +88,7 @@
         self.ledger.bounds = Some(bounds);
     }
 
-    /// Returns the usage and the bound of a workspace; none if it has had no job.
+    /// Returns the usage and the bound of a workspace; `None` if it has had no job.
     pub fn account(&self, workspace: &str) -> Option<&Account> {
         self.ledger.accounts.get(workspace).map(Rc::as_ref)
     }
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Returns the charge that a run of a task adds to its workspace's account; none if the job belongs to no
-    /// workspace.
+    /// Returns the charge that a run of a task adds to its workspace's account; `None` if the job belongs to
+    /// no workspace.
     pub(crate) fn charge(&self, task: TaskId) -> Option<Charge> {
         charge_of(self.jobs.get(&task.job)?, task)
     }
@@ -291,7 +291,8 @@
     }
 }
 
-/// Returns the charge that a run of a task adds to its workspace's account.
+/// Returns the charge that a run of a task adds to its workspace's account; `None` if the job belongs to no
+/// workspace.
 pub(crate) fn charge_of(job: &Job, task: TaskId) -> Option<Charge> {
     let account = job.account.as_ref()?;
     let step = job.find_step(task)?;
--- a/crates/jobs/src/cell/mod.rs
+++ b/crates/jobs/src/cell/mod.rs
@@ -114,8 +114,9 @@
     pub(crate) lost_tasks: HashSet<TaskId>,
     /// The tasks that are suspected of having crashed workers.
     pub(crate) suspicions: Suspicions,
-    /// The condition that keeps tasks of earlier owners from starting.
+    /// The conditions that must hold before tasks that waited under an earlier owner may start.
     pub(crate) takeover_barrier: TakeoverBarrier,
+    /// The VMs that this owner and earlier ones have given orders about.
     pub(crate) vm_orders: VmOrders,
     /// The workers that may run the steps of queues that require permits.
     pub(crate) permits: HashMap<StepId, Permits>,
--- a/crates/jobs/src/cell/queue.rs
+++ b/crates/jobs/src/cell/queue.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Returns whether a task would miss its objective even if it started now. Capacity is better spent on
+    /// Returns whether a task would miss its target time even if it started now. Capacity is better spent on
     /// tasks that can still end in time.
     pub(crate) fn is_late(&self, task: TaskId) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
--- a/crates/jobs/src/cell/takeover.rs
+++ b/crates/jobs/src/cell/takeover.rs
@@ -48,8 +48,8 @@
                 job.durable_phase = None;
             }
         }
-        // The submission and the state of a job are written in one call. One without the other is a record
-        // that was lost or never completed, and must not stop the takeover.
+        // The submission and the state of a job are written in one call. If one of them is missing, a record
+        // was lost or the call was not completed; that must not stop the takeover.
         let is_whole = |job: &Job| {
             let known = job.phase.is_over() || !job.submission.spec.steps.is_empty();
             job.durable_phase.is_some() && known
--- a/crates/jobs/src/cell/takeover_barrier.rs
+++ b/crates/jobs/src/cell/takeover_barrier.rs
@@ -23,7 +23,7 @@
 impl Cell {
     /// Keeps tasks that waited under an earlier owner from starting until its workers have been contacted:
     /// during a store outage, that owner may have started runs that it could not record. Its leases have
-    /// expired at `expires`. After a recent store outage the list of workers may lack some that are alive, so
+    /// expired by `expires`. After a recent store outage the list of workers may lack some that are alive, so
     /// that the list of VMs is read as well.
     pub fn raise_takeover_barrier(&mut self, expires: Instant, store_outage: bool) {
         self.takeover_barrier = TakeoverBarrier {
@@ -61,7 +61,8 @@
         self.takeover_barrier.awaits_vm_list = false;
     }
 
-    /// Returns whether a task is held back until workers have been contacted.
+    /// Returns whether a task of a job with this position in the order of arrival is held back until workers
+    /// of the service have been contacted.
     pub(crate) fn is_blocked_by_barrier(&self, order: u64, service: &str, now: Instant) -> bool {
         let barrier = &self.takeover_barrier;
         if order >= barrier.first_own_order || barrier.expires.is_some_and(|at| now >= at) {
--- a/crates/jobs/src/cell/withdraw.rs
+++ b/crates/jobs/src/cell/withdraw.rs
@@ -1,8 +1,8 @@
 //! Withdraws a job of which nothing has left the owner.
 //!
 //! During a store outage, accepted jobs wait for their records longer than their callers do. A caller without
-//! a response cannot know whether its job will still run. If the job is withdrawn, the caller is told that it
-//! never will, and may submit it again; besides, no capacity is spent on work that nobody waits for.
+//! a response cannot know whether its job will still run. If the job is withdrawn, the caller is notified
+//! that it never will, and may submit it again; besides, no capacity is spent on work that nobody waits for.
 
 use crate::{Cell, JobId, Order, RunId, TaskId, WorkerId};
 
--- a/crates/jobs/src/cell/workers.rs
+++ b/crates/jobs/src/cell/workers.rs
@@ -80,8 +80,8 @@
         self.incarnations.names().cloned().collect()
     }
 
-    /// Marks a worker whose newest entry is not a valid worker entry, so that it gets no new runs until
-    /// another entry is. Returns true if the previous entry was valid or the worker is unknown.
+    /// Marks a worker whose newest entry is not a valid worker entry, so that it gets no new runs until it
+    /// has a valid one again. Returns true if the previous entry was valid or the worker is unknown.
     pub fn mark_unusable(&mut self, name: &str) -> bool {
         let mut changed = false;
         let mut known = false;
@@ -117,7 +117,7 @@
         worker.is_some_and(|worker| worker.refused_at.is_some_and(|at| at < before))
     }
 
-    /// Abandons a worker: its process has ended, or its lease has certainly expired. Returns none if the
+    /// Abandons a worker: its process has ended, or its lease has certainly expired. Returns `None` if the
     /// worker is unknown.
     pub fn abandon_worker(&mut self, id: &str, loss: Loss, now: Instant) -> Option<LostWorker> {
         self.takeover_barrier.expected_workers.remove(name_of(id));
@@ -150,7 +150,8 @@
     }
 
     /// Handles the expiry of a worker's lease: its runs are lost. The worker may only be disconnected; if it
-    /// proves to have ended, the end is attributed to the runs that it had then.
+    /// proves to have ended, its end is attributed to the runs that are lost now. Returns `None` if no run is
+    /// lost or the worker is unknown.
     ///
     /// A run that no report of this incarnation has named is kept for the longest lease that a worker grants:
     /// its start may have reached another incarnation, on whose clock the lease expires much later.
