--- a/crates/jobs/src/arrivals.rs
+++ b/crates/jobs/src/arrivals.rs
@@ -12,8 +12,8 @@
 const MAX_WINDOW: Duration = Duration::from_millis(1_200);
 
 /// Shorter windows that are used when enough jobs arrive. At 350 jobs a second, the first 200 ms of a peak
-/// tell as much as the first 1.2 s, and a VM ordered a second earlier serves a quarter more of a peak of 4.5
-/// s.
+/// show as much as the first 1.2 s, and a VM ordered a second earlier serves a quarter more of a peak of
+/// 4.5 s.
 const SHORT_WINDOWS: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(400),
@@ -42,7 +42,7 @@
 /// The minimum age of a peak that counts as an earlier one.
 const MIN_EARLIER_PEAK_AGE: Duration = Duration::from_millis(6_000);
 
-/// How long peaks are remembered; a few cycles of load fit in.
+/// How long peaks are remembered, which covers a few cycles of load.
 const MAX_PEAK_AGE: Duration = Duration::from_secs(120);
 
 /// The interval for which one peak is stored.
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns the highest rate among earlier peaks.
+    /// Returns the highest rate among peaks that are older than [`MIN_EARLIER_PEAK_AGE`].
     fn earlier_peak(&self, now: WallMs) -> Need {
         let until = time_before(now, MIN_EARLIER_PEAK_AGE);
         let earlier = self.peaks.iter().take_while(|(at, _)| *at <= until);
@@ -142,8 +142,8 @@
         growths.find(|growth| *growth > 0.0).unwrap_or(0.0)
     }
 
-    /// Returns the same for one window. The rate was that of the window's middle, so growth is extrapolated
-    /// from there.
+    /// Returns by which fraction of itself the rate will have grown, according to one window. The measured
+    /// rate is that of the window's middle, so growth is extrapolated from there.
     fn growth_over(&self, window: Duration, now: WallMs) -> f64 {
         let since = time_before(now, window);
         let recent = self.count(since, now) as f64;
--- a/crates/jobs/src/drain.rs
+++ b/crates/jobs/src/drain.rs
@@ -9,8 +9,8 @@
 use clock::Instant;
 use std::{collections::HashMap, time::Duration};
 
-/// The progress, in percent, from which on it predicts the end of a run better than estimates, which are off
-/// by a factor of up to ten.
+/// The progress, in percent, above which the progress of a run predicts its end better than the estimate,
+/// which is off by a factor of up to ten.
 const MIN_PREDICTIVE_PERCENT: u64 = 10;
 
 /// The time that a move costs a run: the stop, its report, a record, the start, and the way back to the saved
@@ -18,8 +18,8 @@
 const MOVE_COST: Duration = Duration::from_millis(600);
 
 impl Cell {
-    /// Returns how long it takes until the worker could be drained. Runs that can continue elsewhere count
-    /// with at most 0.6 s, the others until their end.
+    /// Returns how long it takes to drain a worker. A run that can continue elsewhere counts with at most
+    /// `MOVE_COST`, any other with the time until its end.
     pub fn time_to_drain(&self, id: &str, now: Instant) -> Duration {
         let Some(worker) = self.workers.get(id) else {
             return Duration::ZERO;
@@ -103,8 +103,8 @@
         candidates.find(fits)
     }
 
-    /// Returns how long a run is expected to continue, by its progress or else by how long runs of its queue
-    /// take compared with their estimates.
+    /// Returns how long a run is expected to continue, by its progress, or else by its estimate and the
+    /// estimate factor of its queue.
     pub(crate) fn run_left(&self, task: TaskId, run: &RunState, now: Instant) -> Duration {
         let elapsed = now.saturating_duration_since(run.ordered_at);
         if run.percent >= MIN_PREDICTIVE_PERCENT {
@@ -115,8 +115,8 @@
         }
         let expected = self.jobs.get(&task.job).and_then(|job| {
             let estimate = job.find_step(task)?.estimate_ms as f64;
-            let pace = self.estimate_factor(&job.submission.queue);
-            Some(Duration::from_secs_f64(estimate * pace / 1_000.0))
+            let factor = self.estimate_factor(&job.submission.queue);
+            Some(Duration::from_secs_f64(estimate * factor / 1_000.0))
         });
         expected.unwrap_or_default().saturating_sub(elapsed)
     }
--- a/crates/jobs/src/gang.rs
+++ b/crates/jobs/src/gang.rs
@@ -7,11 +7,11 @@
 };
 use clock::Instant;
 
-/// A worker while the members of a gang are placed, including those already assigned to it.
+/// A worker that members of a gang may be assigned to, and its state with those that already are.
 struct Candidate<'w> {
     worker: &'w Worker,
     used: Need,
-    /// How many tasks of the step it has.
+    /// How many tasks of the gang's step it has.
     siblings: u32,
     /// Whether a member of the gang has been assigned to it.
     has_member: bool,
@@ -91,7 +91,8 @@
         within.or_else(|| self.gang_places_in(task, None, now))
     }
 
-    /// Does the same within one rack, or on all workers if `rack` is `None`.
+    /// Returns a worker of one rack, or of any rack if `rack` is `None`, for each member of a gang; `None` if
+    /// the members don't all fit at once.
     fn gang_places_in(
         &self,
         task: TaskId,
--- a/crates/jobs/src/loss.rs
+++ b/crates/jobs/src/loss.rs
@@ -1,4 +1,4 @@
-//! Why a worker is abandoned, and what that tells about its runs.
+//! Why a worker is abandoned, and how its runs may be involved in its end.
 
 use crate::{RunId, TaskId, Worker, suspicion::PROVEN_AGE, worker::RunState};
 use clock::Instant;
@@ -7,7 +7,7 @@
 /// The reason why a worker is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// This owner had its VM moved or maintained.
+    /// This owner had the worker's VM moved or maintained.
     Ordered,
     /// The worker has ended: another incarnation uses its address, or no VM has it any more.
     Ended,
@@ -18,7 +18,7 @@
 /// How a worker ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// An owner had its VM moved or maintained.
+    /// An owner had the worker's VM moved or maintained.
     Ordered,
     /// The worker announced that it leaves, or still answered after its entry was gone.
     Announced,
@@ -128,7 +128,7 @@
     /// it.
     pub(crate) fn of(loss: Loss, worker: Option<&Worker>) -> Self {
         // Only confirmed orders count, not those that an earlier owner may have given. After slow calls of
-        // the store, the orders of all VMs are unconfirmed for seconds; when they counted, tasks that crash
+        // the store, orders about all VMs are unconfirmed for seconds; when those counted, tasks that crash
         // their workers were started six times.
         let ordered = worker.is_some_and(|worker| worker.disrupted);
         let announced = worker.is_some_and(Worker::has_announced);
--- a/crates/jobs/src/near.rs
+++ b/crates/jobs/src/near.rs
@@ -7,8 +7,8 @@
 use clock::Instant;
 use std::{collections::HashMap, time::Duration};
 
-/// The longest wait of a task for capacity near its data. A task that is next must not be held back for 3 s
-/// while there is free capacity elsewhere.
+/// The longest wait of a task for capacity near its data. A task that is next in order must not be held back
+/// for 3 s while there is free capacity elsewhere.
 const MAX_WAIT: Duration = Duration::from_millis(1_500);
 
 /// The tasks that wait for capacity near their data.
@@ -86,7 +86,7 @@
         (free > 0.0).then(|| work / free)
     }
 
-    /// Returns how many times as long a run takes on a worker as near its data.
+    /// Returns the factor by which a run takes longer on a worker than near its data; 1 on a worker near it.
     pub(crate) fn far_factor(&self, worker: &str, step: &Step) -> f64 {
         let host = self.workers.get(worker);
         let is_far = step
--- a/crates/jobs/src/outbox.rs
+++ b/crates/jobs/src/outbox.rs
@@ -30,7 +30,7 @@
         /// The workers in question.
         workers: Vec<WorkerId>,
     },
-    /// Changes the share of the processor at which a run works.
+    /// Changes the pace of a run, which is the share of the processor that it may use.
     Pace {
         /// The worker.
         worker: WorkerId,
--- a/crates/jobs/src/pass.rs
+++ b/crates/jobs/src/pass.rs
@@ -32,8 +32,8 @@
         self.schedule_all(now, LogState::Available);
     }
 
-    /// Does the same while the log is unavailable. There may be a newer owner, which may be in contact with
-    /// workers that this one has lost, so tasks that ran on those are not started again.
+    /// Places waiting tasks in order while the log is unavailable. There may be a newer owner, which may be
+    /// in contact with workers that this one has lost, so tasks that ran on those are not started again.
     pub fn schedule_unrecorded(&mut self, now: Instant) {
         self.schedule_all(now, LogState::Unavailable);
     }
--- a/crates/jobs/src/permit.rs
+++ b/crates/jobs/src/permit.rs
@@ -15,7 +15,8 @@
 /// passes come more often than answers.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long before it expires a permit is no longer used, so that the start reaches the worker in time.
+/// The time before the expiry of a permit in which it is no longer used, so that the start reaches the worker
+/// before the permit expires.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(200);
 
 /// An identifier of a step in one round of a job.
--- a/crates/jobs/src/place.rs
+++ b/crates/jobs/src/place.rs
@@ -24,8 +24,8 @@
 /// that the loss of a rack affects as few of them as possible.
 const SAME_RACK_PENALTY: f64 = 2.0;
 
-/// The penalty for each run of another kind that the new one disturbs: best-effort and serving tasks slow
-/// each other down.
+/// The penalty for each run on the worker that would disturb the new run or be disturbed by it: best-effort
+/// and serving tasks slow each other down.
 const INTERFERENCE_PENALTY: f64 = 1.0;
 
 /// The outcome for a waiting task in a pass.
--- a/crates/jobs/src/quarantine.rs
+++ b/crates/jobs/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Starts suspected tasks in quarantine: one at a time on a worker, where little is lost if it crashes again.
+//! Starts suspected tasks in quarantine: one at a time on a worker, chosen so that little is lost if the task
+//! crashes it.
 
 use crate::{
     Cell, Job, Need, TaskId, Worker, WorkerId,
@@ -10,8 +11,8 @@
 use clock::Instant;
 use std::collections::BTreeSet;
 
-/// The fraction of a service's workers that may be kept for quarantine while they have other runs is one in
-/// this many, so that the rest continues with unsuspected tasks. Idle workers are not counted.
+/// One in this many workers of a service may be kept for quarantine while it has other runs, so that the rest
+/// continues with unsuspected tasks. Idle workers are not counted.
 const QUARANTINE_FRACTION: usize = 4;
 
 impl Cell {
--- a/crates/jobs/src/spec.rs
+++ b/crates/jobs/src/spec.rs
@@ -3,14 +3,14 @@
 use crate::{JobId, Need, QueueId, ServiceId, WorkspaceId};
 use serde::{Deserialize, Serialize};
 
-/// The longest text of a job, in bytes, which is the limit of the workers' interface.
+/// The maximum length of a job's text, in bytes, which is the limit of the workers' interface.
 const MAX_TEXT_BYTES: usize = 4_000;
 
-/// The most tasks of one job. It is far more than a pool could run, and keeps a caller's mistake from filling
-/// the owner's memory.
+/// The maximum number of tasks of one job. It is far more than a pool could run, and keeps a caller's mistake
+/// from filling the owner's memory.
 const MAX_TASKS: u64 = 20_000;
 
-/// The most repeats of one job.
+/// The maximum number of repeats of one job.
 const MAX_REPEATS: u32 = 10_000;
 
 /// The specification of a step and its tasks.
@@ -104,9 +104,10 @@
     /// When the job was submitted, in ms since 1970.
     #[serde(rename = "at")]
     pub submitted_at: u64,
-    /// The factor by which the job may exceed its longest chain of work and still be in time.
+    /// How many times as long as its critical path, the longest chain of estimated work, the job may take and
+    /// still be in time.
     pub stretch: f64,
-    /// The time that it may take beyond that, in ms.
+    /// The time that the job may take in addition, in ms.
     pub slack: u64,
     /// The specification of the job.
     pub spec: JobSpec,
--- a/crates/jobs/src/vm_orders.rs
+++ b/crates/jobs/src/vm_orders.rs
@@ -1,4 +1,4 @@
-//! Records about which VMs an owner gives orders, so that two owners don't give orders about the same VM
+//! Records the VMs that an owner gives orders about, so that two owners don't give orders about the same VM
 //! within a short time.
 //!
 //! An owner records the VMs that it is about to give orders about, and gives the orders once the record is
@@ -75,7 +75,7 @@
         self.vm_orders.inherited.values().cloned().collect()
     }
 
-    /// Notes that an earlier owner may have given orders about any VM without a record of them.
+    /// Records that an earlier owner may have given orders about any VM without a record of them.
     pub fn mark_all_vms_unconfirmed(&mut self) {
         self.vm_orders.unrecorded = true;
     }
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -103,8 +103,8 @@
     pub phase: RunPhase,
     /// Whether the worker has confirmed the run at any time, by answering its start or by listing it.
     pub confirmed: bool,
-    /// Whether a report of this incarnation has listed the run. An answer to the start does not tell which
-    /// incarnation took it.
+    /// Whether a report of this incarnation has listed the run. A response to the start does not show which
+    /// incarnation accepted it.
     pub reported: bool,
     /// When the run was ordered.
     pub ordered_at: Instant,
@@ -191,11 +191,11 @@
     pub order_unconfirmed: bool,
     /// The resources that its runs need.
     pub used: Need,
-    /// How many of its runs are long-running or serving.
+    /// How many of its runs are long-running, serving ones included.
     pub long_running_runs: usize,
     /// The runs that it may have.
     pub runs: BTreeMap<(TaskId, RunId), RunState>,
-    /// The highest end that has been processed.
+    /// The number of the highest end that has been processed.
     pub acknowledged: u64,
     /// How many runs in a row have failed or stalled.
     pub failures: u32,
--- a/crates/jobs/src/worker_id.rs
+++ b/crates/jobs/src/worker_id.rs
@@ -6,8 +6,8 @@
 /// The name under which a worker is listed and called. All its incarnations share it.
 pub type WorkerName = String;
 
-/// When an incarnation of a worker started by its machine's clock, in ms since 1970. The value only tells
-/// incarnations apart; it does not order them.
+/// When an incarnation of a worker started, by its machine's clock, in ms since 1970. The value only
+/// distinguishes incarnations; it does not order them.
 pub type StartedAtMs = u64;
 
 /// The separator between a worker's name and its start time in the text of a [`WorkerId`].
--- a/crates/jobs/src/workers.rs
+++ b/crates/jobs/src/workers.rs
@@ -44,11 +44,11 @@
             self.slots.push(None);
             self.slots.len() - 1
         });
-        let pool = self
+        let service_slots = self
             .slots_by_service
             .entry(worker.info.service.clone())
             .or_default();
-        pool.push(slot);
+        service_slots.push(slot);
         self.slots[slot] = Some(worker);
         self.slots_by_id.insert(id, slot);
     }
@@ -57,14 +57,14 @@
     pub fn remove(&mut self, id: &str) -> Option<Worker> {
         let slot = self.slots_by_id.remove(id)?;
         let worker = self.slots[slot].take()?;
-        if let Some(pool) = self.slots_by_service.get_mut(&worker.info.service) {
-            pool.retain(|other| *other != slot);
+        if let Some(service_slots) = self.slots_by_service.get_mut(&worker.info.service) {
+            service_slots.retain(|other| *other != slot);
         }
         self.free_slots.push(slot);
         Some(worker)
     }
 
-    /// Updates the description of a known worker from the list.
+    /// Replaces the description of a known worker by the one in its latest entry.
     pub fn update(&mut self, info: WorkerInfo) {
         let Some(worker) = self.get_mut(&info.id) else {
             return;
@@ -96,7 +96,7 @@
 
     /// Returns the workers of a service.
     pub fn of(&self, service: &str) -> impl Iterator<Item = &Worker> {
-        let pool = self.slots_by_service.get(service).into_iter().flatten();
-        pool.filter_map(|slot| self.slots[*slot].as_ref())
+        let service_slots = self.slots_by_service.get(service).into_iter().flatten();
+        service_slots.filter_map(|slot| self.slots[*slot].as_ref())
     }
 }
