--- a/crates/jobs/src/disruption.rs
+++ b/crates/jobs/src/disruption.rs
@@ -131,7 +131,8 @@
             return false;
         };
         let host = self.workers.get(on).filter(|_| Some(&**on) != leaving);
-        // A worker that does not answer may be gone, and one with an unconfirmed order may go at any moment.
+        // A worker that does not respond may be gone, and one with an unconfirmed order may leave at any
+        // moment.
         let stays =
             |w: &&Worker| w.responsive && !w.disrupted && !w.order_unconfirmed && !w.info.draining;
         let Some(host) = host.filter(stays) else {
--- a/crates/jobs/src/loss.rs
+++ b/crates/jobs/src/loss.rs
@@ -95,8 +95,8 @@
             Some(_) if known_runtime >= PROVEN_AGE || state.inherited => Involvement::Older,
             Some(_) => Involvement::Fresh,
         };
-        // A start without an answer may have been carried out much later than it was sent, or never if the
-        // worker had ended before, so it is no proof. A task that ends its workers before they answer is
+        // A start without a response may have been carried out much later than it was sent, or never if the
+        // worker had ended before, so it is no proof. A task that crashes its workers before they respond is
         // proven by four such ends.
         let is_known = !state.inherited && state.confirmed;
         let sent = state
--- a/crates/jobs/src/permit.rs
+++ b/crates/jobs/src/permit.rs
@@ -12,7 +12,7 @@
 const MAX_WORKERS_PER_REQUEST: usize = 30;
 
 /// The time between two requests for the same step. The service answers requests one after the other, and
-/// passes come more often than answers.
+/// passes come more often than responses.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// The time before the expiry of a permit in which it is no longer used, so that the start reaches the worker
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -172,8 +172,8 @@
 pub struct Worker {
     /// The description in the platform's list.
     pub info: Arc<WorkerInfo>,
-    /// Whether the worker answered this owner's last poll. From its first answer on, it refuses the orders of
-    /// all earlier owners.
+    /// Whether the worker answered this owner's last poll. From its first response on, it refuses the orders
+    /// of all earlier owners.
     pub responsive: bool,
     /// Whether it has answered this owner at any time, or was first listed after all workers had been
     /// contacted.
@@ -203,9 +203,9 @@
     pub excluded_until: Option<Instant>,
     /// When the latest poll that it has answered was sent. It was running at that time.
     pub last_seen: Option<Instant>,
-    /// When it was first found to be silent after its last answer.
+    /// When it was first found to be silent after its last response.
     pub silent_since: Option<Instant>,
-    /// When its port last refused a connection after its last answer.
+    /// When its port last refused a connection after its last response.
     pub refused_at: Option<Instant>,
     /// When its entry was found to be missing from the list.
     pub unlisted_at: Option<Instant>,
@@ -247,7 +247,7 @@
         self.last_seen.is_some() || !self.runs.is_empty() || !self.lapsed.is_empty()
     }
 
-    /// Returns how long a run is known to have been at work: from its start to the worker's latest answer.
+    /// Returns how long a run is known to have been at work: from its start to the worker's latest response.
     pub fn known_runtime(&self, state: &RunState) -> Duration {
         match (state.sent_at, self.last_seen) {
             (Some(sent), Some(last)) if state.confirmed => last.saturating_duration_since(sent),
