--- a/crates/jobs/src/cell/incarnations.rs
+++ b/crates/jobs/src/cell/incarnations.rs
@@ -1,6 +1,6 @@
 //! Tracks the incarnations of workers that list entries name and that respond.
 
-use crate::{AnswerOutcome, Cell, Listing, Loss, StartedAtMs, WorkerId, WorkerInfo};
+use crate::{Cell, Listing, Loss, ResponseOutcome, StartedAtMs, WorkerId, WorkerInfo};
 use clock::Instant;
 
 impl Cell {
@@ -25,28 +25,28 @@
         listing
     }
 
-    /// Records which incarnation of a worker responded at `now` to a request sent to `recipient` at `requested_at`. If
-    /// `recipient` has ended, it gets no new runs; it is abandoned once its successor has been asked which runs
-    /// it has ([`Cell::outlived_incarnations`]).
+    /// Records which incarnation of a worker responded at `now` to a request sent to `recipient` at
+    /// `requested_at`. If `recipient` has ended, it gets no new runs; the caller abandons it once its
+    /// successor has reported its runs ([`Cell::outlived_incarnations`]).
     pub fn record_response(
         &mut self,
         recipient: &WorkerId,
         started_at: Option<StartedAtMs>,
         requested_at: Instant,
         now: Instant,
-    ) -> AnswerOutcome {
+    ) -> ResponseOutcome {
         if self.workers.get(recipient).is_none() {
             // The worker was abandoned in the meantime.
-            return AnswerOutcome::Outdated;
+            return ResponseOutcome::Outdated;
         }
-        let response = self
+        let outcome = self
             .incarnations
-            .record_answer(recipient, started_at, requested_at, now);
-        if let AnswerOutcome::Replaced { next, .. } = &response {
+            .record_response(recipient, started_at, requested_at, now);
+        if let ResponseOutcome::Replaced { next, .. } = &outcome {
             self.mark_silent(recipient, now);
             self.add_successor(recipient, next, now);
         }
-        response
+        outcome
     }
 
     /// Adds an incarnation that responds in place of a former one. It gets no runs until its own entry has
@@ -72,8 +72,8 @@
     }
 
     /// Returns the incarnations of a worker that have certainly ended, now that this one has responded to a
-    /// request sent at `requested_at`: their runs ended with them, and starts on their way to them are either listed
-    /// by this one or will never be carried out.
+    /// request sent at `requested_at`. Their runs have ended with them, and a start that was in transit to
+    /// them is either listed by this one or will never be carried out.
     pub fn outlived_incarnations(&self, incarnation: &str, requested_at: Instant) -> Vec<WorkerId> {
         self.incarnations.ended_by(incarnation, requested_at)
     }
@@ -84,7 +84,7 @@
         self.incarnations.predecessors(incarnation)
     }
 
-    /// Returns the current incarnation of a worker, by the worker's name; none if the worker is unknown.
+    /// Returns the current incarnation of a worker, by the worker's name; `None` if the worker is unknown.
     pub fn current_incarnation(&self, name: &str) -> Option<&WorkerId> {
         self.incarnations.current(name)
     }
--- a/crates/jobs/src/loss.rs
+++ b/crates/jobs/src/loss.rs
@@ -1,4 +1,4 @@
-//! Why a worker is abandoned, and what that tells about its runs.
+//! Why a worker is abandoned, and how its runs may be involved in its end.
 
 use crate::{RunId, TaskId, Worker, suspicion::PROVEN_AGE, worker::RunState};
 use clock::Instant;
@@ -7,7 +7,7 @@
 /// The reason why a worker is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// This owner had its VM moved or maintained.
+    /// This owner had the worker's VM moved or maintained.
     Ordered,
     /// The worker has ended: another incarnation uses its address, or no VM has it any more.
     Ended,
@@ -18,7 +18,7 @@
 /// How a worker ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// An owner had its VM moved or maintained.
+    /// An owner had the worker's VM moved or maintained.
     Ordered,
     /// The worker announced that it leaves, or still answered after its entry was gone.
     Announced,
@@ -95,8 +95,8 @@
             Some(_) if known_runtime >= PROVEN_AGE || state.inherited => Involvement::Older,
             Some(_) => Involvement::Fresh,
         };
-        // A start without an answer may have been carried out much later than it was sent, or never if the
-        // worker had ended before, so it is no proof. A task that ends its workers before they answer is
+        // A start without a response may have been carried out much later than it was sent, or never if the
+        // worker had ended before, so it is no proof. A task that crashes its workers before they respond is
         // proven by four such ends.
         let is_known = !state.inherited && state.confirmed;
         let sent = state
@@ -128,7 +128,7 @@
     /// it.
     pub(crate) fn of(loss: Loss, worker: Option<&Worker>) -> Self {
         // Only confirmed orders count, not those that an earlier owner may have given. After slow calls of
-        // the store, the orders of all VMs are unconfirmed for seconds; when they counted, tasks that crash
+        // the store, orders about all VMs are unconfirmed for seconds; when those counted, tasks that crash
         // their workers were started six times.
         let ordered = worker.is_some_and(|worker| worker.disrupted);
         let announced = worker.is_some_and(Worker::has_announced);
